--- a/sesamebeam/tests/edge/pauses.rs
+++ b/sesamebeam/tests/edge/pauses.rs
@@ -26,9 +26,16 @@
     let plan = LocalPlan::small(&["lima-ate"]);
     let serving = Serving::start(FLEET, plan, RunnerConfig::default()).await;
     let caller = serving.caller();
-    let [first, second] = &serving.servers.runners[..] else {
+    let [one, other] = &serving.servers.runners[..] else {
         panic!("two engines");
     };
+    // Two idle engines are compared on expected wait and equal ones are not drawn at random,
+    // so only the engine that served last is sure to be tried next.
+    caller.chat("question", "before", &[]).await;
+    let (first, second) = match one.books().runs().is_empty() {
+        true => (other, one),
+        false => (one, other),
+    };
     first.refuse(Some(PAUSE));
     let began = Instant::now();
     let mut asked = 0;
