--- a/sesamebeam_core/src/gateway/backoff.rs
+++ b/sesamebeam_core/src/gateway/backoff.rs
@@ -1,9 +1,9 @@
-//! Backend servers that want nothing from this entry: for a while, as one said when it
-//! turned a request away, or for good, as it leaves.
+//! Backend servers that this entry must not use: for a pause requested with a rejection,
+//! or permanently during their shutdown.
 //!
-//! Every send goes by the choice of a backend server, first ones, repeats, larger models
-//! that are asked next and streams that go on. There these are left out, so that nothing
-//! is sent beside it. What a backend server says holds for the entry that it answers.
+//! First sends, retries, cascade steps and resumed streams all go through the choice of a
+//! backend server, which skips these. A request to back off applies only to the entry
+//! that receives it.
 
 use std::collections::HashMap;
 
@@ -16,17 +16,17 @@
     policy::backoff::RequestedPause, //
 };
 
-/// What a backend server asks of this entry.
+/// Backoff requested by a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Backoff {
-    /// To send it nothing for a while.
+    /// Send no requests for a while.
     Pause(RequestedPause),
-    /// To send it nothing any more.
+    /// Send no more requests: the backend server is shutting down.
     Leaving,
 }
 
 impl Backoff {
-    /// Returns what the head of an answer asks for; none if nothing.
+    /// Returns the backoff requested in the head of an answer.
     fn of(now: MonoTime, answer: &AnswerHead) -> Option<Self> {
         if answer.leaving {
             return Some(Self::Leaving);
@@ -35,7 +35,7 @@
         Some(Self::Pause(RequestedPause::new(now, asked)))
     }
 
-    /// Returns whether it asks for more than another.
+    /// Returns whether this backoff lasts longer than another.
     fn outlasts(self, other: Self) -> bool {
         match (self, other) {
             (_, Self::Leaving) => false,
@@ -52,15 +52,15 @@
     }
 }
 
-/// What the backend servers have asked of this entry.
+/// Backoffs requested from this entry.
 #[derive(Debug, Default)]
 pub struct Backoffs {
     of: HashMap<ServerId, Backoff>,
 }
 
 impl Backoffs {
-    /// Takes what an answer asks for, and returns that if it is more than what was asked
-    /// before: answers on different connections overtake each other.
+    /// Records the backoff requested in an answer, and returns it if it lasts longer than
+    /// the previous one; answers on different connections may arrive out of order.
     pub fn heard(&mut self, now: MonoTime, id: &ServerId, answer: &AnswerHead) -> Option<Backoff> {
         let asked = Backoff::of(now, answer)?;
         let known = self.of.get(id);
@@ -71,7 +71,8 @@
         Some(asked)
     }
 
-    /// Returns what a backend server asks for now; none if it takes requests.
+    /// Returns the backoff of a backend server that is in force; none if it accepts
+    /// requests.
     pub fn get(&self, now: MonoTime, id: &ServerId) -> Option<Backoff> {
         let asked = self.of.get(id).copied();
         asked.filter(|asked| !asked.is_over(now))
@@ -82,23 +83,23 @@
         self.get(now, id).is_none()
     }
 
-    /// Returns whether a backend server leaves.
+    /// Returns whether a backend server is shutting down.
     pub fn is_leaving(&self, id: &ServerId) -> bool {
         matches!(self.of.get(id), Some(Backoff::Leaving))
     }
 
-    /// Returns how many backend servers want nothing now.
+    /// Returns the number of backend servers with a backoff in force.
     pub fn count(&self, now: MonoTime) -> usize {
         let asked = self.of.values();
         asked.filter(|asked| !asked.is_over(now)).count()
     }
 
-    /// Forgets what an older life asked for.
+    /// Removes the backoff requested by an earlier incarnation.
     pub fn forget(&mut self, id: &ServerId) {
         self.of.remove(id);
     }
 
-    /// Forgets pauses that are over and backend servers that are gone.
+    /// Removes expired pauses and backend servers that are gone.
     pub fn retain(&mut self, now: MonoTime, known: impl Fn(&ServerId) -> bool) {
         self.of.retain(|id, asked| !asked.is_over(now) && known(id));
     }
--- a/sesamebeam_core/src/gateway/balance.rs
+++ b/sesamebeam_core/src/gateway/balance.rs
@@ -1,9 +1,9 @@
-//! Choice of a backend server.
+//! Load balancing across backend servers.
 //!
-//! Every entry sees its own requests at once and the load of a backend server
-//! only as of the answers that it got from it. Requests with a shared prompt go
-//! to the same few backend servers from every entry, by rendezvous hashing, so
-//! that the prompt is read once; load bounds how far that goes.
+//! An entry sees its own requests immediately, but the load of a backend server only as
+//! of the last answers from it. Rendezvous hashing sends requests with the same shared
+//! prompt from every entry to the same few backend servers, so that the prompt is
+//! processed once; the load bounds how far this affinity goes.
 
 use std::{
     collections::HashMap,
@@ -41,164 +41,161 @@
     policy::hash, //
 };
 
-/// How far above the mean load a backend server may be, as a share of the mean,
-/// and still be preferred for the prompt that it keeps: the bound of consistent
-/// hashing with bounded loads.
+/// How far the load of a backend server may exceed the mean, as a share of the mean,
+/// before prompt affinity is ignored: the bound of consistent hashing with bounded loads.
 const LOAD_MARGIN: f64 = 0.25;
 
-/// Requests by which that bound is higher, so that it means something where a
-/// backend server has hardly any.
+/// Requests added to that bound, so that it is meaningful where backend servers have
+/// hardly any load.
 pub(super) const LOAD_SPARE: f64 = 2.0;
 
-/// How much more a waiting request says of the load than a running one: it
-/// holds up all that comes, where a running one only slows it.
+/// Weight of a waiting request relative to a running one: a queue delays all later
+/// requests, while a running request only slows them down.
 const WAITING_WEIGHT: f64 = 3.0;
 
-/// Load, as a share of the slots, that a hop to another failure domain is worth:
-/// one round trip between domains against the work of a request.
+/// Load, as a share of the slots, that balances a hop to another failure domain: one
+/// round trip between domains compared with the work of a request.
 const FAR_COST: f64 = 0.25;
 
-/// Shared tokens below which a prompt is read anew in each failure domain rather
-/// than sent to another one that keeps it. Engines read some hundred in a
-/// millisecond: twenty milliseconds once, against all requests with it being cut
-/// off or held up when something happens to the way between the two. Measured:
-/// for all prompts, one deployment won 0.02 of the worth of a day with such
-/// troubles and another lost 0.015, as its long shared prompts were read thrice.
+/// Number of shared tokens below which a prompt is processed once in each failure domain
+/// instead of being sent to another domain that has it cached. Engines process some
+/// hundred tokens in a millisecond, so this costs about twenty milliseconds once, while a
+/// remote prefix exposes all requests with it to faults of the link between the domains.
+/// Measured with all prompts kept local, on days with such faults, one deployment gained
+/// a score of 0.02 and another lost 0.015, as its long shared prompts were processed
+/// three times.
 const NEAR_BELOW: u32 = 2_000;
 
-/// Longest time for which an engine reads what was sent there before and is still
-/// preferred for the prompt that it keeps: what reading that prompt anew takes.
+/// Prefill backlog up to which an engine is preferred for a cached prompt: processing
+/// that prompt again on another engine takes about as long.
 const READS_FOR: Duration = Duration::from_millis(100);
 
-/// Time for which what this entry has heard from a backend server itself counts for
-/// more than that another one could not reach it.
+/// Time for which a response received by this entry takes precedence over reports that
+/// another entry could not reach the backend server.
 const HEARD_OF_LATE: Duration = Duration::from_millis(500);
 
-/// Rest of a backend server with an answer that is overdue, counted anew for as long
-/// as that does not come; it ends when anything does.
+/// Pause for a backend server whose answer is overdue. It starts anew while the answer is
+/// missing and ends with any response.
 const OVERDUE_REST: Duration = Duration::from_millis(1000);
 
-/// Longest pause after a backend server could not be reached; below the time
-/// that one takes to come back.
+/// Maximum pause for an unreachable backend server; shorter than a restart takes.
 const MAX_PAUSE: Duration = Duration::from_secs(4);
 
-/// Weight of the newest answer in the share of failures: ten answers decide.
+/// Weight of the newest answer in the failure rate: about ten answers determine it.
 const FAILURE_WEIGHT: f64 = 0.1;
 
-/// Share of failures above the mean of the others from which a backend server
-/// is avoided.
+/// Excess over the mean failure rate of the others at which a backend server is avoided.
 const FAILURE_EXCESS: f64 = 0.2;
 
-/// Load, as a share of the slots, that a request which may run only once goes out of
-/// its way for each failure that it is sure to avoid: a queue of ten times the slots
-/// takes a tenth of the time that callers wait for plain services.
+/// Load, as a share of the slots, that balances a failure rate of 1. For a request that
+/// may run only once, a queue of ten times the slots takes a tenth of the time that
+/// callers of non-streaming services wait.
 const DOUBT_COST: f64 = 10.0;
 
-/// One in so many requests that may run again goes as if nobody were doubted: its
-/// answer tells whether the backend server is well again.
+/// One in this many repeatable requests ignores doubts, so that its answer shows whether
+/// the backend server has recovered.
 const TRY_DOUBTED: u64 = 16;
 
-/// Time in which a reported load is worth half: engines turn over within it.
+/// Half-life of a reported load; engines replace their running requests within this time.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// Time after which a load that was told has faded to a thousandth.
+/// Time after which a load received from the control replicas has decayed to a
+/// thousandth.
 const TOLD_COUNTS_FOR: Duration = Duration::from_secs(5);
 
-/// What one entry knows of a backend server from its own requests.
+/// State of a backend server as observed by one entry.
 #[derive(Clone, Debug, Default)]
 struct Seen {
-    /// Its failure domain.
     domain: DomainId,
-    /// Own requests that are there.
+    /// Own requests in flight.
     in_flight: u32,
-    /// Load that it reported to this entry.
+    /// Last load reported to this entry.
     load: Option<Reported>,
-    /// Load that it reported to another entry.
+    /// Last load reported to another entry.
     shared: Option<Reported>,
-    /// Share of its answers that failed.
+    /// Failure rate of its answers, as a moving average.
     failures: f64,
-    /// Pause in which it gets nothing, as it could not be reached.
+    /// Pause after failed connections, during which it gets no requests.
     pause: Pause,
-    /// When anything last came from it.
+    /// When it last responded.
     heard_at: MonoTime,
-    /// Long prompts that it has yet to read.
+    /// Long prompts that it has not processed yet.
     queue: Queue,
 }
 
-/// Load that a backend server reported.
+/// Load reported by a backend server.
 #[derive(Clone, Copy, Debug)]
 struct Reported {
     running: u32,
     waiting: u32,
-    /// When it came here.
+    /// When the report arrived.
     at: MonoTime,
-    /// Own requests that were there at that time.
+    /// Own requests in flight when the report arrived.
     own: u32,
 }
 
-/// What a request shares with others.
+/// Prompt prefix that a request shares with others.
 #[derive(Clone, Copy, Debug)]
 pub struct Affinity {
-    /// Hash of the shared prompt and model.
+    /// Hash of the shared prompt and the model.
     pub key: u64,
-    /// Tokens of the shared prompt.
+    /// Number of tokens of the shared prompt.
     pub tokens: u32,
 }
 
-/// What a choice is made by.
+/// Parameters of a choice.
 #[derive(Clone, Copy, Debug)]
 pub struct Need<'a> {
-    /// What is shared; none if any backend server will do.
+    /// Shared prompt; none if the request has no preferred backend server.
     pub affinity: Option<Affinity>,
-    /// Time that an engine takes to read what no other request shares.
+    /// Time that an engine takes to process the unshared part of the prompt.
     pub reading: Duration,
     /// Failure domain of this entry.
     pub domain: &'a str,
-    /// Backend servers that were tried already.
+    /// Backend servers already tried for this request.
     pub tried: &'a [ServerId],
-    /// Whether the request may run only once.
+    /// Whether the request must not run more than once.
     pub once: bool,
-    /// Breaks ties.
+    /// Pseudo-random tie breaker.
     pub seed: u64,
 }
 
-/// How a request at a backend server ended.
+/// Outcome of a send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It answered.
+    /// The answer was successful.
     Good,
-    /// Its answer was a failure, or broke off.
+    /// The answer was an error or was cut off.
     Failed,
-    /// It did not run the request and said so.
+    /// The backend server rejected the request without running it.
     Refused,
-    /// It could not be reached.
+    /// The connection failed.
     Unreachable,
-    /// No process listens there: it is down, and the way to it is not.
+    /// The connection was refused: the process is down, but the network path works.
     Down,
-    /// It fell silent.
+    /// The response timed out.
     Silent,
-    /// The request was given up for reasons of its own.
+    /// The request was cancelled for a reason unrelated to the backend server.
     Dropped,
 }
 
-/// What is known of all backend servers.
+/// Load balancer of one entry.
 #[derive(Debug, Default)]
 pub struct Balance {
     seen: HashMap<ServerId, Seen>,
     paths: Paths,
-    /// What was heard here and is to be told to the others.
+    /// Loads to report to the other entries.
     heard: Loads,
-    /// Answers that are to be told to the others, good and bad.
+    /// Unreported counts of good and bad answers.
     outcomes: HashMap<ServerKey, (u32, u32)>,
-    /// Those that could not be reached, and whether they are down, which entries
-    /// nearby should know of.
+    /// Unreported unreachable backend servers, each with whether it is down.
     unreached: Vec<(ServerKey, bool)>,
-    /// Share of failures of those that fail more often than their service.
+    /// Failure rates of backend servers that fail more often than their service.
     doubts: HashMap<ServerKey, f64>,
 }
 
 impl Balance {
-    /// Chooses among backend servers that take work, and counts the request.
+    /// Chooses among the candidates and counts the request.
     pub fn choose<'a>(
         &mut self,
         now: MonoTime,
@@ -220,7 +217,7 @@
         Some(chosen)
     }
 
-    /// Notes that something came from a backend server.
+    /// Records a response from a backend server.
     pub fn heard(&mut self, now: MonoTime, id: &ServerId, load: Option<Load>) {
         let seen = self.seen.entry(id.clone()).or_default();
         seen.heard_at = now;
@@ -234,8 +231,8 @@
         }
     }
 
-    /// Forgets what was seen of an older life under a name: the new one is back,
-    /// empty, and has failed nothing.
+    /// Resets the state of a backend server that restarted: the new incarnation is idle
+    /// and has no failures.
     pub fn reborn(&mut self, id: &ServerId) {
         if let Some(seen) = self.seen.get_mut(id) {
             *seen = Seen {
@@ -246,19 +243,20 @@
         }
     }
 
-    /// Notes a load that another entry has heard.
+    /// Records a load measured by another entry.
     pub fn told(&mut self, now: MonoTime, id: &ServerId, load: LoadOf) {
         let seen = self.seen.entry(id.clone()).or_default();
         seen.shared = Some(seen.reported(now, load));
         seen.queue.told(now, load.reads_for());
     }
 
-    /// Notes that a long prompt is on its way, here and for the others, until its
-    /// first event comes.
+    /// Records a long prompt sent to an engine, for this entry and the others, until its
+    /// first event arrives.
     ///
-    /// While an engine reads one it says nothing and looks idle: up to 27 requests
-    /// gathered behind it, and were late. Told as a queue of so many tokens, it was
-    /// taken for one that the small model reads, and faded within a second.
+    /// An engine sends nothing while it processes a long prompt and looks idle; up to 27
+    /// requests queued up behind one and were late. Reported as a number of tokens, the
+    /// backlog was taken for work of the small model and decayed within a second, so it
+    /// is reported as a time.
     fn expect_queue(&mut self, now: MonoTime, id: &ServerId, reading: Duration) {
         let seen = self.seen.entry(id.clone()).or_default();
         seen.queue.send(now, reading);
@@ -272,7 +270,7 @@
         self.heard.take(now, [load]);
     }
 
-    /// Notes that a long prompt was read, or that its request ended before.
+    /// Records that a long prompt was processed or that its request ended.
     pub fn read(&mut self, now: MonoTime, id: &ServerId, reading: Duration) {
         if reading >= reading::LONG
             && let Some(seen) = self.seen.get_mut(id)
@@ -281,38 +279,38 @@
         }
     }
 
-    /// Takes the loads that the others should be told of, if it is time.
+    /// Takes the loads that are due to be reported.
     pub fn take_heard(&mut self, now: MonoTime) -> Option<Vec<LoadOf>> {
         self.heard.due(now, 0)
     }
 
-    /// Returns when anything last came from a backend server.
+    /// Returns when a backend server last responded.
     pub fn heard_at(&self, id: &ServerId) -> MonoTime {
         self.seen.get(id).map_or(MonoTime::ZERO, |s| s.heard_at)
     }
 
-    /// Takes the answers that the others should be told of.
+    /// Takes the unreported answer counts.
     pub fn take_outcomes(&mut self) -> Vec<Outcomes> {
         let outcome = |(server, (good, bad))| Outcomes { server, good, bad };
         self.outcomes.drain().map(outcome).collect()
     }
 
-    /// Returns whether there is a failure among them, or one that could not be
-    /// reached.
+    /// Returns whether there are unreported failures or unreachable backend servers.
     pub fn has_failures(&self) -> bool {
         !self.unreached.is_empty() || self.outcomes.values().any(|(_, bad)| *bad > 0)
     }
 
-    /// Takes those that could not be reached, and whether they are down.
+    /// Takes the unreported unreachable backend servers, each with whether it is down.
     pub fn take_unreached(&mut self) -> Vec<(ServerKey, bool)> {
         std::mem::take(&mut self.unreached)
     }
 
-    /// Notes that an entry nearby could not reach a backend server.
+    /// Records that another entry in this failure domain could not reach a backend
+    /// server.
     ///
-    /// When a failure domain was cut off, each of 295 entries found that out by
-    /// itself, and again after each pause: 1,260 requests waited for a connection in
-    /// vain within six seconds.
+    /// When a failure domain was partitioned, each of 295 entries had to detect that
+    /// itself, and again after each pause: 1,260 requests waited for connections that
+    /// failed within six seconds.
     pub fn told_unreached(
         &mut self,
         now: MonoTime,
@@ -333,21 +331,22 @@
         }
     }
 
-    /// Takes those that fail more often than their service, as all entries see them.
+    /// Sets the backend servers whose failure rate over all entries is above that of
+    /// their service.
     pub fn set_doubts(&mut self, doubts: impl IntoIterator<Item = Doubt>) {
         let share = |d: Doubt| (d.server, f64::from(d.failing) / 100.0);
         self.doubts = doubts.into_iter().map(share).collect();
     }
 
-    /// Notes that an answer which should have come is overdue: the backend server
-    /// rests, here and at entries nearby, until it is heard.
+    /// Pauses a backend server with an overdue answer, here and at the other entries in
+    /// this failure domain, until it responds.
     pub fn overdue(&mut self, now: MonoTime, id: &ServerId) {
         let seen = self.seen.entry(id.clone()).or_default();
         seen.pause.at_least(now, OVERDUE_REST);
         self.unreached.push((loads::key(id), true));
     }
 
-    /// Notes how a request ended.
+    /// Records the outcome of a send.
     pub fn finished(&mut self, now: MonoTime, id: &ServerId, outcome: Outcome) {
         match outcome {
             Outcome::Good => self.outcomes.entry(loads::key(id)).or_default().0 += 1,
@@ -370,8 +369,8 @@
                 seen.pause.lengthen(now, MAX_PAUSE);
             }
             Outcome::Unreachable | Outcome::Silent => {
-                // Busy engines are silent for seconds: what others make of that
-                // would take whole failure domains out under load.
+                // Busy engines send nothing for seconds: a report to other entries could
+                // take whole failure domains out of service under load.
                 if outcome == Outcome::Unreachable {
                     self.unreached.push((loads::key(id), false));
                 }
@@ -382,34 +381,33 @@
         }
     }
 
-    /// Returns whether a backend server may be tried: it does not rest, and the way to
-    /// it is not cut.
+    /// Returns whether a backend server is neither paused nor behind a partition.
     pub fn reaches(&self, now: MonoTime, known: &Known) -> bool {
         let seen = self.seen.get(&known.said.id);
         let rested = seen.is_none_or(|s| s.pause.is_over(now));
         rested && !self.paths.avoids(now, &known.said.domain)
     }
 
-    /// Returns the share of the slots of some backend servers that are taken.
+    /// Returns the mean share of occupied slots of backend servers.
     pub fn taken(&self, now: MonoTime, servers: &[&Known]) -> f64 {
         let loads: Vec<f64> = servers.iter().map(|k| self.shared_load(now, k)).collect();
         mean(&loads)
     }
 
-    /// Forgets backend servers that are gone, and what was told of others so long ago that
-    /// it says nothing any more.
+    /// Removes state of backend servers that are gone, and decayed reports of other
+    /// entries.
     pub fn retain(&mut self, now: MonoTime, known: impl Fn(&ServerId) -> bool) {
         self.seen
             .retain(|id, seen| seen.in_flight > 0 || seen.tells(now) && known(id));
     }
 
-    /// Returns how many backend servers anything is kept of.
+    /// Returns the number of tracked backend servers.
     pub fn count(&self) -> usize {
         self.seen.len()
     }
 
-    /// Leaves out those that were tried, could not be reached or are behind a way
-    /// that is cut, as long as others are left.
+    /// Excludes backend servers that were tried, are unreachable or have a high failure
+    /// rate, as long as others remain.
     fn fit<'a>(&self, now: MonoTime, all: &[&'a Known], tried: &[ServerId]) -> Vec<&'a Known> {
         let fresh: Vec<&Known> = all
             .iter()
@@ -432,8 +430,8 @@
         if reached.is_empty() { fresh } else { reached }
     }
 
-    /// Takes the first by rendezvous weight whose load is within the bound, one of
-    /// this entry's failure domain if little is shared.
+    /// Chooses the backend server with the highest rendezvous weight among those within
+    /// the load bound, preferring this entry's failure domain for a short shared prompt.
     fn by_prompt<'a>(
         &self,
         now: MonoTime,
@@ -457,7 +455,7 @@
             let sound = self.doubt(k, need) == 0.0;
             (sound, near, hash::rendezvous(&k.said.id, &key))
         });
-        // A second of reading holds up as many as a full engine.
+        // A second of prefill backlog delays as many requests as a full engine.
         let held_up = |(k, load): &(&Known, f64)| load + self.reads_for(now, k).as_secs_f64();
         let lightest = || loaded().min_by(|a, b| held_up(a).total_cmp(&held_up(b)));
         best.or_else(lightest).map(|(k, _)| k)
@@ -478,17 +476,18 @@
         best.copied()
     }
 
-    /// Returns the requests at a backend server as a share of its slots, as far as
-    /// this entry has heard from it.
+    /// Returns the requests on a backend server as a share of its slots, from own
+    /// observations only.
     fn load(&self, now: MonoTime, known: &Known) -> f64 {
         let seen = self.seen.get(&known.said.id);
         seen.map_or(0.0, |seen| seen.load(now, known.said.slots, seen.load))
     }
 
-    /// Returns the same from what any entry has heard.
+    /// Returns the requests on a backend server as a share of its slots, from the
+    /// observations of all entries.
     ///
-    /// It bounds who may get a request and never says who is the best: all entries
-    /// are told the same at once, and would all send to one.
+    /// This only limits which backend servers are eligible and never ranks them: all
+    /// entries receive it at the same time and would all choose the same one.
     fn shared_load(&self, now: MonoTime, known: &Known) -> f64 {
         let Some(seen) = self.seen.get(&known.said.id) else {
             return 0.0;
@@ -496,13 +495,13 @@
         seen.load(now, known.said.slots, seen.newest())
     }
 
-    /// Returns for how long an engine reads long prompts that were sent there.
+    /// Returns the time that an engine still needs for long prompts sent to it.
     fn reads_for(&self, now: MonoTime, known: &Known) -> Duration {
         let seen = self.seen.get(&known.said.id);
         seen.map_or(Duration::ZERO, |seen| seen.queue.left(now))
     }
 
-    /// Returns the share of failures for which a backend server is passed over.
+    /// Returns the failure rate for which a backend server is avoided.
     fn doubt(&self, known: &Known, need: &Need<'_>) -> f64 {
         let tries = !need.once && need.tried.is_empty() && need.seed.is_multiple_of(TRY_DOUBTED);
         if self.doubts.is_empty() || tries {
@@ -523,8 +522,9 @@
 }
 
 impl Seen {
-    /// Returns whether it says anything of a choice now: this entry has had an answer or
-    /// a failure there, or the load that it was told of has not faded.
+    /// Returns whether the state can still affect a choice: this entry has had a response
+    /// or a failure, a long prompt is being processed, or a load report of another entry
+    /// has not decayed.
     fn tells(&self, now: MonoTime) -> bool {
         let is_known = self.heard_at > MonoTime::ZERO || self.pause != Pause::default();
         let reads = !self.queue.left(now).is_zero();
@@ -532,16 +532,16 @@
         is_known || reads || shared.is_some_and(|s| now < s.at + TOLD_COUNTS_FOR)
     }
 
-    /// Returns the newest report that any entry has heard.
+    /// Returns the newest load report of any entry.
     fn newest(&self) -> Option<Reported> {
         let reports = [self.load, self.shared].into_iter().flatten();
         reports.max_by_key(|reported| reported.at)
     }
 
-    /// Returns the requests there as a share of the slots.
+    /// Returns the requests on the backend server as a share of its slots.
     ///
-    /// A report gives way to what this entry sees itself: left standing, an old
-    /// report of an idle engine draws every entry to it at once.
+    /// The reported load decays in favour of own observations; without the decay, an old
+    /// report of an idle engine attracts requests from every entry at once.
     fn load(&self, now: MonoTime, slots: u32, reported: Option<Reported>) -> f64 {
         let own = f64::from(self.in_flight);
         let others = reported.map_or(0.0, |r| {
@@ -552,7 +552,7 @@
         (own + others) / f64::from(slots.max(1))
     }
 
-    /// Makes a report of what was said now.
+    /// Creates a report that arrived now.
     fn reported(&self, now: MonoTime, load: LoadOf) -> Reported {
         Reported {
             running: load.running,
@@ -563,7 +563,7 @@
     }
 }
 
-/// Returns the mean, 0 of nothing.
+/// Returns the mean, or 0 for an empty slice.
 fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
--- a/sesamebeam_core/src/gateway/limits.rs
+++ b/sesamebeam_core/src/gateway/limits.rs
@@ -1,11 +1,11 @@
-//! Backend servers in need: each names the requests a second that it takes from all
-//! entries together.
+//! Rate limits of backend servers under stress. A limit is in requests per second and
+//! covers all entries together.
 //!
-//! Every send goes by the choice of a backend server, first ones, repeats, larger models
-//! that are asked next and streams that go on. There a limited one is left out unless this
-//! entry's [`Pace`] allows a send now, so that nothing is spent beside it. Entries tell
-//! each other of limits by the control replicas, as one that has a turn in a hundred
-//! seconds would go by what was named that long ago.
+//! First sends, retries, cascade steps and resumed streams all go through the choice of a
+//! backend server. It skips a limited backend server unless the [`Pace`] of this entry
+//! allows a send, so no send bypasses the limit. Entries share the limits that they
+//! receive through the control replicas: an entry that may send once in a hundred seconds
+//! would otherwise follow a limit of that age.
 
 mod named;
 mod pace;
@@ -40,37 +40,37 @@
     policy::hash, //
 };
 
-/// Time for which what this entry has heard itself is newer than what it is told: reports
-/// take up to half a second by two control replicas.
+/// Time for which a limit received in an answer takes precedence over reported ones;
+/// reports take up to half a second through two control replicas.
 const OWN_COUNTS_FOR: Duration = Duration::from_secs(1);
 
-/// What one entry knows of limits, and what it has sent.
+/// Limits known to one entry, and its sends to limited backend servers.
 #[derive(Debug)]
 pub struct Limits {
-    /// Name of this entry, which places its turns.
+    /// Name of this entry, which determines the phase of its turns.
     name: SmolStr,
     entries: EntryCount,
     of: HashMap<ServerId, Limited>,
-    /// What is to be reported.
+    /// Limits to report.
     fresh: HashMap<ServerKey, LimitOf>,
 }
 
-/// One backend server that names a limit.
+/// Backend server with a rate limit.
 #[derive(Clone, Copy, Debug)]
 struct Limited {
-    /// Requests a second.
+    /// Requests per second from all entries.
     limit: f64,
     pace: Pace,
-    /// When an answer to this entry last named it, or when it was first told of it.
+    /// When an answer last stated the limit, or when the first report of it arrived.
     heard_at: MonoTime,
-    /// Last send since the limit is known here.
+    /// Last send while the limit is known.
     sent_at: Option<MonoTime>,
-    /// When the last of the callers is to come back who were asked to.
+    /// Latest time at which a rejected caller was told to retry.
     promised: Option<MonoTime>,
 }
 
 impl Limits {
-    /// Starts with none known.
+    /// Creates an empty set of limits.
     pub fn new(name: SmolStr) -> Self {
         Self {
             name,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Notes how many entries there are.
+    /// Sets the number of entries.
     pub fn set_entries(&mut self, now: MonoTime, entries: u32) {
         if self.entries.hear(now, entries) {
             for limited in self.of.values_mut() {
@@ -89,10 +89,11 @@
         }
     }
 
-    /// Takes what the answer to a request says, and returns whether that is news.
+    /// Records the limit stated in an answer, or its absence, and returns whether it
+    /// changed.
     ///
-    /// An answer without a limit ends one only if its request was sent after the limit was
-    /// heard of: answers on different connections overtake each other.
+    /// An answer without a limit ends the limit only if its request was sent after the
+    /// limit was received, as answers on different connections may arrive out of order.
     pub fn heard(
         &mut self,
         now: MonoTime,
@@ -110,7 +111,7 @@
         self.set(now, id, limit)
     }
 
-    /// Takes what other entries have heard, and returns whether that is news.
+    /// Applies a limit received by another entry and returns whether it changed.
     pub fn told(&mut self, now: MonoTime, id: &ServerId, limit: Option<f64>) -> bool {
         match self.of.get(id) {
             Some(known) if now < known.heard_at + OWN_COUNTS_FOR => false,
@@ -128,25 +129,25 @@
         })
     }
 
-    /// Counts a request that is about to be sent.
+    /// Records a send.
     pub fn sent(&mut self, now: MonoTime, id: &ServerId) {
         if let Some(limited) = self.of.get_mut(id) {
             limited.sent_at = Some(now);
         }
     }
 
-    /// Returns how many backend servers name a limit.
+    /// Returns the number of backend servers with a limit.
     pub fn count(&self) -> usize {
         self.of.len()
     }
 
-    /// Returns whether a backend server names a limit.
+    /// Returns whether a backend server has a limit.
     pub fn names(&self, id: &ServerId) -> bool {
         self.of.contains_key(id)
     }
 
-    /// Returns when a backend server takes a request, from some time on and after all
-    /// callers who were promised one; none if that cannot be foreseen.
+    /// Returns the earliest time from `from` on at which a backend server accepts another
+    /// request, after all times reserved for callers; none if that cannot be computed.
     pub fn next_opening(&self, from: MonoTime, id: &ServerId) -> Option<MonoTime> {
         let Some(limited) = self.of.get(id) else {
             return Some(from);
@@ -155,24 +156,24 @@
         self.opens_at(from, id, limited, last)
     }
 
-    /// Notes that a caller was asked to come back to a backend server then.
+    /// Reserves a time at which a rejected caller was told to retry.
     pub fn promise(&mut self, id: &ServerId, at: MonoTime) {
         if let Some(limited) = self.of.get_mut(id) {
             limited.promised = Some(at);
         }
     }
 
-    /// Takes what is to be reported.
+    /// Takes the limits to report.
     pub fn take_fresh(&mut self) -> Vec<LimitOf> {
         self.fresh.drain().map(|(_, limit)| limit).collect()
     }
 
-    /// Forgets the limit of an older life.
+    /// Removes the limit of an earlier incarnation.
     pub fn forget(&mut self, id: &ServerId) {
         self.of.remove(id);
     }
 
-    /// Forgets backend servers that are gone.
+    /// Removes backend servers that are gone.
     pub fn retain(&mut self, known: impl Fn(&ServerId) -> bool) {
         self.of.retain(|id, _| known(id));
     }
@@ -197,8 +198,8 @@
         before.is_none_or(|before| before.limit != limit)
     }
 
-    /// Returns when a request may be sent to a backend server next, from some time on and after
-    /// the last one; none if that cannot be foreseen.
+    /// Returns the earliest time from `from` on at which a request may be sent, given the
+    /// last send; none if that cannot be computed.
     fn opens_at(
         &self,
         from: MonoTime,
@@ -209,7 +210,8 @@
         let counted_since = self.entries.since()?;
         match limited.pace {
             Pace::Never => None,
-            // An entry that has just started may have sent one before.
+            // Without a known send, assumes one at the first count of entries: this entry
+            // may have sent a request before it restarted.
             Pace::Spaced(period) => {
                 let last = last.unwrap_or(counted_since);
                 Some(from.max(last + period))
@@ -223,8 +225,8 @@
     }
 }
 
-/// Returns `from` if a turn stands then that is not used by the last request, and else
-/// when the next begins.
+/// Returns `from` if it is in a turn that the last send has not used, and the start of
+/// the next turn otherwise.
 fn next_turn(
     from: MonoTime,
     phase: f64,
--- a/sesamebeam_core/src/gateway/limits/named.rs
+++ b/sesamebeam_core/src/gateway/limits/named.rs
@@ -1,4 +1,4 @@
-//! Limits of backend servers as all entries together know them.
+//! Rate limits of backend servers as reported by all entries.
 
 use std::{
     collections::BTreeMap,
@@ -15,24 +15,24 @@
     ids::MonoTime, //
 };
 
-/// Time in which what entries have heard before the end of a limit has arrived: they
-/// report five times a second, and replicas pass it on ten times.
+/// Time after which reports about a limit that has ended no longer arrive: entries report
+/// five times a second, and replicas forward ten times a second.
 const CROSSES_IN: Duration = Duration::from_millis(500);
 
-/// Time for which the end of a limit is told. An entry that misses it learns of it from
-/// the answer to its own next request.
+/// Time for which the end of a limit is published. An entry that misses it learns of the
+/// end from its next answer.
 const ENDED_FOR: Duration = Duration::from_secs(5);
 
-/// What a backend server said of its limit.
+/// Limit stated by a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitOf {
-    /// Which.
+    /// Key of the backend server.
     pub server: ServerKey,
-    /// Requests a second; none if there is no limit any more.
+    /// Requests per second; none if the limit ended.
     pub limit: Option<f64>,
 }
 
-/// All that were named, as a control replica knows them.
+/// Limits known to a control replica.
 #[derive(Clone, Debug, Default)]
 pub struct NamedLimits {
     of: BTreeMap<ServerKey, Named>,
@@ -41,15 +41,15 @@
 #[derive(Clone, Copy, Debug)]
 struct Named {
     limit: Option<f64>,
-    /// When it last came, or ended.
+    /// When the limit was last reported, or ended.
     at: MonoTime,
 }
 
 impl NamedLimits {
-    /// Takes what entries have heard.
+    /// Applies reports of entries.
     ///
-    /// A limit ends only if no entry has heard of it for a while: the report of an answer
-    /// without one may overtake that of an earlier answer with one.
+    /// A limit ends only if no entry has reported it for a while, as the report of an
+    /// answer without a limit may arrive before that of an earlier answer with one.
     pub fn take(&mut self, now: MonoTime, heard: impl IntoIterator<Item = LimitOf>) {
         for LimitOf { server, limit } in heard {
             let known = self.of.get(&server);
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Returns all limits, and those that have ended of late.
+    /// Returns all limits, including recently ended ones.
     pub fn tell(&mut self, now: MonoTime) -> Vec<LimitOf> {
         let stays = |named: &Named| named.limit.is_some() || now < named.at + ENDED_FOR;
         self.of.retain(|_, named| stays(named));
@@ -71,12 +71,12 @@
         self.of.iter().map(tell).collect()
     }
 
-    /// Forgets backend servers that are gone.
+    /// Removes backend servers that are gone.
     pub fn retain(&mut self, known: impl Fn(ServerKey) -> bool) {
         self.of.retain(|&server, _| known(server));
     }
 
-    /// Returns whether there is none.
+    /// Returns whether no limits are known.
     pub fn is_empty(&self) -> bool {
         self.of.is_empty()
     }
--- a/sesamebeam_core/src/gateway/limits/pace.rs
+++ b/sesamebeam_core/src/gateway/limits/pace.rs
@@ -1,71 +1,71 @@
-//! How often one entry of many may send to a backend server that names a limit.
+//! Send rate of one entry to a backend server with a rate limit shared by all entries.
 //!
-//! No entry sees what the others send, and none can ask: behind a cut there is nobody to
-//! ask, and with 300 entries before a limit of 3 a second each has one request in a
-//! hundred seconds. So each keeps to a pace of its own, by which the sum holds.
+//! An entry neither sees the sends of the others nor coordinates with them: a network
+//! partition may separate them, and with 300 entries and a limit of 3 requests per
+//! second, each has one request in a hundred seconds. Each entry therefore follows a
+//! schedule of its own that bounds the sum.
 //!
-//! The most that may arrive in any [`SPAN`] at a limit of `l` is `a = 6 l + 5`. Requests
-//! that arrive within it were sent within `SPAN + ON_THE_WAY`.
+//! At most `a = 6 l + 5` requests may arrive in any [`SPAN`] under a limit of `l`.
+//! Requests that arrive in this time were sent within `SPAN + MAX_TRANSIT_DIFFERENCE`,
+//! written `d` below; `n` is the number of entries and `r` the sum of their rates.
 //!
-//! - *Few entries* ([`Pace::Spaced`]): each waits for a period of `n / r` after each of its
-//!   sends, so that it makes `(SPAN + ON_THE_WAY) r / n + 1` at the most in that time, and
-//!   all together `(SPAN + ON_THE_WAY) r + n`. That is at most `a` for
-//!   `r = (a - n) / (SPAN + ON_THE_WAY)`; more than `l` is never taken. Nine entries use
-//!   all of a limit of 3.1 a second.
-//! - *Many entries* ([`Pace::Turns`]): with more than `a` entries one send of each would
-//!   break the bound. Each has one turn of length `w` in each period of `n / r`, at a place
-//!   that follows from names and from its own clock, so that turns fall like requests that
-//!   come by chance; one that was not used is lost. What an entry sends in the time is one
-//!   of two neighbouring numbers, with the mean `(SPAN + ON_THE_WAY + w) r / n`, so that
-//!   the sum is spread less than a Poisson number of the mean
-//!   `m = (SPAN + ON_THE_WAY + w) r`. By Chernoff's bound that reaches `b`, the first
-//!   whole number above `a`, with a probability of `exp(-(b ln(b / m) - b + m))` at the
-//!   most. `r` makes that [`UNLIKELY`]. At a limit of 3 a second that is 1.0, at 25 it
-//!   is 17.
+//! - *Few entries* ([`Pace::Spaced`]): each entry waits for a period of `n / r` after
+//!   each of its sends, so that it makes at most `d r / n + 1` in that time, and all
+//!   together `d r + n`. This is at most `a` for `r = (a - n) / d`; `r` never exceeds
+//!   `l`. Nine entries can use all of a limit of 3.1 per second.
+//! - *Many entries* ([`Pace::Turns`]): with more than `a` entries, a single send from
+//!   each would exceed the bound. Each entry has one turn of length `w` in each period of
+//!   `n / r`, at a phase that depends on names and on its own clock, so that the turns
+//!   are distributed like random arrivals; an unused turn is lost. The number of sends of
+//!   one entry in the time is one of two adjacent integers with the mean `(d + w) r / n`,
+//!   so that the variance of the sum is below that of a Poisson distribution with the
+//!   mean `m = (d + w) r`. By the Chernoff bound, the sum reaches `b`, the smallest
+//!   integer above `a`, with a probability of at most `exp(-(b ln(b / m) - b + m))`. `r`
+//!   is chosen so that the exponent is [`MIN_VIOLATION_EXPONENT`]. For a limit of 3 per
+//!   second, `r` is 1.0; for 25, it is 17.
 
 use std::time::Duration;
 
-/// Span in which requests are counted.
+/// Time window in which arrivals are counted.
 const SPAN: Duration = Duration::from_secs(4);
 
-/// How many times what a limit allows may come in it, and how many more.
+/// Arrivals allowed in that window: a multiple of what the limit allows, plus a constant.
 const OVERSHOOT: f64 = 1.5;
 const SLACK: f64 = 5.0;
 
-/// Most by which one request takes longer than another from its choice to its arrival: a
-/// wait for a connection of a quarter of a second, and as much for a slow way.
+/// Maximum difference between the times that two requests take from choice to arrival: a
+/// wait for a connection of a quarter of a second, and as much for a slow network path.
 const ON_THE_WAY: Duration = Duration::from_millis(500);
 
-/// Longest time for which a turn stands. An entry before a whole service in need gets one
-/// or two callers a second and needs one of them to fall into it; a longer one costs all
-/// of them some of the rate.
+/// Maximum length of a turn. An entry of a fully limited service gets one or two callers
+/// a second, one of which has to fall into the turn; a longer turn lowers the total rate.
 const TURN: Duration = Duration::from_secs(1);
 
-/// Exponent of the probability with which turns may fall so that the bound breaks: one in
-/// 10 million.
+/// Negative exponent of the probability that the turns coincide and exceed the bound: one
+/// in 10 million.
 const UNLIKELY: f64 = 16.1;
 
-/// Halvings in which the rate of turns is found: to a thousandth of the bound.
+/// Bisection steps for the rate of turns, to a thousandth of the bound.
 const HALVINGS: u32 = 20;
 
-/// How often an entry may send.
+/// Send schedule of one entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Pace {
-    /// Not at all.
+    /// No sends.
     Never,
-    /// Once, and again when this time has passed.
+    /// One send, and another after this time has passed.
     Spaced(Duration),
-    /// Once in each turn.
+    /// One send in each turn.
     Turns {
-        /// Time from one turn to the next.
+        /// Time between the starts of two turns.
         period: Duration,
-        /// Time for which one stands.
+        /// Length of a turn.
         width: Duration,
     },
 }
 
 impl Pace {
-    /// Works out the pace of one of some entries, before a limit in requests a second.
+    /// Computes the schedule of one entry for a limit in requests per second.
     pub fn of(limit: f64, entries: u32) -> Self {
         let entries = f64::from(entries.max(1));
         let (spaced, turns) = (spaced_rate(limit, entries), turn_rate(limit));
@@ -73,7 +73,7 @@
             let period = Duration::try_from_secs_f64(entries / rate);
             period.ok().filter(|_| rate > 0.0)
         };
-        // Where both are possible the one that lets more through is taken.
+        // Where both schedules are possible, the one with the higher rate is used.
         if spaced >= turns {
             return period(spaced).map_or(Self::Never, Self::Spaced);
         }
@@ -83,7 +83,7 @@
         })
     }
 
-    /// Returns the mean time from one send to the next that is allowed, if any is.
+    /// Returns the mean time between sends, or none if there are none.
     pub fn period(&self) -> Option<Duration> {
         match *self {
             Self::Never => None,
@@ -92,18 +92,18 @@
     }
 }
 
-/// Returns the most requests that may arrive in any [`SPAN`].
+/// Returns the maximum number of arrivals in any [`SPAN`].
 pub fn allowed(limit: f64) -> f64 {
     OVERSHOOT * limit * SPAN.as_secs_f64() + SLACK
 }
 
-/// Returns the sum of the rates of entries that space their sends.
+/// Returns the total rate of all entries with spaced sends.
 fn spaced_rate(limit: f64, entries: f64) -> f64 {
     let sent_in = (SPAN + ON_THE_WAY).as_secs_f64();
     ((allowed(limit) - entries) / sent_in).clamp(0.0, limit)
 }
 
-/// Returns the sum of the rates of entries that have turns.
+/// Returns the total rate of all entries with turns.
 fn turn_rate(limit: f64) -> f64 {
     let sent_in = (SPAN + ON_THE_WAY + TURN).as_secs_f64();
     let breaks = allowed(limit).floor() + 1.0;
--- a/sesamebeam_core/src/gateway/pool.rs
+++ b/sesamebeam_core/src/gateway/pool.rs
@@ -1,10 +1,11 @@
-//! Answers of backend servers as all entries together see them.
+//! Detection of backend servers with a high failure rate (outliers) from the answers to
+//! all entries.
 //!
-//! Of 295 entries each sends less than one request a second to a service of five
-//! backend servers. Three of these broke off two in five of their answers for four
-//! seconds, and no entry saw enough to go elsewhere: 266 callers got no answer to a
-//! request that may not run twice. Together the entries see 70 answers a second of
-//! each, and a few of them are enough.
+//! Of 295 entries, each sends less than one request a second to a service of five backend
+//! servers. When three of these cut off two in five answers for four seconds, no single
+//! entry saw enough failures to avoid them, and 266 non-repeatable requests failed. All
+//! entries together see 70 answers a second from each backend server, and a few are
+//! enough for detection.
 
 use std::{
     collections::{
@@ -30,71 +31,71 @@
 };
 use crate::ids::MonoTime;
 
-/// Time in which an answer counts half for what a backend server does now: what
-/// goes wrong lasts for seconds.
+/// Half-life of answers in the recent failure rate of a backend server; faults last for
+/// seconds.
 const RECENT: Duration = Duration::from_millis(1000);
 
-/// The same for what a service fails by itself: some requests fail wherever they
-/// run, 4 in 100 on one deployment.
+/// Half-life of answers in the baseline failure rate of a service: some requests fail on
+/// any backend server, 4 in 100 in one deployment.
 const USUAL: Duration = Duration::from_secs(20);
 
-/// Answers that a service is thought to have given before any was seen, and the
-/// failures among them.
+/// Prior of the baseline failure rate: assumed answers of a service and failures among
+/// them.
 const PRIOR_ANSWERS: f64 = 20.0;
 const PRIOR_FAILURES: f64 = 1.0;
 
-/// By how much the share of failures of a backend server that went bad is thought to
-/// be above the usual one: those that are known to happen fail a fifth to a half.
+/// Assumed excess of a faulty backend server's failure rate over the baseline; observed
+/// faults affect a fifth to a half of the answers.
 const EXCESS: f64 = 0.25;
 
-/// Sum of evidence, as a logarithm, from which a backend server is doubted. The sum
-/// starts anew whenever it speaks for the backend server, so that good answers of
-/// long ago do not weigh against what it does now. `pool::good_one_doubted` gives
-/// how often chance reaches it, `pool::bad_one_found` how soon a bad one does.
+/// Log-likelihood ratio at which a backend server is doubted. The sum restarts at 0 when
+/// it becomes negative (CUSUM test), so that good answers from long ago do not hide a new
+/// fault. `pool::good_one_doubted` measures the rate of false positives,
+/// `pool::bad_one_found` the detection time.
 const EVIDENCE: f64 = 7.0;
 
-/// Highest share of failures that is suspected.
+/// Upper bound of the failure rate that is assumed for a faulty backend server.
 const MOST_FAILING: f64 = 0.95;
 
-/// Share of failures above the usual one down to which a doubt stands.
+/// Excess over the baseline failure rate below which a doubt ends.
 const CLEARED: f64 = 0.05;
 
-/// Answers within which a doubt is cleared.
+/// Minimum number of recent answers for ending a doubt.
 const MIN_CLEARING: f64 = 5.0;
 
-/// Answers of late below which nothing is known of a backend server any more, so
-/// that it is tried again: 70 fade to that within six seconds.
+/// Number of recent answers below which a doubt expires, so that the backend server is
+/// tried again: 70 answers decay to this within six seconds.
 const FORGOTTEN: f64 = 1.0;
 
-/// What one or more entries have seen of a backend server.
+/// Counts of answers from one backend server, seen by one or more entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcomes {
-    /// Which.
+    /// Key of the backend server.
     pub server: ServerKey,
-    /// Good answers.
+    /// Successful answers.
     pub good: u32,
-    /// Answers that failed or broke off.
+    /// Answers that were errors or were cut off.
     pub bad: u32,
 }
 
 impl Outcomes {
-    /// Adds what others have seen.
+    /// Adds the counts of another report.
     pub fn add(&mut self, other: &Self) {
         self.good += other.good;
         self.bad += other.bad;
     }
 }
 
-/// A backend server that fails more often than its service does.
+/// Backend server with a failure rate above that of its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Doubt {
-    /// Which.
+    /// Key of the backend server.
     pub server: ServerKey,
-    /// Share of its answers that fail, in percent.
+    /// Failure rate of its recent answers, in percent.
     pub failing: u8,
 }
 
-/// Counts that fade.
+/// Exponentially decaying counts of answers.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     good: f64,
@@ -120,28 +121,28 @@
     }
 }
 
-/// What is known of one backend server.
+/// Detection state of one backend server.
 #[derive(Clone, Copy, Debug, Default)]
 struct Seen {
     recent: Tally,
-    /// Sum of the evidence against it since it was last above all suspicion.
+    /// Log-likelihood ratio of the fault hypothesis since it was last 0.
     evidence: f64,
     is_doubted: bool,
 }
 
-/// What all entries have seen.
+/// Outlier detector over the answers to all entries.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     servers: HashMap<ServerKey, Seen>,
-    /// What each service fails by itself.
+    /// Baseline counts of each service.
     usual: HashMap<ServiceId, Tally>,
-    /// What was seen since the last judgement.
+    /// Counts since the last evaluation.
     fresh: HashMap<ServerKey, (u32, u32)>,
     doubts: Vec<Doubt>,
 }
 
 impl Pool {
-    /// Takes what entries have seen.
+    /// Adds reported counts.
     pub fn take(&mut self, outcomes: impl IntoIterator<Item = Outcomes>) {
         for Outcomes { server, good, bad } in outcomes {
             let counts = self.fresh.entry(server).or_default();
@@ -155,14 +156,14 @@
         &self.doubts
     }
 
-    /// Judges by what was seen up to now, and returns whether the doubts are others.
+    /// Evaluates the counts since the last call and returns whether the doubts changed.
     pub fn judge(&mut self, now: MonoTime, directory: &Directory) -> bool {
         if self.fresh.is_empty() && self.doubts.is_empty() {
             return false;
         }
         let fresh = std::mem::take(&mut self.fresh);
         let mut doubts = Vec::new();
-        // Of others nothing is new: their evidence stands as it was.
+        // Backend servers without new answers or a doubt keep their state.
         let mut due: BTreeSet<ServerKey> = fresh.keys().copied().collect();
         due.extend(self.doubts.iter().map(|d| d.server));
         for key in due {
@@ -197,7 +198,8 @@
         changed
     }
 
-    /// Forgets those that are gone, once they are as many as those that are known.
+    /// Removes backend servers that are gone once the state holds twice as many as the
+    /// directory.
     fn forget(&mut self, directory: &Directory) {
         if self.servers.len() <= 2 * directory.count() {
             return;
@@ -208,8 +210,7 @@
 }
 
 impl Seen {
-    /// Judges by the share of failures that is usual for the service, and by the
-    /// newest answers.
+    /// Updates the state from the baseline failure rate and the newest answers.
     fn judge(&mut self, usual: f64, good: u32, bad: u32) {
         let suspected = (usual + EXCESS).min(MOST_FAILING);
         let of_bad = (suspected / usual).ln();
@@ -229,13 +230,13 @@
     }
 }
 
-/// Returns the backend server of a key that has not left.
+/// Returns the announcement of a backend server that is not gone.
 fn living(directory: &Directory, key: ServerKey) -> Option<&Announcement> {
     let mut of_key = directory.with_key(key).map(|k| &k.said);
     of_key.find(|said| said.state != ServerState::Gone)
 }
 
-/// Returns the share of answers that a service fails by itself.
+/// Returns the baseline failure rate of a service.
 fn usual_share(usual: &Tally) -> f64 {
     (usual.bad + PRIOR_FAILURES) / (usual.count() + PRIOR_ANSWERS)
 }
--- a/sesamebeam_core/src/gateway/router.rs
+++ b/sesamebeam_core/src/gateway/router.rs
@@ -1,4 +1,4 @@
-//! All decisions of an entry that passes requests through.
+//! Request routing of an entry in pass-through mode.
 
 mod choosing;
 mod exchange;
@@ -87,7 +87,7 @@
     policy::hash,
 };
 
-/// Pause between two times that what is over is forgotten.
+/// Interval between two removals of expired state.
 const TIDY_EVERY: Duration = Duration::from_secs(1);
 
 /// Settings of a router.
@@ -97,88 +97,90 @@
     pub name: SmolStr,
     /// Failure domain of this entry.
     pub domain: DomainId,
-    /// Budget of repeated sends.
+    /// Retry budget.
     pub budget: BudgetConfig,
-    /// Share of a service's requests that a new version may get while it may
-    /// still turn out bad.
+    /// Upper bound on the share of a service's requests that a new version may serve
+    /// while its roll-out can still be rolled back.
     pub exposure_share: f64,
-    /// Pause after which two requests of a session no longer belong together.
+    /// Idle time after which a session counts as ended.
     pub session_pause: Duration,
 }
 
-/// Why a request is not sent to any backend server.
+/// Why a request is rejected before it is sent to any backend server.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Refusal {
-    /// No configuration is known yet, or it may be out of date and does not
-    /// allow the request.
+    /// No configuration is known yet, or the known one may be outdated and does not allow
+    /// the request.
     #[error("no configuration yet")]
     NoConfig,
-    /// No route takes it.
+    /// No route matches the request.
     #[error("no route")]
     NoRoute,
-    /// Its key is not known.
+    /// The API key is not in the configuration.
     #[error("unknown key")]
     UnknownKey,
-    /// It crashes what runs it.
+    /// Requests with this fingerprint crash backend servers.
     #[error("crashes what runs it")]
     Quarantined,
-    /// Its service cannot serve all.
+    /// The service has too little capacity for its load, and this request was not
+    /// admitted.
     #[error("service short of capacity")]
     Short,
 }
 
-/// Why there is no backend server for a send.
+/// Why no backend server could be chosen for a send.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Unserved {
-    /// None of its service has been heard of.
+    /// No backend server of the service has announced itself.
     #[error("no backend server is known")]
     Unknown,
-    /// All that may run it are in failure domains that are evacuated.
+    /// All eligible backend servers are in evacuated failure domains.
     #[error("all backend servers are evacuated")]
     Evacuated,
-    /// All that are left are cold, and it is not this entry's turn at one.
+    /// All remaining backend servers are cold, and this entry may not send to one yet.
     #[error("all backend servers are cold")]
     Cold,
-    /// All that are left take nothing from this entry now, by limits that they name or
-    /// pauses that they ask for.
+    /// All remaining backend servers are at their rate limits or have asked this entry to
+    /// back off.
     #[error("all backend servers are at their limits or asked for a pause")]
     Limited,
-    /// None that may run it is left.
+    /// No eligible backend server remains.
     #[error("no backend server is left")]
     NoneLeft,
 }
 
-/// What was decided about a request before its first send.
+/// Routing decisions made once for each request, before its first send.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Configuration that decided.
+    /// Configuration that the decisions are based on.
     pub table: Arc<Table>,
-    /// Its route.
+    /// Matched route.
     pub route: RouteConfig,
-    /// Service that it goes to.
+    /// Service that the request is sent to.
     pub service: ServiceId,
-    /// Organisation of its caller.
+    /// Organisation of the caller; none if the caller is anonymous.
     pub organisation: Option<OrgId>,
-    /// Rank that the engine is told: within a rank, short prompts go first.
+    /// Scheduling rank passed to the engine; within a configured rank, shorter prompts go
+    /// first.
     pub engine_rank: Rank,
-    /// Model to ask first, where the caller leaves the choice open.
+    /// First model of the cascade; none if the caller names a model.
     pub model: Option<ModelId>,
-    /// Tokens that a model is paid for, for each token of the answer.
+    /// Cost of a model run, in tokens that are paid for, for each token of the answer.
     pub expense: f64,
-    /// What it shares with other requests.
+    /// Prompt prefix shared with other requests.
     shared: Option<PromptPart>,
-    /// Tokens of its prompt that no other shares.
+    /// Prompt tokens that no other request shares.
     own_tokens: u32,
-    /// Session.
+    /// Session identifier.
     session: Option<SmolStr>,
-    /// Whether a new version gets it while it is on trial.
+    /// Whether the request goes to the new version during a canary phase.
     on_trial: bool,
-    /// Breaks ties.
+    /// Pseudo-random tie breaker, derived from the request id.
     seed: u64,
 }
 
 impl Plan {
-    /// Returns what answers of a backend server are counted by.
+    /// Returns the key under which answers of a backend server are counted.
     fn sender(&self, choice: &Choice) -> Sender {
         Sender {
             service: self.service.clone(),
@@ -188,25 +190,25 @@
     }
 }
 
-/// A backend server that was chosen.
+/// Backend server chosen for a send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Which.
+    /// Identifier of the backend server.
     pub id: ServerId,
-    /// When the life started that was chosen.
+    /// Start time of the chosen incarnation.
     pub born: Born,
-    /// Where.
+    /// Address of the backend server.
     pub addr: SocketAddr,
-    /// Its version.
+    /// Version that the backend server runs.
     pub version: SmolStr,
-    /// Time that it is expected to take to read the prompt.
+    /// Expected time to process the unshared part of the prompt.
     pub reading: Duration,
-    /// Backend servers that it was chosen among.
+    /// Number of backend servers considered for the choice.
     pub candidates: usize,
 }
 
 impl Choice {
-    /// Returns the life that was chosen.
+    /// Returns the chosen incarnation.
     pub fn life(&self) -> Life {
         Life {
             id: self.id.clone(),
@@ -215,12 +217,13 @@
     }
 }
 
-/// All decisions of one entry.
+/// Routing state of one entry.
 #[derive(Debug)]
 pub struct Router {
     cfg: RouterConfig,
     table: Option<Arc<Table>>,
-    /// Whether the configuration is as new as any was when this entry started.
+    /// Whether the configuration is at least as new as any that existed when this entry
+    /// started.
     current: bool,
     index: LogIndex,
     orders: Orders,
@@ -237,12 +240,12 @@
     sessions: Sessions,
     lengths: Lengths,
     reading: ReadingTimes,
-    /// When what is over is forgotten next.
+    /// When expired state is removed next.
     tidy_at: MonoTime,
 }
 
 impl Router {
-    /// Makes a router that knows nothing yet.
+    /// Creates a router without configuration or backend servers.
     pub fn new(cfg: RouterConfig) -> Self {
         Self {
             budget: Budget::new(cfg.budget),
@@ -272,23 +275,23 @@
         self.table.as_ref()
     }
 
-    /// Returns the number of the configuration in force.
+    /// Returns the version of the configuration in force.
     pub fn version(&self) -> Option<ConfigVersion> {
         self.table.as_ref().map(|t| t.config().version)
     }
 
-    /// Returns the backend servers.
+    /// Returns the known backend servers.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Returns how many backend servers anything is kept of beside what they announced.
+    /// Returns the number of backend servers with load-balancing state.
     pub fn balanced(&self) -> usize {
         self.balance.count()
     }
 
-    /// Puts a configuration in force unless one as new already is. It never
-    /// goes back: replicas that lag tell of older ones.
+    /// Applies a configuration unless one of the same or a later version is in force.
+    /// Lagging control replicas may send older ones, so the version never decreases.
     pub fn set_config(&mut self, now: MonoTime, config: GatewayConfig) -> bool {
         if self.version().is_some_and(|held| held >= config.version) {
             return false;
@@ -300,12 +303,13 @@
         true
     }
 
-    /// Notes that a replica whose state is current has told all of it.
+    /// Records that a control replica with up-to-date state has sent all of it.
     pub fn set_current(&mut self) {
         self.current = true;
     }
 
-    /// Takes what was ordered up to a position of the replicated log.
+    /// Applies roll-outs and evacuations as of an index of the replicated log. Returns
+    /// whether anything changed.
     pub fn set_orders(&mut self, now: MonoTime, index: LogIndex, orders: Orders) -> bool {
         if index < self.index {
             return false;
@@ -324,7 +328,8 @@
         true
     }
 
-    /// Takes an announcement.
+    /// Applies an announcement of a backend server. Returns whether the directory
+    /// changed.
     pub fn announced(&mut self, now: MonoTime, said: Announcement) -> bool {
         let table = self.table.as_ref();
         let is_named = table.is_some_and(|t| t.config().service(&said.service).is_some());
@@ -340,7 +345,7 @@
         news
     }
 
-    /// Forgets what is only kept for backend servers and sessions that ended.
+    /// Removes state of backend servers and sessions that no longer exist.
     pub fn tidy(&mut self, now: MonoTime) {
         if now < self.tidy_at {
             return;
@@ -354,11 +359,11 @@
         self.sessions.tidy(now);
     }
 
-    /// Decides what happens to a request.
+    /// Plans a request.
     ///
     /// # Errors
     ///
-    /// Fails if it is refused.
+    /// Fails if the request is rejected.
     pub fn admit(&mut self, now: MonoTime, head: &Head) -> Result<Plan, Refusal> {
         let table = self.table.clone().ok_or(Refusal::NoConfig)?;
         let path = head.path.split('?').next().unwrap_or_default();
@@ -370,8 +375,8 @@
             Caller::Anonymous => None,
             Caller::Of(org) => Some(org.name.clone()),
         };
-        // Drawn by the request's own id: counted by each entry, the first requests of
-        // all entries that had started together went to the same backend server.
+        // Derived from the request id: with a counter for each entry, the first requests
+        // of entries that start at the same time all went to the same backend server.
         let seed = hash::name(head.id.as_bytes());
         let service = table.service(route, seed).clone();
         self.budget.request(now, &service);
@@ -407,11 +412,12 @@
         })
     }
 
-    /// Returns a refusal for what the configuration does not have.
+    /// Turns a rejection into [`Refusal::NoConfig`] while the configuration may be
+    /// outdated.
     ///
-    /// After all processes have started anew, an entry may be told of an old one
-    /// first. Callers do not come back after being told that there is no such
-    /// route or key, so that this is said only for certain.
+    /// After a restart of all processes, an entry may receive an old configuration first.
+    /// Callers do not retry after an unknown route or key, so these errors are returned
+    /// only once the configuration is known to be current.
     fn if_current(&self, refusal: Refusal) -> Refusal {
         match self.current {
             true => refusal,
@@ -419,7 +425,8 @@
         }
     }
 
-    /// Judges a success by the confidence that the model states.
+    /// Decides from the confidence stated by the model whether a successful answer is
+    /// kept or the next larger model is asked.
     pub fn judge(
         &mut self,
         now: MonoTime,
@@ -446,22 +453,22 @@
         step
     }
 
-    /// Notes that something came from a backend server.
+    /// Records a response from a backend server.
     pub fn heard(&mut self, now: MonoTime, id: &ServerId, load: Option<Load>) {
         self.balance.heard(now, id, load);
     }
 
-    /// Notes that the answer of a backend server is overdue.
+    /// Records that the answer of a backend server is overdue.
     pub fn overdue(&mut self, now: MonoTime, id: &ServerId) {
         self.balance.overdue(now, id);
     }
 
-    /// Returns when anything last came from a backend server.
+    /// Returns when a backend server last responded.
     pub fn heard_at(&self, id: &ServerId) -> MonoTime {
         self.balance.heard_at(id)
     }
 
-    /// Notes how long the first event of a send took.
+    /// Records the time from a send to its first event.
     pub fn waited(
         &mut self,
         now: MonoTime,
@@ -477,44 +484,45 @@
         self.balance.read(now, &choice.id, choice.reading);
     }
 
-    /// Notes that a send ended, or goes on elsewhere, before its first event.
+    /// Records that a send ended, or is continued on another backend server, before its
+    /// first event.
     pub fn never_began(&mut self, now: MonoTime, choice: &Choice) {
         self.balance.read(now, &choice.id, choice.reading);
     }
 
-    /// Returns the confidence from which an answer is kept now.
+    /// Returns the confidence at which an answer is currently kept.
     pub fn keep_from(&self, now: MonoTime, plan: &Plan) -> f64 {
         self.cascade.keep_from(now, &plan.service, plan.expense)
     }
 
-    /// Notes the time from a send to the first byte of its success.
+    /// Records the time from a send to the first byte of a successful answer.
     pub fn timed(&mut self, plan: &Plan, choice: &Choice, model: Option<&str>, took: Duration) {
         let on_trial = self.is_target(&plan.service, &choice.version);
         self.tallies
             .timed(&plan.sender(choice), model, took, on_trial);
     }
 
-    /// Notes the mean time between the events of a stream.
+    /// Records the mean time between the events of a stream.
     pub fn paced(&mut self, plan: &Plan, choice: &Choice, model: Option<&str>, pace: Duration) {
         let on_trial = self.is_target(&plan.service, &choice.version);
         self.tallies
             .paced(&plan.sender(choice), model, pace, on_trial);
     }
 
-    /// Notes that a request that is no stream was answered.
+    /// Records the answer to a non-streaming request.
     pub fn answered(&mut self, plan: &Plan, took: Duration, load: Option<Load>) {
         let target = plan.route.target;
         self.admission.answered(&plan.service, took, target, load);
     }
 
-    /// Notes that a request found all backend servers full.
+    /// Records that a request found the queues of all backend servers full.
     pub fn turned_away(&mut self, plan: &Plan) {
         self.admission.turned_away(&plan.service);
     }
 
-    /// Notes how a send ended.
+    /// Records the outcome of a send.
     ///
-    /// What became of an older life says nothing of the one that has its name now.
+    /// The outcome of a send to an earlier incarnation is ignored for the current one.
     pub fn finished(&mut self, now: MonoTime, plan: &Plan, choice: &Choice, outcome: Outcome) {
         let outcome = match self.lives(choice) {
             true => outcome,
@@ -525,38 +533,40 @@
         self.tallies.ended(&plan.sender(choice), outcome);
     }
 
-    /// Notes that another life answers at the address of a backend server.
+    /// Marks the chosen incarnation as gone because another process answers at its
+    /// address.
     pub fn displaced(&mut self, now: MonoTime, choice: &Choice) {
         self.directory.leave(now, &choice.id, Some(choice.born));
     }
 
-    /// Returns whether the life that was chosen is still the one of its name.
+    /// Returns whether the chosen incarnation is still the current one of its backend
+    /// server.
     fn lives(&self, choice: &Choice) -> bool {
         let known = self.directory.get(&choice.id);
         known.is_none_or(|k| k.said.born == choice.born)
     }
 
-    /// Takes sessions that must stay on the versions before a roll-out.
+    /// Records sessions that must stay on the versions from before a roll-out.
     pub fn keep_sessions(&mut self, now: MonoTime, kept: &Kept, all: bool) {
         self.sessions.keep(now, kept, all);
     }
 
-    /// Returns how long each roll-out has run.
+    /// Returns how long each roll-out has been running.
     pub fn rollout_ages(&self, now: MonoTime) -> Vec<Age> {
         self.sessions.ages(now)
     }
 
-    /// Takes the requests that crash what runs them, as the control replicas
-    /// have found.
+    /// Sets the fingerprints that the control replicas have quarantined for crashing
+    /// backend servers.
     pub fn set_quarantined(&mut self, fingerprints: impl IntoIterator<Item = Digest>) {
         self.suspects.quarantine(fingerprints);
     }
 
-    /// Returns whether a request may run.
+    /// Checks whether a request may run.
     ///
     /// # Errors
     ///
-    /// Fails if it crashes what runs it.
+    /// Fails if the fingerprint is quarantined.
     pub fn check_fingerprint(&self, fingerprint: Digest) -> Result<(), Refusal> {
         match self.suspects.may_run(fingerprint) {
             true => Ok(()),
@@ -564,12 +574,12 @@
         }
     }
 
-    /// Notes that a request ran to its end.
+    /// Records that a request completed.
     pub fn completed(&mut self, fingerprint: Digest) {
         self.suspects.completed(fingerprint);
     }
 
-    /// Notes that a request was running when a backend server went down.
+    /// Records that a request was running when its backend server crashed.
     pub fn crashed(&mut self, fingerprint: Digest, choice: &Choice) {
         self.suspects.crashed(fingerprint, choice.life());
     }
--- a/sesamebeam_core/src/gateway/router/choosing.rs
+++ b/sesamebeam_core/src/gateway/router/choosing.rs
@@ -1,4 +1,4 @@
-//! Choice of the backend server for a send: who may run it, and who bears it.
+//! Selection of the backend server for a send.
 
 use super::{
     Choice,
@@ -27,20 +27,21 @@
     policy::hash,
 };
 
-/// Most backend servers that a choice is made among, unless none of them will do. Where
-/// there are more, the prompt or the request decides which: the time that a choice takes
-/// stays the same, and the least loaded of 64 is hardly more loaded than that of all.
+/// Number of backend servers that a choice considers at first. In a larger service, the
+/// shared prompt or the request determines which ones, so that the cost of a choice does
+/// not grow with the fleet; the least loaded of 64 has hardly more load than the least
+/// loaded of all.
 pub const CANDIDATES: usize = 128;
 
-/// By how much more backend servers are looked at where none of the candidates will do.
+/// Factor by which the candidate window grows when none of the candidates is usable.
 const WIDER: usize = 8;
 
 impl Router {
-    /// Chooses a backend server for the next send and counts it as sent.
+    /// Chooses a backend server for the next send and counts the send.
     ///
     /// # Errors
     ///
-    /// Fails if there is none.
+    /// Fails if no backend server is available.
     pub fn choose(
         &mut self,
         now: MonoTime,
@@ -49,7 +50,8 @@
         tried: &[ServerId],
     ) -> Result<Choice, Unserved> {
         let allowed = self.allowed(plan);
-        // All entries try the same ones of a new version.
+        // The canary servers are picked from the whole service, so that all entries use
+        // the same ones.
         if plan.on_trial && self.is_canary(&plan.service) {
             return self.choose_within(now, plan, model, tried, &allowed, Window::ALL);
         }
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Chooses among the backend servers with a key in a window.
+    /// Chooses among the backend servers whose keys are in a window.
     fn choose_within(
         &mut self,
         now: MonoTime,
@@ -126,8 +128,8 @@
         Ok(choice)
     }
 
-    /// Returns whether a request could go on now at another backend server than those
-    /// that had their turn.
+    /// Returns whether a request could now continue on a backend server other than its
+    /// current one and those already tried.
     pub fn has_another(
         &self,
         now: MonoTime,
@@ -139,14 +141,12 @@
         left.any(|k| &k.said.id != now_at)
     }
 
-    /// Returns whether any backend server takes a request now, of those that had not
-    /// their turn.
+    /// Returns whether any backend server that was not tried yet accepts a request now.
     pub fn has_room(&self, now: MonoTime, plan: &Plan, tried: &[ServerId]) -> bool {
         self.left(now, plan, tried).next().is_some()
     }
 
-    /// Iterates over the backend servers that may run a request now, without those that
-    /// had their turn.
+    /// Iterates over the untried backend servers that may run a request now.
     fn left<'a>(
         &'a self,
         now: MonoTime,
@@ -161,14 +161,14 @@
         })
     }
 
-    /// Iterates over the backend servers of a service that take work, in failure
-    /// domains that are not evacuated.
+    /// Iterates over the ready backend servers of a service outside evacuated failure
+    /// domains.
     pub(super) fn open<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Known> + 'a {
         let groups = self.open_groups(service);
         groups.flat_map(|g| self.directory.members(&g, Window::ALL))
     }
 
-    /// Iterates over the same in groups.
+    /// Iterates over the groups of these backend servers.
     pub(super) fn open_groups<'a>(
         &'a self,
         service: &'a str,
@@ -177,8 +177,8 @@
         groups.filter(|g| self.orders.admit(g.domain))
     }
 
-    /// Returns the share of the slots of a plan's service that are taken, at as many
-    /// backend servers as a choice is made among.
+    /// Returns the share of occupied slots of a plan's service, sampled over as many
+    /// backend servers as a choice considers.
     pub fn taken(&self, now: MonoTime, plan: &Plan) -> f64 {
         let window = self.window(plan, None, &self.allowed(plan), CANDIDATES);
         let groups = self.open_groups(&plan.service);
@@ -187,8 +187,8 @@
         self.balance.taken(now, &servers)
     }
 
-    /// Returns the part of the key space that holds about `most` backend servers which
-    /// may run a request. All entries have the same for what shares a prompt.
+    /// Returns the part of the key space that contains about `most` eligible backend
+    /// servers. All entries use the same part for requests that share a prompt.
     fn window(&self, plan: &Plan, model: Option<&str>, allowed: &Allowed, most: usize) -> Window {
         let point = affinity(plan, model).map_or(plan.seed, |a| hash::name(&a.key.to_le_bytes()));
         let groups = self.open_groups(&plan.service);
@@ -207,11 +207,12 @@
         }
     }
 
-    /// Leaves the warm ones; or, where none is left that can be reached or they are
-    /// pressed, the cold ones at which this entry has a turn.
+    /// Keeps the warm backend servers. If no warm one is reachable or they are near
+    /// capacity, keeps the cold ones to which this entry may send instead.
     ///
-    /// In a failure domain that came back, backend servers got up to 30 requests in a
-    /// second of 74 entries, as they were idle, and those that got most crashed.
+    /// Cold servers are idle and would otherwise attract too much load: after the
+    /// recovery of a failure domain, single backend servers received up to 30 requests a
+    /// second from 74 entries, and those with the most requests crashed.
     fn keep_warm(
         &self,
         now: MonoTime,
@@ -242,7 +243,7 @@
     }
 }
 
-/// Returns what a plan's request shares with others that ask the same model.
+/// Returns the prompt affinity of a plan's request for a model.
 fn affinity(plan: &Plan, model: Option<&str>) -> Option<Affinity> {
     plan.shared.map(|part| Affinity {
         key: part.id ^ hash::name(model.unwrap_or_default().as_bytes()),
@@ -250,7 +251,7 @@
     })
 }
 
-/// Returns what a cold backend server of a plan's service bears, if that is limited.
+/// Returns the warm-up limits of a plan's service, if it has any.
 fn cold_limits(plan: &Plan) -> Option<&ColdConfig> {
     let service = plan.table.config().service(&plan.service);
     service.and_then(|s| s.cold.as_ref())
--- a/sesamebeam_core/src/gateway/router/exchange.rs
+++ b/sesamebeam_core/src/gateway/router/exchange.rs
@@ -1,4 +1,5 @@
-//! What an entry holds and has seen, and what it is told of what others have.
+//! State exchanged with the control replicas: what this entry reports, and what it learns
+//! about other entries.
 
 use super::Router;
 use crate::{
@@ -22,7 +23,7 @@
 };
 
 impl Router {
-    /// Returns what this entry holds of what control replicas tell.
+    /// Returns which control state this entry has, in detail.
     pub fn held(&mut self) -> Held {
         Held {
             config: self.version(),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Returns the same in brief.
+    /// Returns a summary of the control state that this entry has.
     pub fn holding(&mut self) -> Holding {
         Holding {
             config: self.version(),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Notes loads and waits that any entry has heard.
+    /// Applies loads and waiting times measured by all entries.
     pub fn told_loads(&mut self, now: MonoTime, told: Vec<LoadOf>, waits: Vec<MeanWait>) {
         self.cascade.told(now, waits);
         for load in told {
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Takes limits of backend servers that any entry has heard, and those that have ended,
-    /// and returns the names of those that are news.
+    /// Applies rate limits received by other entries, including limits that ended.
+    /// Returns the backend servers whose limit changed.
     pub fn told_limits(&mut self, now: MonoTime, told: &[LimitOf]) -> Vec<ServerId> {
         let mut news = Vec::new();
         for LimitOf { server, limit } in told {
@@ -64,17 +65,18 @@
         news
     }
 
-    /// Takes the shares of requests that are admitted to services that are short.
+    /// Sets the admitted shares of services that are short of capacity.
     pub fn set_shares(&mut self, now: MonoTime, shares: impl IntoIterator<Item = ShareOf>) {
         self.admission.told(now, shares);
     }
 
-    /// Takes the backend servers that fail more often than their service.
+    /// Sets the backend servers whose failure rate is above that of their service.
     pub fn set_doubts(&mut self, doubts: impl IntoIterator<Item = Doubt>) {
         self.balance.set_doubts(doubts);
     }
 
-    /// Notes backend servers that other entries could not reach just now.
+    /// Applies reports of other entries in this failure domain about unreachable backend
+    /// servers.
     pub fn told_unreached(&mut self, now: MonoTime, told: &[Unreached]) {
         for unreached in told.iter().filter(|u| u.from == self.cfg.domain) {
             for said in self.directory.with_key(unreached.server).map(|k| &k.said) {
@@ -84,13 +86,12 @@
         }
     }
 
-    /// Returns whether a failure was seen that is not reported yet, or a backend
-    /// server that could not be reached.
+    /// Returns whether there are unreported failures or unreachable backend servers.
     pub fn has_failures(&self) -> bool {
         self.balance.has_failures()
     }
 
-    /// Takes what has been seen since the last call and others should know.
+    /// Takes all observations since the last call for the next report.
     pub fn take_report(&mut self, now: MonoTime) -> Report {
         Report {
             evidence: self.take_evidence(),
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Takes the backend servers that could not be reached.
+    /// Takes the unreachable backend servers.
     fn take_unreached(&mut self) -> Vec<Unreached> {
         let from = &self.cfg.domain;
         let unreached = |(server, is_down)| Unreached {
@@ -118,8 +119,8 @@
         servers.into_iter().map(unreached).collect()
     }
 
-    /// Takes the answers of services with a roll-out that may still be stopped.
-    /// Of others nobody judges by them.
+    /// Takes the answer counts of services whose roll-out can still be rolled back.
+    /// Counts of other services are not evaluated.
     fn take_evidence(&mut self) -> Vec<Evidence> {
         let mut evidence = self.tallies.take();
         evidence.retain(|counts| self.is_watched(&counts.service));
--- a/sesamebeam_core/src/gateway/router/retry_after.rs
+++ b/sesamebeam_core/src/gateway/router/retry_after.rs
@@ -1,4 +1,4 @@
-//! When a caller who found no backend server is to come back.
+//! `Retry-After` times for requests that no backend server accepts.
 
 use std::time::Duration;
 
@@ -17,22 +17,22 @@
     },
 };
 
-/// Time after which a caller is asked to come back if none can be foreseen at which a
-/// backend server takes a request.
+/// `Retry-After` time if it cannot be computed when a backend server accepts requests
+/// again.
 const NOT_FORESEEN: Duration = Duration::from_secs(30);
 
-/// Steps in which a caller is told a time.
+/// Granularity of `Retry-After` times.
 const TOLD_IN: Duration = Duration::from_millis(10);
 
 impl Router {
-    /// Returns after which time a caller can be served here, if all backend servers that
-    /// may run its request have named when they take one again; none if one of them has
-    /// not, and may have room at any moment, or if all of them leave.
+    /// Returns the time after which a caller can be served, or none if some eligible
+    /// backend server has not announced when it accepts requests again and may do so at
+    /// any time, or if all of them are shutting down.
     ///
-    /// By limits, each caller is given a time of its own. Asked to come back at the same
-    /// one, all but the first would be rejected again; and as all entries do so, callers
-    /// come back to any of them no faster than they can be served.
-    /// After a pause they are spread (see [`RequestedPause::spread`]).
+    /// Under rate limits, each caller gets a time of its own. With a common time, all but
+    /// the first would be rejected again. As all entries do the same, the rate of
+    /// returning callers stays within the limits. After a requested pause, callers are
+    /// spread at random (see [`RequestedPause::spread`]).
     pub fn retry_after(
         &mut self,
         now: MonoTime,
@@ -61,15 +61,15 @@
         };
         let id = id.clone();
         let at = at + self.spread(now, plan, &id);
-        // Who gives up before does not take it.
+        // A caller that gives up earlier will not use the reserved send.
         if at < now + patience {
             self.limits.promise(&id, at);
         }
         Some(round_up(at.saturating_sub(now)))
     }
 
-    /// Returns when a backend server takes a request, by its limit and the pause that it
-    /// asks for; none if that cannot be foreseen.
+    /// Returns when a backend server accepts a request, considering its rate limit and
+    /// requested pause; none if that cannot be computed.
     fn opens_at(&self, now: MonoTime, id: &ServerId) -> Option<MonoTime> {
         let from = match self.backoffs.get(now, id) {
             Some(Backoff::Leaving) => return None,
@@ -79,8 +79,8 @@
         self.limits.next_opening(from, id)
     }
 
-    /// Returns how long after a pause a caller is to come back. A limit spreads callers by
-    /// itself.
+    /// Returns the random delay that is added after a requested pause. Rate limits
+    /// already give each caller a different time.
     fn spread(&self, now: MonoTime, plan: &Plan, id: &ServerId) -> Duration {
         match self.backoffs.get(now, id) {
             Some(Backoff::Pause(pause)) if !self.limits.names(id) => {
@@ -92,7 +92,8 @@
     }
 }
 
-/// Rounds up to what a caller is told: one that comes back a moment early is rejected again.
+/// Rounds up to the granularity of `Retry-After`, as a caller that returns too early is
+/// rejected again.
 fn round_up(after: Duration) -> Duration {
     let steps = after.as_nanos().div_ceil(TOLD_IN.as_nanos());
     u32::try_from(steps).map_or(after, |steps| TOLD_IN * steps)
--- a/sesamebeam_core/src/gateway/router/shared.rs
+++ b/sesamebeam_core/src/gateway/router/shared.rs
@@ -1,5 +1,5 @@
-//! An entry's part of what all entries spend together: repeated sends, what backend servers
-//! take by what they say, connections.
+//! This entry's share of resources that all entries use together: retry budget, rate
+//! limits of backend servers and connections.
 
 use super::{
     Choice,
@@ -17,24 +17,24 @@
 };
 
 impl Router {
-    /// Notes how many entries there are.
+    /// Sets the number of entries.
     pub fn set_entries(&mut self, now: MonoTime, entries: u32) {
         self.budget.set_entries(now, entries);
         self.cold.set_entries(now, entries);
         self.limits.set_entries(now, entries);
     }
 
-    /// Returns whether one more send of a request is in the budget, and spends it.
+    /// Returns whether the retry budget allows another send of a request, and charges it.
     pub fn try_repeat(&mut self, now: MonoTime, plan: &Plan) -> bool {
         self.budget.try_repeat(now, &plan.service)
     }
 
-    /// Takes the limit that the answer to a request names, or none, and returns whether
-    /// that is news.
+    /// Records the rate limit stated in an answer, or its absence, and returns whether
+    /// the limit changed.
     ///
-    /// What an older life says holds for nobody. Only an answer with the mark of its
-    /// backend server ends a limit by naming none: one that turns requests away, or is not
-    /// the one that was meant, may leave it out.
+    /// Answers of earlier incarnations are ignored. A missing limit ends a limit only in
+    /// an answer sealed by its backend server, as a rejection or an answer of another
+    /// process may omit the limit.
     pub fn limit_heard(
         &mut self,
         now: MonoTime,
@@ -46,23 +46,24 @@
         says && self.lives(choice) && self.limits.heard(now, &choice.id, sent_at, answer.limit)
     }
 
-    /// Returns how many idle connections this entry keeps to a backend server of a plan's
-    /// service.
+    /// Returns the number of idle connections that this entry keeps to each backend
+    /// server of a plan's service.
     pub fn most_idle(&self, plan: &Plan) -> usize {
         let service = plan.table.config().service(&plan.service);
         let takes = service.map_or(0, |s| s.max_connections);
         connections::most_idle(takes, self.budget.entries())
     }
 
-    /// Returns how many backend servers name a limit.
+    /// Returns the number of backend servers with a rate limit.
     pub fn limited(&self) -> usize {
         self.limits.count()
     }
 
-    /// Takes what the head of an answer asks of this entry, and returns that if it is news.
+    /// Records the backoff requested in the head of an answer, and returns it if it is
+    /// new.
     ///
-    /// What an older life asks for holds for nobody, and an answer of another life than
-    /// the one that was meant says nothing of that one.
+    /// Answers of earlier incarnations are ignored, as are those of a process other than
+    /// the chosen one.
     pub fn backoff_heard(
         &mut self,
         now: MonoTime,
@@ -75,13 +76,13 @@
         self.backoffs.heard(now, &choice.id, answer)
     }
 
-    /// Returns how many backend servers want nothing from this entry now.
+    /// Returns the number of backend servers that have asked this entry to back off.
     pub fn backed_off(&self, now: MonoTime) -> usize {
         self.backoffs.count(now)
     }
 
-    /// Returns whether a backend server takes a request of this entry now, by what it has
-    /// said itself.
+    /// Returns whether the requested backoff and the rate limit of a backend server allow
+    /// this entry to send it a request now.
     pub(super) fn takes(&self, now: MonoTime, id: &ServerId) -> bool {
         self.backoffs.is_open(now, id) && self.limits.is_open(now, id)
     }
--- a/sesamebeam_core/src/gateway/router/trial.rs
+++ b/sesamebeam_core/src/gateway/router/trial.rs
@@ -1,4 +1,4 @@
-//! Which versions of a service a request may go to while one is rolled out.
+//! Versions of a service that a request may use during a roll-out.
 
 use super::{
     Plan,
@@ -33,12 +33,12 @@
         rollout.is_some_and(|r| r.phase == Phase::Canary)
     }
 
-    /// Leaves so few of the backend servers of a version on trial that each has
-    /// about as many requests as those of the versions before.
+    /// Limits the backend servers of a canary to so few that each gets about as many
+    /// requests as one of the stable version.
     ///
-    /// Some versions fail only under load. Spread over all of them, the share of
-    /// a trial loads none, and such a version takes over with no evidence against
-    /// it. Every entry leaves the same ones.
+    /// Some versions fail only under load. Spread over all new backend servers, the
+    /// canary share puts no load on any of them, and such a version would be promoted
+    /// without evidence against it. All entries select the same backend servers.
     pub(super) fn keep_few(&self, fit: &mut Vec<&Known>, plan: &Plan, tried: &[ServerId]) {
         let few = self.few_on_trial(self.count_before(&plan.service));
         fit.retain(|k| !tried.contains(&k.said.id));
@@ -48,15 +48,15 @@
         fit.truncate(few);
     }
 
-    /// Returns how many backend servers of a new version are tried, for so many of
-    /// the versions before.
+    /// Returns the number of backend servers of a new version that receive canary
+    /// requests, given the number that run stable versions.
     pub(super) fn few_on_trial(&self, before: usize) -> usize {
         let share = self.cfg.exposure_share * TRIAL_PART;
         (share * before as f64).floor().max(1.0) as usize
     }
 
-    /// Returns the share of a service's requests with which those that are tried
-    /// have as many each as those of the versions before; 0 without a trial.
+    /// Returns the share of a service's requests at which each canary server gets as many
+    /// as a stable one; 0 outside the canary phase.
     pub(super) fn fair_share(&self, service: &ServiceId) -> f64 {
         let Some(rollout) = self.orders.rollouts.get(service) else {
             return 0.0;
@@ -69,8 +69,8 @@
         few / (before as f64 + few)
     }
 
-    /// Returns how many backend servers of a service run another version than the one
-    /// that is brought in.
+    /// Returns the number of backend servers of a service that do not run the target
+    /// version of its roll-out.
     fn count_before(&self, service: &str) -> usize {
         let groups = self.open_groups(service);
         let before = groups.filter(|g| !self.is_target(service, g.version));
--- a/sesamebeam_core/src/gateway/shortage.rs
+++ b/sesamebeam_core/src/gateway/shortage.rs
@@ -1,17 +1,17 @@
-//! Services that cannot serve all that is asked of them.
+//! Admission control of services that are short of capacity.
 //!
-//! A plain service that is short of capacity has a full queue, in which everybody waits
-//! too long, and turns away as many as it would with a short one: one backend server of
-//! six slots and 24 places, at 30 ms a request, was asked by 214 callers a second and
-//! answered 36 in 100 of them in time. Nobody sees the queue in time to keep it short: an
-//! entry of 74 hears from the service three times a second.
+//! An overloaded non-streaming service has full queues in which every request waits too
+//! long, and rejects as many requests as it would with short ones: a backend server with
+//! six slots, a queue of 24 and 30 ms for each request received 214 requests per second
+//! and answered 36 in 100 on time. No entry sees the queue early enough to keep it short;
+//! each of 74 hears from the service three times a second.
 //!
-//! So entries report what was answered, how late, and who found all backend servers full;
-//! the control replicas work out from the sum the share of the requests that can be
-//! served, and each entry admits that share, drawn by the request's id. It is worked out
-//! only from the moment on at which callers are turned away for want of room, and ends
-//! when all are admitted again. Callers that come for the first time go before those that
-//! come back: as many are served either way, but these ones in time.
+//! Entries therefore report answers, their latency, and rejections by full backend
+//! servers. From the sum, the control replicas compute the share of requests that can be
+//! served, and each entry admits that share, selected by a hash of the request id. The
+//! computation starts when requests are rejected for lack of capacity and ends when all
+//! are admitted again. First attempts take precedence over retries: the number served is
+//! the same, but first attempts are served on time.
 
 use std::{
     collections::{
@@ -46,75 +46,76 @@
     policy::hash, //
 };
 
-/// Share of the requests that find all backend servers full from which the service is
-/// short: below it, bursts of some milliseconds are turned away that nobody could have
-/// foreseen.
+/// Share of requests rejected by full backend servers from which the service counts as
+/// short of capacity. Bursts of some milliseconds, which cannot be foreseen, cause
+/// rejections below it.
 const SHORT_FROM: f64 = 0.03;
 
-/// Least number of them. Fewer say nothing of a share.
+/// Minimum number of these rejections; a smaller sample gives no reliable share.
 const SHORT_LEAST: u32 = 5;
 
-/// Mean time to an answer, as a share of the time in which it is on time, that is aimed
-/// at. The queue swings while reports are on their way: with 0.6 it ran empty at times,
-/// and 84 in 100 callers were served in place of 89 (`shortage::one_of_three_left`).
+/// Target of the mean response time, as a share of the time in which an answer is on
+/// time. The queue oscillates with the delay of the reports: with 0.6 it was empty at
+/// times, and 84 in 100 callers were served instead of 89
+/// (`shortage::one_of_three_left`).
 const AIM: f64 = 0.9;
 
-/// By which part the share of the requests that is admitted follows the distance from
-/// that aim at each step, and the most that it grows or falls by it.
+/// Gain of the control loop from the relative error of the response time to the admitted
+/// share, and the maximum growth and decrease in a step.
 const GAIN: f64 = 0.2;
 const MOST_GROWTH: f64 = 0.2;
 const MOST_FALL: f64 = 0.3;
 
-/// By which part of the requests that were turned away the share falls at a step. They
-/// come in clumps: with all of them, 88 in 100 callers were served and 80 in time; with
-/// half, 90 and 79 (`shortage::one_of_three_left`).
+/// Weight of the rejected share in the decrease of a step. Rejections come in bursts:
+/// with a weight of 1, 88 in 100 callers were served and 80 on time; with a half, 90 and
+/// 79 (`shortage::one_of_three_left`).
 const TURNED_WEIGHT: f64 = 0.5;
 
-/// Growth at a step if hardly anybody waits: the shortage is over.
+/// Growth in a step when the queues are nearly empty and the shortage is over.
 const FREE_GROWTH: f64 = 0.2;
 
-/// Waiting requests for each slot below which hardly anybody waits.
+/// Waiting requests for each slot below which the queues count as nearly empty.
 const HARDLY: f64 = 0.1;
 
-/// Least share that is admitted. What is admitted shows when capacity is back.
+/// Minimum admitted share; the admitted requests show when capacity is back.
 const LEAST: f64 = 0.05;
 
-/// Time after a step until what entries report comes from it: they report five times a
-/// second, and what is admitted is told as often.
+/// Time after a step until reports show its effect: entries report five times a second,
+/// and shares are published as often.
 const SETTLES_IN: Duration = Duration::from_millis(400);
 
-/// Time for which reports are gathered for the next step.
+/// Time over which reports are collected for a step.
 const GATHER: Duration = Duration::from_millis(300);
 
-/// Time for which a share is believed; it is told five times a second.
+/// Time for which a share is valid; shares are published five times a second.
 const TOLD_FOR: Duration = Duration::from_millis(1500);
 
-/// Share of the time that callers of a route mostly have, from which a caller comes for
-/// the first time: one that comes back has waited, for 0.2 s at least.
+/// Share of a route's median deadline above which a request is a first attempt; a retry
+/// comes at least 0.2 s later.
 const FIRST_FROM: f64 = 0.95;
 
-/// Callers of a route whose times are kept. Most of them come for the first time, so that
-/// the middle one has all of its time; the longest may be that of a caller with far more
-/// patience than the others, beside whom all would seem to come back.
+/// Number of deadlines kept for each route. Most requests are first attempts, so the
+/// median is a full deadline; the maximum may come from a caller with a far longer
+/// deadline, compared with which all others would look like retries.
 const KEPT: usize = 15;
 
-/// What became of requests to a plain service since the last report.
+/// Load of a non-streaming service since the last report.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkOf {
-    /// Which service.
+    /// Key of the service.
     pub service: ServiceKey,
-    /// Requests that were answered.
+    /// Answered requests.
     pub done: u32,
     /// Requests that found all backend servers full.
     pub turned_away: u32,
-    /// Sum of the times to the answers, each as a share of that in which it is on time.
+    /// Sum of response times, each as a share of the time in which an answer is on time.
     pub time: f32,
-    /// Sum of the requests that waited, as told with the answers, for each slot.
+    /// Sum of waiting requests for each slot, as reported with the answers.
     pub waiting: f32,
 }
 
 impl WorkOf {
-    /// Starts with none.
+    /// Creates an empty report.
     fn none(service: ServiceKey) -> Self {
         Self {
             service,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Adds what others have seen.
+    /// Adds another report.
     pub fn add(&mut self, other: &Self) {
         self.done += other.done;
         self.turned_away += other.turned_away;
@@ -134,34 +135,34 @@
     }
 }
 
-/// Share of the requests for a service that is admitted.
+/// Admitted share of the requests to a service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShareOf {
-    /// Which service.
+    /// Key of the service.
     pub service: ServiceKey,
-    /// The share, below 1.
+    /// Share, below 1.
     pub share: f32,
 }
 
-/// One service, as a control replica sees it.
+/// Control loop of one service.
 #[derive(Clone, Copy, Debug)]
 struct Flow {
-    /// Share that is admitted.
+    /// Currently admitted share.
     share: f64,
-    /// What was reported since `from`.
+    /// Sum of reports since `from`.
     seen: WorkOf,
-    /// From when on reports count.
+    /// Time before which reports are ignored.
     from: MonoTime,
 }
 
-/// The services that are short, as a control replica works out.
+/// Admission control of all services, on a control replica.
 #[derive(Clone, Debug, Default)]
 pub struct Shortages {
     flows: BTreeMap<ServiceKey, Flow>,
 }
 
 impl Shortages {
-    /// Takes what entries have seen.
+    /// Adds reports of entries.
     pub fn take(&mut self, now: MonoTime, work: impl IntoIterator<Item = WorkOf>) {
         for of_service in work {
             let new = Flow {
@@ -176,7 +177,8 @@
         }
     }
 
-    /// Takes the steps that are due and returns the shares of all that are short.
+    /// Runs the control steps that are due and returns the shares of all services short
+    /// of capacity.
     pub fn shares(&mut self, now: MonoTime) -> Vec<ShareOf> {
         for flow in self.flows.values_mut() {
             flow.step(now);
@@ -191,10 +193,10 @@
 }
 
 impl Flow {
-    /// Works the share out anew if enough time has passed since the last step.
+    /// Computes the share if enough time has passed since the last step.
     ///
-    /// Steps wait for their effect. Taken at each report, three would answer the same
-    /// full queue before the first one showed.
+    /// Each step waits for the effect of the previous one. With a step for each report,
+    /// three would respond to the same full queue before the first took effect.
     fn step(&mut self, now: MonoTime) {
         if now < self.from + GATHER {
             return;
@@ -210,7 +212,7 @@
         self.from = now + settles;
     }
 
-    /// Returns the share that is to be admitted from now on.
+    /// Returns the next admitted share.
     fn next(&self) -> f64 {
         let WorkOf {
             done,
@@ -236,19 +238,19 @@
     }
 }
 
-/// What one entry has seen of services, and which share of the requests it admits.
+/// Admission state of one entry.
 #[derive(Debug, Default)]
 pub struct Admission {
-    /// What is to be reported.
+    /// Loads to report.
     fresh: HashMap<ServiceKey, WorkOf>,
-    /// Shares of services that are short, and when they were told.
+    /// Admitted shares of services short of capacity, and when they arrived.
     told: HashMap<ServiceKey, (f64, MonoTime)>,
-    /// Times that the last callers of a route have said they wait.
+    /// Deadlines of the last requests on each route.
     patience: HashMap<RouteId, VecDeque<Duration>>,
 }
 
 impl Admission {
-    /// Notes an answer, and what waited at its backend server.
+    /// Records an answer and the queue length reported with it.
     pub fn answered(
         &mut self,
         service: &str,
@@ -264,23 +266,23 @@
         }
     }
 
-    /// Notes a request that found all backend servers full.
+    /// Records a request that found all backend servers full.
     pub fn turned_away(&mut self, service: &str) {
         self.work(service).turned_away += 1;
     }
 
-    /// Takes what is to be reported.
+    /// Takes the loads to report.
     pub fn take_fresh(&mut self) -> Vec<WorkOf> {
         self.fresh.drain().map(|(_, work)| work).collect()
     }
 
-    /// Takes the shares of all services that are short.
+    /// Replaces the shares of all services short of capacity.
     pub fn told(&mut self, now: MonoTime, shares: impl IntoIterator<Item = ShareOf>) {
         let told = |of: ShareOf| (of.service, (f64::from(of.share), now));
         self.told = shares.into_iter().map(told).collect();
     }
 
-    /// Returns whether a request to a service is let through.
+    /// Returns whether a request is admitted.
     pub fn admits(
         &mut self,
         now: MonoTime,
@@ -298,7 +300,7 @@
         is_first && hash::unit(head.id.as_bytes(), "admission") < share
     }
 
-    /// Returns whether a caller comes for the first time, by the time that it has left.
+    /// Returns whether a request is a first attempt, judged by its remaining time.
     fn comes_first(&mut self, route: &RouteConfig, head: &Head) -> bool {
         let Some(left) = head.deadline else {
             return true;
--- a/sesamebeam_core/tests/gateway/backoff.rs
+++ b/sesamebeam_core/tests/gateway/backoff.rs
@@ -1,5 +1,5 @@
-//! Backend servers that ask an entry for a pause, and those that leave: what it sends them,
-//! and when callers are asked to come back.
+//! Backend servers that ask an entry for a pause or are shutting down: requests sent to
+//! them, and `Retry-After` times.
 
 use std::time::Duration;
 
@@ -30,10 +30,10 @@
     send, //
 };
 
-/// Pause that is asked for, in milliseconds.
+/// Requested pause, in milliseconds.
 const PAUSE: u64 = 3000;
 
-/// When the first answer comes, in milliseconds.
+/// Time of the first answer, in milliseconds.
 const START: u64 = 50_000;
 
 fn entry(servers: u8) -> Router {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Has a backend server turn a request away and ask for a pause.
+/// Delivers a rejection that requests a pause.
 fn pause(router: &mut Router, now: u64, number: u8, pause: u64) -> bool {
     let heard = router.backoff_heard(ms(now), &choice(number), &turned_away(pause));
     heard.is_some()
@@ -66,7 +66,8 @@
 
 #[test]
 fn all_kinds_of_sends() {
-    // Guards against repeats, larger models or streams that go on, sent where first ones are not.
+    // Guards against retries, cascade steps or resumed streams to backend servers that
+    // first sends skip.
     let mut router = entry(3);
     pause(&mut router, START, 0, PAUSE);
     router.backoff_heard(ms(START), &choice(1), &leaving());
@@ -90,7 +91,8 @@
 
 #[test]
 fn pause_ends() {
-    // Guards against a pause that ends early, as something else comes from there, or never.
+    // Guards against a pause that never ends, or ends early because of another response
+    // of the backend server.
     let mut router = entry(1);
     assert!(pause(&mut router, START, 0, PAUSE));
     let id = choice(0).id;
@@ -142,7 +144,8 @@
 
 #[test]
 fn leaves_for_good() {
-    // Guards against a late announcement or the end of a pause that brings one back.
+    // Guards against a late announcement or the end of a pause making a leaving backend
+    // server eligible again.
     let mut router = entry(2);
     pause(&mut router, START, 0, PAUSE);
     assert_eq!(
@@ -166,7 +169,8 @@
 
 #[test]
 fn another_life() {
-    // Guards against taking the word of one life for that of another under its name or address.
+    // Guards against applying the backoff of one incarnation to another at the same name
+    // or address.
     let mut router = entry(1);
     router.backoff_heard(ms(START), &choice(0), &leaving());
     let mut reborn = announcement(0);
@@ -188,7 +192,8 @@
 
 #[test]
 fn true_retry_after() {
-    // Guards against callers who come back before a backend server takes any, or all at once.
+    // Guards against callers that return before any backend server accepts requests, or
+    // all at once.
     let mut router = entry(2);
     pause(&mut router, START, 0, PAUSE);
     pause(&mut router, START + 500, 1, PAUSE);
@@ -204,7 +209,7 @@
     comebacks.sort_unstable();
     let span = ms(START + PAUSE)..=ms(START + 2 * PAUSE + 10);
     assert!(comebacks.iter().all(|at| span.contains(at)));
-    // No tenth of the pause sees twice of what comes back on the mean.
+    // No tenth of the pause gets more than twice the mean number of returning callers.
     let tenth = ms(PAUSE / 10);
     let from = |n: usize| comebacks[n..].partition_point(|at| *at < comebacks[n] + tenth);
     let most = (0..comebacks.len()).map(from).max().unwrap_or(0);
@@ -214,7 +219,8 @@
 
 #[test]
 fn one_may_have_room() {
-    // Guards against callers who wait for the end of a pause though another may have room.
+    // Guards against a `Retry-After` time at the end of a pause although another backend
+    // server may have capacity.
     let mut router = entry(3);
     pause(&mut router, START, 0, PAUSE);
     pause(&mut router, START, 1, PAUSE);
@@ -232,7 +238,8 @@
 
 #[test]
 fn beside_a_limit() {
-    // Guards against a time at which the pause is over and the limit not yet, or the reverse.
+    // Guards against a `Retry-After` time that respects only one of the pause and the
+    // limit.
     let mut router = entry(1);
     let limited = AnswerHead {
         limit: Some(2.0),
@@ -256,7 +263,7 @@
 
 #[test]
 fn endless_pause() {
-    // Guards against times that overflow.
+    // Guards against overflow of `Retry-After` times.
     let mut router = entry(1);
     let answer = AnswerHead {
         limit: Some(0.001),
@@ -270,8 +277,8 @@
 }
 
 proptest! {
-    /// Whatever backend servers ask for and in whichever order, none gets a request before
-    /// the last of its pauses is over, and callers are told a time at which one is served.
+    /// For any sequence of pauses, no backend server gets a request before its last pause
+    /// is over, and rejected callers get a time at which one is served.
     #[test]
     fn any_order(asked in prop::collection::vec((0u8..4, 0u64..5000, 0u64..400), 1..60)) {
         let mut router = entry(4);
--- a/sesamebeam_core/tests/gateway/balance.rs
+++ b/sesamebeam_core/tests/gateway/balance.rs
@@ -1,4 +1,4 @@
-//! Choice of a backend server.
+//! Load balancing across backend servers.
 
 use std::{
     collections::BTreeSet,
@@ -38,7 +38,7 @@
     seed: 1,
 };
 
-/// Makes up a long shared prompt.
+/// Creates an affinity with a long shared prompt.
 fn sharing(key: u64) -> Affinity {
     Affinity { key, tokens: 5_000 }
 }
@@ -63,8 +63,8 @@
 
 #[test]
 fn same_prompt_same_server() {
-    // Two entries that know nothing of each other send requests with the same
-    // prompt to the same backend server, which reads it once.
+    // Guards against prompts that are processed more than once: two independent entries
+    // send requests with the same shared prompt to the same backend server.
     let servers = servers(8);
     let need = Need {
         affinity: Some(sharing(42)),
@@ -82,8 +82,8 @@
 
 #[test]
 fn hot_prompt_spreads() {
-    // One prompt gets all the traffic. Beyond the bound on its load its
-    // backend server is passed over, and others read the prompt as well.
+    // Guards against an overload by a single prompt. Above the load bound, requests with
+    // it go to other backend servers, too.
     let servers = servers(8);
     let mut balance = Balance::default();
     let need = Need {
@@ -125,8 +125,8 @@
 
 #[test]
 fn unreachable_rests() {
-    // A backend server cannot be reached. It gets nothing until its pause is
-    // over, and then the next request tries it again.
+    // Guards against requests to an unreachable backend server, and against one that is
+    // never tried again. It gets none during its pause, and the first one after it.
     let servers = servers(2);
     let mut balance = Balance::default();
     let need = Need {
@@ -141,8 +141,8 @@
 
 #[test]
 fn failing_one_is_left_out() {
-    // One backend server fails half of its requests though it calls itself
-    // healthy; the others fail one in ten, as the service does.
+    // Guards against requests to a backend server that fails half of them while its
+    // health check passes. The others fail one in ten, the baseline of the service.
     let servers = servers(4);
     let mut balance = Balance::default();
     for n in 0..40 {
@@ -163,7 +163,7 @@
     assert!(chosen.contains(&"server-1".to_owned()), "{chosen:?}");
 }
 
-/// Has entries doubt a backend server that fails two in five of its answers.
+/// Records a doubt about a backend server that fails two in five answers.
 fn doubt(balance: &mut Balance, id: &str) {
     let server = loads::key(&id.into());
     balance.set_doubts([Doubt {
@@ -174,9 +174,9 @@
 
 #[test]
 fn doubted_by_others() {
-    // A booking may run only once, and an entry that sends one a second never sees
-    // that its backend server breaks off two in five. What all entries have seen
-    // keeps bookings away; reads go there now and then, to see whether it is well.
+    // Guards against failed requests that may run only once. A single entry sends too few
+    // to notice that a backend server cuts off two in five answers. With a doubt from all
+    // entries, such requests avoid it; repeatable ones still probe it.
     let servers = servers(4);
     let mut balance = Balance::default();
     doubt(&mut balance, "server-2");
@@ -204,7 +204,8 @@
 
 #[test]
 fn doubted_when_all_are_full() {
-    // The others have queues of many times their slots: a doubted one is better.
+    // Guards against a doubted backend server that stays unused while the queues of the
+    // others hold many times their slots.
     let servers = servers(2);
     let mut balance = Balance::default();
     doubt(&mut balance, "server-1");
@@ -232,7 +233,7 @@
     );
 }
 
-/// Returns where requests with different prompts go, one a time.
+/// Returns the failure domains that requests with different prompts go to.
 fn domains(balance: &mut Balance, times: &[u64], servers: &[Known]) -> Vec<String> {
     let domain = |&now: &u64| {
         let need = Need {
@@ -248,9 +249,9 @@
 
 #[test]
 fn told_by_others_nearby() {
-    // Callers wait for a connection in vain, one after the other at each of hundreds
-    // of entries: the way to a failure domain is cut. What two entries nearby have
-    // found out is enough for all of them.
+    // Guards against each of hundreds of entries having to detect a network partition by
+    // connection timeouts. Reports about two backend servers from entries in the same
+    // failure domain are enough.
     let mut servers = servers(20);
     for known in &mut servers[2..] {
         known.said.domain = "hall-2".into();
@@ -266,8 +267,8 @@
 
 #[test]
 fn down_is_not_cut() {
-    // Several backend servers of a failure domain are down. The way there is whole,
-    // and the others get requests.
+    // Guards against taking several stopped backend servers for a network partition: the
+    // others in their failure domain still get requests.
     let mut servers = servers(20);
     for known in &mut servers[2..] {
         known.said.domain = "hall-2".into();
@@ -283,7 +284,8 @@
 
 #[test]
 fn heard_counts_for_more() {
-    // Another entry could not reach a backend server that has just answered here.
+    // Guards against reports of other entries that override a response just received by
+    // this one.
     let servers = servers(2);
     let mut balance = Balance::default();
     let need = Need {
@@ -298,10 +300,9 @@
 
 #[test]
 fn way_cut() {
-    // Callers' answers are late by a wait for a connection, again and again: the
-    // way to a failure domain with many backend servers is cut, and each of them
-    // had to fail by itself. Two of them now tell of the rest; then one request
-    // at a time tries the way, until one is heard.
+    // Guards against connection timeouts to every backend server behind a network
+    // partition. After two timeouts the rest are avoided; then one request at a time
+    // probes the path until one gets a response.
     let mut servers = servers(20);
     for known in &mut servers[2..] {
         known.said.domain = "hall-2".into();
@@ -331,8 +332,8 @@
 
 #[test]
 fn one_down() {
-    // One backend server is down while others of its failure domain answer: that
-    // tells nothing of the way to them.
+    // Guards against taking one stopped backend server for a network partition while
+    // others in its failure domain respond.
     let mut servers = servers(8);
     for known in &mut servers[2..] {
         known.said.domain = "hall-2".into();
@@ -356,10 +357,9 @@
 
 #[test]
 fn load_heard_by_others() {
-    // Callers wait for a second behind the queue of one engine while others have
-    // free slots. Each of many entries hears from an engine once in ten seconds,
-    // so that the bound on the load of the preferred one never held; what one
-    // hears the others are told.
+    // Guards against requests that wait behind a busy engine while others have free
+    // slots. With many entries, each hears from an engine once in ten seconds, so that
+    // the load bound needs the loads reported by the others.
     let servers = servers(8);
     let mut balance = Balance::default();
     let need = Need {
@@ -381,8 +381,8 @@
 
 #[test]
 fn told_load_draws_nobody() {
-    // All entries are told at once that one is idle. Where nothing else sets them
-    // apart they must not all send to it.
+    // Guards against a stampede on an idle backend server: a shared load reaches all
+    // entries at the same time and must not rank the candidates.
     let servers = servers(2);
     let mut balance = Balance::default();
     let busy = Load {
@@ -399,9 +399,9 @@
 
 #[test]
 fn short_prompt_stays_near() {
-    // Callers of one failure domain see what happens to the ways to others, lost
-    // packets or a cut, though their own has engines to spare: the prompt that is
-    // kept elsewhere takes an engine a few milliseconds to read.
+    // Guards against a short prompt being sent to another failure domain that has it
+    // cached. Link faults would affect its callers, while an engine processes it again in
+    // a few milliseconds.
     let mut servers = servers(8);
     for known in &mut servers[..6] {
         known.said.domain = "hall-2".into();
@@ -425,11 +425,10 @@
 
 #[test]
 fn long_prompt_on_its_way() {
-    // Callers with short questions wait behind a prompt of 43,000 tokens. The
-    // engine that reads it answers nobody meanwhile, so that every entry took it
-    // for idle; now it is known from the moment it is sent, here and to the
-    // others, for as long as it is read: what the engine said of before counts
-    // for nothing.
+    // Guards against short requests that wait behind a prompt of 43,000 tokens. The
+    // engine sends nothing while it processes it and looks idle. The backlog is known
+    // from the send on, here and at the other entries, and load reports from before do
+    // not clear it.
     let servers = servers(8);
     let need = Need {
         affinity: Some(sharing(42)),
@@ -459,10 +458,9 @@
 
 #[test]
 fn long_prompts_apart() {
-    // Eight prompts that a large model reads for two seconds each come at once,
-    // and short questions after them. Two at one engine would make the second
-    // late, and the questions behind them; there is an engine for each, and for
-    // the questions the one that is done first.
+    // Guards against long prompts that queue on one engine. Eight prompts of two seconds
+    // each go to eight engines, and later short requests to the engine that finishes
+    // first.
     let servers = servers(8);
     let need = Need {
         affinity: Some(sharing(42)),
--- a/sesamebeam_core/tests/gateway/choosing.rs
+++ b/sesamebeam_core/tests/gateway/choosing.rs
@@ -40,7 +40,7 @@
     said
 }
 
-/// Makes an entry that knows so many backend servers.
+/// Creates an entry that knows this many backend servers.
 fn entry(name: &str, servers: u32) -> Router {
     let mut router = Router::new(RouterConfig {
         name: name.into(),
@@ -54,7 +54,7 @@
     router
 }
 
-/// Sends a request that shares a prompt, and lets it end.
+/// Sends a request, with a shared prompt if one is given, and completes it.
 fn send(router: &mut Router, id: &str, prompt: Option<u64>) -> Choice {
     let mut head = head(id);
     let parts = prompt.map(|id| PromptPart { id, tokens: 5_000 });
@@ -73,7 +73,7 @@
     two_fleets = { 20_000, CANDIDATES },
 )]
 fn same_cost_in_a_fleet(servers: u32, most: usize) {
-    // A choice looked at all backend servers of a service.
+    // Guards against a choice whose cost grows with the number of backend servers.
     let mut router = entry("entry-1", servers);
     let requests = 0..200;
     let candidates = requests.map(|n| send(&mut router, &format!("r{n}"), Some(n)).candidates);
@@ -83,7 +83,8 @@
 
 #[test]
 fn entries_agree() {
-    // Entries that differ by a few backend servers sent one prompt to different ones.
+    // Guards against entries whose views differ by a few backend servers and that send
+    // the same prompt to different ones.
     let (mut one, mut other) = (entry("entry-1", 3_000), entry("entry-2", 2_990));
     let agree = (0..300).filter(|n| {
         let id = format!("r{n}");
@@ -95,7 +96,8 @@
 
 #[parameterized(by_prompt = { true, 20 }, by_load = { false, 100 })]
 fn spreads(shares_prompts: bool, mean: u32) {
-    // Backend servers next to a gap in the key space got several times the mean.
+    // Guards against uneven load: backend servers next to a gap in the key space got
+    // several times the mean.
     let mut router = entry("entry-1", 1_000);
     let mut sent: HashMap<_, u32> = HashMap::new();
     for n in 0..20_000u64 {
@@ -108,7 +110,8 @@
 
 #[test]
 fn forgets_told_loads() {
-    // An entry that was told of other loads each time kept those of the whole fleet.
+    // Guards against memory that grows with the fleet, from load reports about other
+    // backend servers each time.
     let mut router = entry("entry-1", 10_000);
     for tick in 0..300u64 {
         let of = |n: u64| server(((tick * 100 + n) % 10_000) as u32).id;
@@ -127,7 +130,8 @@
 
 #[test]
 fn looks_further() {
-    // The only one that was not tried is no candidate at first, and the request failed.
+    // Guards against a request that fails because its only untried backend server is not
+    // among the first candidates.
     let mut router = entry("entry-1", 3_000);
     let plan = router.admit(ms(1), &head("r")).expect("it is admitted");
     let tried: Vec<_> = (0..2_999).map(|n| server(n).id).collect();
--- a/sesamebeam_core/tests/gateway/limits.rs
+++ b/sesamebeam_core/tests/gateway/limits.rs
@@ -1,5 +1,4 @@
-//! Backend servers that name how many requests a second they take, and what all entries
-//! together send them.
+//! Rate limits of backend servers, and the requests that all entries together send them.
 
 use std::collections::BTreeMap;
 
@@ -44,17 +43,17 @@
     send, //
 };
 
-/// Milliseconds in which requests are counted.
+/// Length of the time window in which requests are counted, in milliseconds.
 const SPAN: u64 = 4000;
 
-/// Milliseconds by which the clock of an entry is ahead of the test's.
+/// Offset of an entry's clock from that of the test, in milliseconds.
 const AHEAD: u64 = 100_000;
 
 fn entry(number: u64, entries: u32, servers: u8) -> Router {
     entry_of(&format!("entry-{number}"), entries, servers)
 }
 
-/// Makes the head of a backend server's own answer that names a limit, or none.
+/// Creates the head of an answer that states a limit, or none.
 fn says(limit: Option<f64>) -> AnswerHead {
     AnswerHead {
         status: 200,
@@ -64,12 +63,12 @@
     }
 }
 
-/// Has an answer to an entry name a limit, or none.
+/// Delivers to an entry an answer that states a limit, or none.
 fn answer(router: &mut Router, now: MonoTime, number: u8, limit: Option<f64>) -> bool {
     router.limit_heard(now, &choice(number), now, &says(limit))
 }
 
-/// Returns the most of some times that lie within [`SPAN`].
+/// Returns the maximum number of times within any [`SPAN`].
 fn most_in_span(times: &[u64]) -> usize {
     let from = |(n, at): (usize, &u64)| times[n..].iter().take_while(|t| **t < at + SPAN).count();
     times.iter().enumerate().map(from).max().unwrap_or(0)
@@ -86,11 +85,10 @@
     large_hardly = { 300, 0.3, 0.0 },
 )]
 fn sum_of_entries(entries: u64, limit: f64, least: f64) {
-    // The only backend server of a service names a limit, and callers come at a hundred
-    // times that rate through all entries, whose clocks show other times. No entry sees
-    // what the others send: each by itself kept to the limit, and the sum was several
-    // times what the server bears. Evidence: streams that began there by entry, 7, 12 and
-    // 15 in 4 s through three of nine entries, none above the limit, 36 in all.
+    // Guards against a sum above the limit although each entry by itself stays below it.
+    // Callers come at a hundred times the limit of the only backend server, through
+    // entries with different clocks. Seen before, as streams started in 4 s: 7, 12 and 15
+    // through three of nine entries, none above the limit, 36 in total.
     const SECONDS: u64 = 120;
     let mut fleet: Vec<Router> = (0..entries).map(|n| entry(n, entries as u32, 1)).collect();
     for (n, router) in fleet.iter_mut().enumerate() {
@@ -130,8 +128,9 @@
     large_more = { 300, 40.0 },
 )]
 fn worst_span(entries: u64, limit: f64) {
-    // Entries that always have a caller at hand, start at any time and take up to half a
-    // second on the way: whatever their clocks, no 4 s get more than is allowed.
+    // Guards against the worst case: entries with a caller always waiting, arbitrary
+    // clocks and start times, and up to half a second of transit time. No 4 s get more
+    // than is allowed.
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut times = Vec::new();
@@ -163,9 +162,9 @@
 
 #[test]
 fn whole_fleet_restarts() {
-    // All entries end and start anew, forget what they have sent, and are told of the
-    // limit before they know how many they are: none sends before that, nor before the
-    // pause is over that it may owe.
+    // Guards against a restart of all entries that exceeds the limit. They lose their
+    // past sends and learn the limit before the number of entries. None sends before it
+    // knows that number, nor before the period after a possible earlier send is over.
     const COUNTED_AT: u64 = 1500;
     let (entries, limit) = (9, 3.7);
     let mut times = Vec::new();
@@ -193,8 +192,8 @@
 
 #[test]
 fn others_serve() {
-    // One of three backend servers names a limit: callers are served by the others, and
-    // by that one as often as it takes some.
+    // Guards against leaving a limited backend server unused, or overusing it, while two
+    // others are not limited.
     let mut router = entry(1, 9, 3);
     answer(&mut router, ms(AHEAD), 0, Some(3.7));
     let mut got: BTreeMap<ServerId, usize> = BTreeMap::new();
@@ -211,9 +210,8 @@
 
 #[test]
 fn repeats_count() {
-    // A stream breaks off and goes on elsewhere, an answer is dropped for that of a larger
-    // model, a failure is repeated: each send uses what the limit leaves, and where nothing
-    // is left the answer that is there is kept.
+    // Guards against sends that bypass the limit: resumed streams, cascade steps and
+    // retries each use the allowance, and without one left the current answer is kept.
     let mut router = entry(1, 1, 2);
     for number in 0..2 {
         answer(&mut router, ms(AHEAD), number, Some(1.0));
@@ -238,9 +236,9 @@
 
 #[test]
 fn true_retry_after() {
-    // Both backend servers of a service are at their limits. Callers who are rejected are
-    // asked to come back at times of their own, at each of which one is served, and nobody
-    // before the first of them.
+    // Guards against wrong `Retry-After` times when both backend servers of a service are
+    // at their limits: each rejected caller gets a time of its own at which it is served,
+    // and none is served before the first of them.
     let mut router = entry(1, 3, 2);
     for number in 0..2 {
         answer(&mut router, ms(AHEAD), number, Some(2.0));
@@ -271,9 +269,9 @@
 
 #[test]
 fn limit_ends() {
-    // A limit ends with an answer without one, unless its request was sent before the
-    // limit was heard of, as answers overtake each other, or it is no answer of the backend
-    // server's own: one that has no room for a request says just that.
+    // Guards against a limit that ends too early or never. An answer without a limit ends
+    // it, unless its request was sent before the limit was received, or it is not an
+    // answer of the backend server itself, such as a rejection for lack of capacity.
     let mut router = entry(1, 300, 1);
     answer(&mut router, ms(AHEAD), 0, Some(1.0));
     let choice = choice(0);
@@ -291,7 +289,7 @@
     assert!(send(&mut router, ms(AHEAD + 901), "caller").is_ok());
 }
 
-/// Has an entry report to a control replica, and returns what that tells.
+/// Sends an entry's report to a control replica and returns the limits that it publishes.
 fn report(core: &mut Coordinator, now: u64, router: &mut Router) -> Vec<LimitOf> {
     let report = router.take_report(ms(now));
     let mut actions = core.handle(ms(now), Event::Reported(report));
@@ -307,9 +305,9 @@
 
 #[test]
 fn others_are_told() {
-    // One entry of 300 gets an answer that names a limit. The others would hear of it
-    // with their next answers, of which each has one in a hundred seconds, and keep to
-    // what the limit was then. They are told of it, of a lower one, and of its end.
+    // Guards against outdated limits at other entries. With 300 entries, each gets an
+    // answer once in a hundred seconds. The limit in one entry's answer, its decrease and
+    // its end reach the others.
     let mut core = coordinator();
     let mut hears = entry(1, 300, 1);
     let mut other = entry(2, 300, 1);
@@ -331,8 +329,8 @@
 
 #[test]
 fn replica_knows_nothing() {
-    // A control replica that has just started knows of no limits and says so by telling of
-    // none. An entry keeps what it knows until it hears that it has ended.
+    // Guards against a restarted control replica, which knows no limits, clearing those
+    // of an entry.
     let mut router = entry(1, 9, 1);
     answer(&mut router, ms(AHEAD), 0, Some(3.0));
     assert!(router.told_limits(ms(AHEAD + 5000), &[]).is_empty());
@@ -341,8 +339,8 @@
 
 #[test]
 fn late_reports() {
-    // The report of an answer without a limit arrives before that of an earlier one with
-    // it. Taken for the end, all entries would send what they like.
+    // Guards against reports that arrive out of order: taking the report of an answer
+    // without a limit for the end of the limit would let all entries send without one.
     let server = loads::key(&"server-0".into());
     let named = LimitOf {
         server,
@@ -372,7 +370,8 @@
     beyond_all = { 1e9, 300 },
 )]
 fn odd_limits(limit: f64, entries: u32) {
-    // Whatever a backend server says, there is a pace, and no more than the limit goes.
+    // Guards against extreme limits: each gives a valid schedule whose total rate is
+    // within the limit.
     let period = Pace::of(limit, entries).period();
     let rate = period.map_or(0.0, |period| f64::from(entries) / period.as_secs_f64());
     assert!(rate <= limit * 1.001, "{rate}");
@@ -380,8 +379,8 @@
 
 #[test]
 fn nobody_counted() {
-    // An entry that does not know how many others there are sends nothing to a limited
-    // backend server: it could be one of hundreds.
+    // Guards against sends to a limited backend server by an entry that does not know the
+    // number of entries, which could be hundreds.
     let mut router = entry(1, 0, 1);
     answer(&mut router, ms(AHEAD), 0, Some(1000.0));
     let sent = send(&mut router, ms(AHEAD + 1), "caller");
@@ -390,7 +389,8 @@
 
 #[test]
 fn new_life() {
-    // A backend server ends and starts again under its name: the new one is in no need.
+    // Guards against a restarted backend server that inherits the limit of its earlier
+    // incarnation.
     let mut router = entry(1, 300, 1);
     answer(&mut router, ms(AHEAD), 0, Some(0.1));
     let mut reborn = announcement(0);
--- a/sesamebeam_core/tests/gateway/pool.rs
+++ b/sesamebeam_core/tests/gateway/pool.rs
@@ -1,4 +1,4 @@
-//! Backend servers that fail, as all entries together see them.
+//! Detection of backend servers with a high failure rate.
 
 use rand::{
     RngExt,
@@ -20,16 +20,16 @@
     ms, //
 };
 
-/// Pause between two judgements.
+/// Time between two evaluations, in milliseconds.
 const STEP: u64 = 100;
 
-/// A service whose requests come at random to its backend servers.
+/// Simulated service whose requests are distributed at random over its backend servers.
 struct Service {
     directory: Directory,
     servers: u8,
-    /// Answers a second of each.
+    /// Answers per second of each backend server.
     rate: f64,
-    /// Share of them that fails.
+    /// Baseline failure rate.
     usual: f64,
     rng: StdRng,
     pool: Pool,
@@ -57,7 +57,8 @@
         loads::key(&announcement(number).id)
     }
 
-    /// Lets a tenth of a second pass, in which the first `bad` fail this share.
+    /// Advances the simulation by a tenth of a second, in which the first `bad` backend
+    /// servers fail at the rate `failing`.
     fn step(&mut self, bad: u8, failing: f64) {
         self.now += STEP;
         for number in 0..self.servers {
@@ -88,9 +89,9 @@
     failing_service = { 70.0, 0.2, 14 },
 )]
 fn bad_one_found(rate: f64, usual: f64, within: u64) {
-    // Three of five backend servers begin to break off two in five answers. Each
-    // is found within so many tenths of a second, on the mean of 100 plays. Seen:
-    // 2.6, 10.2, 7.6, 9.7.
+    // Guards against slow detection. Three of five backend servers start to cut off two
+    // in five answers; each is detected within the given tenths of a second on average
+    // over 100 runs. Measured: 2.6, 10.2, 7.6, 9.7.
     let mut took = 0;
     for seed in 0..100 {
         let mut service = Service::new(5, rate, usual, seed);
@@ -112,9 +113,9 @@
     failing_service = { 70.0, 0.2 },
 )]
 fn good_one_doubted(rate: f64, usual: f64) {
-    // A minute of 20 plays with five backend servers that fail as usual: a good one
-    // is doubted for at most 2 in 1,000 of the time, and there are others then. Seen:
-    // 0.2, 1.9, 0.7, 1.1 in 1,000.
+    // Guards against false positives. In 20 runs of a minute, with five backend servers
+    // at the baseline failure rate, the doubted share of the time is at most 2 in 1,000,
+    // and others are available then. Measured: 0.2, 1.9, 0.7, 1.1 in 1,000.
     let (mut doubted, mut all) = (0, 0);
     for seed in 0..20 {
         let mut service = Service::new(5, rate, usual, seed);
@@ -129,8 +130,8 @@
 
 #[test]
 fn tried_again() {
-    // One that is doubted gets nothing, so that nobody hears that it is well again.
-    // It is tried again after some seconds.
+    // Guards against a doubt that never ends: a doubted backend server gets no requests
+    // that would show its recovery. The doubt expires after some seconds.
     let mut service = Service::new(5, 70.0, 0.04, 1);
     (0..100).for_each(|_| service.step(0, 0.0));
     (0..10).for_each(|_| service.step(1, 0.4));
--- a/sesamebeam_core/tests/gateway/router.rs
+++ b/sesamebeam_core/tests/gateway/router.rs
@@ -1,4 +1,4 @@
-//! Decisions of an entry about a request.
+//! Routing decisions of an entry.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
     router_config, //
 };
 
-/// Starts a roll-out of `v2` and adds backend servers that run it.
+/// Starts a roll-out of `v2` and announces backend servers that run it.
 fn roll_out(router: &mut Router, phase: Phase, index: u64) {
     let rollout = Rollout {
         target: "v2".into(),
@@ -81,8 +81,8 @@
 
 #[test]
 fn never_goes_back() {
-    // A control replica that lags tells of an older configuration than another
-    // told before. The newer one stays in force.
+    // Guards against a lagging control replica that replaces the configuration by an
+    // older one.
     let mut router = Router::new(router_config());
     assert!(router.set_config(ms(0), config(7)));
     assert!(!router.set_config(ms(0), config(6)));
@@ -103,8 +103,9 @@
 
 #[test]
 fn cascade_keeps_to_the_budget() {
-    // Every answer of the small model is unsure. The large one is asked only as
-    // often as repeated sends are allowed; the rest is kept.
+    // Guards against a cascade that exceeds the retry budget. With no confidence in any
+    // answer of the small model, the large one is asked only as often as the budget
+    // allows.
     let mut router = router(2);
     let unsure = AnswerHead {
         confidence: Some(0),
@@ -148,8 +149,8 @@
 
 #[test]
 fn sessions_stay() {
-    // Sessions run when a roll-out starts. As long as their requests follow each
-    // other, all of them stay on the version that they began with.
+    // Guards against sessions that change version during a roll-out. Sessions that are
+    // active when it starts stay on their version.
     let mut router = router(4);
     for n in 0..200 {
         send(&mut router, 0, &format!("a{n}"), Some(&format!("s{n}")));
@@ -188,8 +189,8 @@
 
 #[test]
 fn old_roll_outs_are_ignored() {
-    // A replica that lags tells that the new version is on trial after another
-    // told that it was rolled back.
+    // Guards against a lagging control replica that revives a roll-out which was rolled
+    // back.
     let mut router = router(4);
     roll_out(&mut router, Phase::RolledBack, 5);
     roll_out(&mut router, Phase::Promoted, 3);
@@ -198,9 +199,9 @@
 
 #[test]
 fn sessions_stay_across_entries() {
-    // Sessions run through one entry when a roll-out starts, and go on through
-    // another that has never seen them. What the first reports keeps them on
-    // their version there too; sessions that begin later are drawn.
+    // Guards against sessions that change version on another entry. A report from the
+    // entry that has seen them pins them at the other; sessions that start later are
+    // assigned by the canary share.
     let (mut first, mut second) = (router(4), router(4));
     for n in 0..400 {
         send(&mut first, 0, &format!("a{n}"), Some(&format!("s{n}")));
@@ -230,8 +231,8 @@
 
 #[test]
 fn common_question_is_not_blamed() {
-    // The same question comes many times a second and is on board whenever a
-    // backend server goes down. It runs to its end every time it gets there.
+    // Guards against a quarantine of a frequent request that runs whenever a backend
+    // server crashes, but also completes every time.
     let mut router = router(2);
     router.completed(5);
     let plan = router.admit(ms(0), &head("r")).expect("it is admitted");
@@ -244,9 +245,9 @@
 
 #[test]
 fn trial_is_loaded() {
-    // A new version is on trial at three backend servers beside four old ones.
-    // Its share goes to one of them, which has as many requests as an old one
-    // then: what fails under load fails there.
+    // Guards against a canary without load. With three new backend servers next to four
+    // stable ones, one new server gets the whole canary share, so that it has as many
+    // requests as a stable one and faults that need load become visible.
     let mut router = router(4);
     roll_out(&mut router, Phase::Canary, 1);
     let mut used = std::collections::BTreeSet::new();
@@ -266,9 +267,8 @@
 
 #[test]
 fn reborn_is_tried() {
-    // A backend server cannot be reached and rests; it starts again under its
-    // name, and the end of a send to its life before comes late. The new life
-    // gets requests at once.
+    // Guards against a restarted backend server that inherits the pause of its earlier
+    // incarnation, also if a send to the latter ends late.
     let mut router = router(1);
     let plan = router.admit(ms(0), &head("r")).expect("it is admitted");
     let choice = router
@@ -295,9 +295,9 @@
 
 #[test]
 fn old_config_denies_nothing() {
-    // All processes start anew, and an entry is told of an old configuration
-    // first: the route of a request, or its key, came with a later one. Its caller
-    // would not come back after a refusal for good. It waits until it is certain.
+    // Guards against permanent errors from an outdated configuration. After a restart of
+    // all processes, an entry may get an old one first, in which a route or key is
+    // missing, and callers would not retry.
     let mut router = Router::new(router_config());
     router.set_config(ms(0), config(1));
     let mut other = head("r");
@@ -310,10 +310,9 @@
 
 #[test]
 fn trial_in_pulses() {
-    // A service has three backend servers, its requests no sessions. Spread over
-    // time, the trial of a new version gives it a fifth of the load of one of them,
-    // and a version that fails under load shows nothing. In pulses it has as much
-    // as they, and no more in all than a bad version may get.
+    // Guards against a canary without load in a small service without sessions. Spread
+    // over time, the canary of a service with three backend servers gets a fifth of the
+    // load of a stable one. In pulses it gets as much, within the same total share.
     let mut router = router(3);
     roll_out(&mut router, Phase::Canary, 1);
     let mut new = [0u32; 10];
--- a/sesamebeam_core/tests/gateway/shortage.rs
+++ b/sesamebeam_core/tests/gateway/shortage.rs
@@ -1,4 +1,5 @@
-//! A plain service that cannot serve all, played by what its callers get.
+//! Simulation of a non-streaming service short of capacity, measured by what its callers
+//! get.
 
 use std::collections::{
     BTreeMap,
@@ -46,29 +47,28 @@
     router_config, //
 };
 
-/// Slots and places to wait of a backend server, and the mean time of a request.
+/// Slots and queue length of a backend server, and the mean duration of a request.
 const SLOTS: usize = 6;
 const PLACES: usize = 24;
 const WORK_MS: f64 = 30.0;
 
-/// Time in which an answer is on time, and for which a caller waits, in milliseconds.
+/// Time in which an answer is on time, and the caller's timeout, in milliseconds.
 const ON_TIME: u64 = 150;
 const PATIENCE: u64 = 1500;
 
-/// Time that a message between processes takes with all that holds it up.
+/// Latency of a message between processes, including delays in them, in milliseconds.
 const HOP: u64 = 20;
 
-/// A request at a backend server.
+/// Request on a backend server.
 struct Job {
     entry: usize,
     server: ServerId,
     plan: Plan,
-    /// When its caller came first, and when it came here.
+    /// Times of the caller's first attempt and of the arrival at this backend server.
     first: u64,
     came: u64,
 }
 
-/// A backend server.
 #[derive(Default)]
 struct Server {
     running: Vec<(u64, Job)>,
@@ -85,13 +85,13 @@
     }
 }
 
-/// What callers got.
+/// Results of the callers.
 #[derive(Debug, Default, Clone, Copy)]
 struct Got {
     asked: usize,
     in_time: usize,
     late: usize,
-    /// Refused twice, and not served.
+    /// Rejected on both attempts.
     refused: usize,
 }
 
@@ -100,14 +100,14 @@
     entries: Vec<Router>,
     core: Coordinator,
     servers: Vec<Server>,
-    /// Callers that come back, by when.
+    /// Callers that will retry: time of the first attempt by time of the retry.
     returning: BTreeMap<(u64, u64), u64>,
-    /// What the replica has told, by when it arrives.
+    /// Messages from the control replica in transit, by arrival time.
     told: VecDeque<(u64, ToEntry)>,
-    /// Reports on their way.
+    /// Reports in transit, by arrival time.
     reports: VecDeque<(u64, Event)>,
     got: Got,
-    /// Whether entries take what they are told of shares.
+    /// Whether entries apply the shares that they receive.
     listens: bool,
     next: u64,
     rng: StdRng,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Lets callers come at a rate for some seconds and returns what they got.
+    /// Simulates callers at a rate per second for some seconds and returns their results.
     fn run(&mut self, rate: f64, seconds: u64) -> Got {
         self.got = Got::default();
         let until = self.now + seconds * 1000;
@@ -173,7 +173,7 @@
         let at = self.rng.random_range(0..self.entries.len());
         let mut req = head(&format!("r{}", self.next));
         req.prompt.clear();
-        // One in 25 callers has far more patience than the others.
+        // One in 25 callers has a far longer timeout than the others.
         let patience = if first.is_multiple_of(25) { 9 } else { 1 };
         req.deadline = Some(ms(PATIENCE * patience - (self.now - first)));
         let router = &mut self.entries[at];
@@ -211,8 +211,8 @@
             self.got.refused += 1;
             return;
         }
-        // Callers come back once, after what they are told and a third of their time
-        // at most.
+        // Callers retry once, after the requested delay but at most a third of their
+        // timeout.
         let pause = self.rng.random_range(200..1000).min(PATIENCE / 3);
         self.returning.insert((self.now + pause, self.next), first);
     }
@@ -235,7 +235,7 @@
             while server.running.len() < SLOTS
                 && let Some(job) = server.waiting.pop_front()
             {
-                // Times spread by a half to either side, and one in a hundred takes five
+                // Durations vary by a half to either side; one in a hundred takes five
                 // times as long.
                 let spread = self.rng.random_range(0.5..1.5);
                 let tail = if self.rng.random_bool(0.01) { 5.0 } else { 1.0 };
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Has entries report and the replica tell.
+    /// Delivers reports to the control replica and its messages to the entries.
     fn exchange(&mut self) {
         let now = self.now;
         for (n, router) in self.entries.iter_mut().enumerate() {
@@ -308,10 +308,11 @@
     many = { 295 },
 )]
 fn one_of_three_left(entries: usize) {
-    // Two of three backend servers have left; the one that stays can do 190 requests a
-    // second, and 214 callers come. Its queue stands full, so that nearly everyone who is
-    // served is late. With a share admitted nearly as many are served, and those in time.
-    // In time of 100 callers: 55 before, 80 after; served at all: 91 and 89.
+    // Guards against full queues in which nearly every answer is late. Two of three
+    // backend servers have left; the remaining one has a capacity of 190 requests per
+    // second, and 214 arrive. With admission control nearly as many are served, and on
+    // time. Answers on time for each 100 callers: 55 without and 80 with it; answers in
+    // total: 91 and 89.
     let stands = Play::start(entries, 1, false).run(214.0, 30);
     let now = Play::start(entries, 1, true).run(214.0, 30);
     let told = format!("{stands:?} before, {now:?}");
@@ -322,8 +323,8 @@
 
 #[test]
 fn capacity_returns() {
-    // The backend servers that had left are back. Within three seconds everybody is
-    // admitted again.
+    // Guards against admission control that continues after backend servers are back:
+    // within three seconds all requests are admitted again.
     let mut play = Play::start(74, 1, true);
     play.run(214.0, 10);
     for number in 1..3 {
@@ -340,8 +341,8 @@
 
 #[test]
 fn enough_for_all() {
-    // A service with room refuses nobody, also where callers come in short bursts: half
-    // as many again as it can do, for half a second.
+    // Guards against rejections by a service with enough capacity, also in bursts of half
+    // a second at one and a half times the capacity.
     let mut play = Play::start(74, 3, true);
     let mut got = Got::default();
     for _ in 0..10 {
