--- a/sesamebeam/src/gateway/arrival.rs
+++ b/sesamebeam/src/gateway/arrival.rs
@@ -173,7 +173,9 @@
     gateway.meters.request(RequestEnd::Refused, Duration::ZERO);
     match refusal {
         Refusal::NoConfig => answer::come_back_when_started(),
-        Refusal::Quarantined | Refusal::Short => answer::come_back(StatusCode::SERVICE_UNAVAILABLE),
+        Refusal::Quarantined | Refusal::ShortOfCapacity => {
+            answer::come_back(StatusCode::SERVICE_UNAVAILABLE)
+        }
         Refusal::NoRoute => answer::own(StatusCode::NOT_FOUND),
         Refusal::UnknownKey => answer::own(StatusCode::UNAUTHORIZED),
     }
--- a/sesamebeam/src/gateway/attempt.rs
+++ b/sesamebeam/src/gateway/attempt.rs
@@ -24,8 +24,8 @@
     request::AnswerHead,
     router::{
         Choice,
-        Plan,
-        Unserved, //
+        ChooseError,
+        Plan, //
     },
 };
 use tokio::time::timeout_at;
@@ -182,7 +182,10 @@
             (true, false) => StatusCode::BAD_GATEWAY,
             (false, _) => StatusCode::SERVICE_UNAVAILABLE,
         };
-        let taken = self.gateway.router().taken(self.gateway.now(), &self.plan);
+        let taken = self
+            .gateway
+            .router()
+            .utilization(self.gateway.now(), &self.plan);
         log::info!(
             id:% = self.req.head.id, status = status.as_u16(), sends = self.sends,
             unsent = self.unsent, refused = self.refused, taken = taken, tried:? = self.tried;
@@ -193,7 +196,7 @@
             return answer::own(status);
         }
         if self.found_full && !self.plan.route.streaming {
-            self.gateway.router().turned_away(&self.plan);
+            self.gateway.router().record_rejected(&self.plan);
         }
         self.count(RequestEnd::Refused);
         match self.retry_after() {
@@ -210,19 +213,19 @@
         let after = router.retry_after(now, &self.plan, patience)?;
         log::info!(
             id:% = self.req.head.id, after_ms = after.as_millis() as u64,
-            limited = router.limited(), backed_off = router.backed_off(now);
+            limited = router.limited_count(), backed_off = router.backed_off_count(now);
             "told when to come back"
         );
         Some(after)
     }
 
     /// Chooses a backend server, waiting for the first to be known.
-    async fn choose_soon(&self) -> Result<Flight, Unserved> {
+    async fn choose_soon(&self) -> Result<Flight, ChooseError> {
         loop {
             let learned = self.gateway.learned.notified();
             let chosen = self.choose();
             let until = start_wait(&self.req.head, self.req.came);
-            if !matches!(chosen, Err(Unserved::Unknown))
+            if !matches!(chosen, Err(ChooseError::Unknown))
                 || !self.tried.is_empty()
                 || timeout_at(until.into(), learned).await.is_err()
             {
@@ -231,7 +234,7 @@
         }
     }
 
-    pub(super) fn choose(&self) -> Result<Flight, Unserved> {
+    pub(super) fn choose(&self) -> Result<Flight, ChooseError> {
         let now = self.gateway.now();
         let mut router = self.gateway.router();
         let choice = router.choose(now, &self.plan, self.model.as_deref(), &self.tried)?;
@@ -256,7 +259,7 @@
     pub(super) fn could_go_on(&self, sends: u32, under_way: &Choice) -> bool {
         let router = self.gateway.router();
         sends < self.plan.route.max_attempts
-            && router.has_another(self.gateway.now(), &self.plan, &self.tried, &under_way.id)
+            && router.has_alternative(self.gateway.now(), &self.plan, &self.tried, &under_way.id)
     }
 
     /// Returns whether the budget allows another send, and spends it.
@@ -268,7 +271,7 @@
     /// Keeps a connection for the next request, for as long as its server says.
     pub(super) fn give_back(&self, lease: Lease, head: &AnswerHead) {
         if !head.closing {
-            let most_idle = self.gateway.router().most_idle(&self.plan);
+            let most_idle = self.gateway.router().max_idle_connections(&self.plan);
             lease.give_back_for(head.keep_alive, most_idle);
         }
     }
@@ -321,7 +324,7 @@
                 self.gateway.client.retire(choice.addr);
                 if !self.plan.route.streaming {
                     let now = self.gateway.now();
-                    self.gateway.router().overdue(now, &choice.id);
+                    self.gateway.router().record_overdue(now, &choice.id);
                 }
                 Outcome::Silent
             }
@@ -378,7 +381,7 @@
         );
         if head.misdirected {
             let now = self.gateway.now();
-            self.gateway.router().displaced(now, &choice);
+            self.gateway.router().mark_replaced(now, &choice);
         }
         self.found_full |= head.load.is_some_and(|load| load.is_full());
         self.give_back(lease, &head);
@@ -396,15 +399,15 @@
         choice.begin(Some(&model));
         let (step, keep_from) = {
             let mut router = self.gateway.router();
-            router.timed(&self.plan, choice, Some(&model), waited);
+            router.record_first_byte(&self.plan, choice, Some(&model), waited);
             // Dropped where no other takes the request, the answer would be lost.
             let left = self.sends < self.plan.route.max_attempts
-                && router.has_room(now, &self.plan, &self.tried);
+                && router.has_capacity(now, &self.plan, &self.tried);
             let step = match self.model {
-                Some(_) => router.judge(now, &self.plan, &model, head, left),
+                Some(_) => router.judge_confidence(now, &self.plan, &model, head, left),
                 None => Step::Keep,
             };
-            (step, router.keep_from(now, &self.plan))
+            (step, router.confidence_threshold(now, &self.plan))
         };
         log::info!(
             id:% = self.req.head.id, server:% = choice.id, model:% = model,
@@ -453,7 +456,9 @@
             }
         };
         let took = choice.since();
-        self.gateway.router().answered(&self.plan, took, head.load);
+        self.gateway
+            .router()
+            .record_answer(&self.plan, took, head.load);
         self.give_back(lease, &head);
         let failed = head.status >= 500;
         let outcome = if failed {
@@ -463,8 +468,8 @@
         };
         if !failed {
             let mut router = self.gateway.router();
-            router.timed(&self.plan, &choice, None, choice.since());
-            router.completed(self.req.fingerprint);
+            router.record_first_byte(&self.plan, &choice, None, choice.since());
+            router.record_completion(self.req.fingerprint);
         }
         choice.end(outcome);
         log::info!(
--- a/sesamebeam/src/gateway/feed.rs
+++ b/sesamebeam/src/gateway/feed.rs
@@ -282,10 +282,10 @@
             .meters
             .set(Level::Ready, u64::from(gateway.is_ready()));
         let now = gateway.now();
-        gateway.router().tidy(now);
-        let limited = gateway.router().limited();
+        gateway.router().remove_expired(now);
+        let limited = gateway.router().limited_count();
         gateway.meters.set(Level::Limited, limited as u64);
-        let backed_off = gateway.router().backed_off(now);
+        let backed_off = gateway.router().backed_off_count(now);
         gateway.meters.set(Level::BackedOff, backed_off as u64);
         let Some(teller) = self.subscription.teller() else {
             return;
@@ -342,7 +342,7 @@
                     gateway.take_config(addr, &document);
                 }
                 if current {
-                    gateway.router().set_current();
+                    gateway.router().set_config_current();
                     gateway.learned.notify_waiters();
                 }
                 let evacuated = orders.evacuated.clone();
@@ -371,7 +371,7 @@
                 shares,
             } => {
                 let mut router = gateway.router();
-                router.told_loads(now, loads, waits);
+                router.apply_loads(now, loads, waits);
                 router.set_shares(now, shares);
             }
             ToEntry::Doubts(doubts) => {
@@ -379,9 +379,9 @@
                 gateway.router().set_doubts(doubts);
             }
             ToEntry::Limits(limits) => self.learn_limits(addr, &limits),
-            ToEntry::Unreached(told) => gateway.router().told_unreached(now, &told),
+            ToEntry::Unreached(told) => gateway.router().apply_unreached(now, &told),
             ToEntry::Quarantined(fingerprints) => gateway.router().set_quarantined(fingerprints),
-            ToEntry::Kept(kept, all) => gateway.router().keep_sessions(now, &kept, all),
+            ToEntry::Kept(kept, all) => gateway.router().pin_sessions(now, &kept, all),
         }
     }
 
@@ -392,7 +392,7 @@
         let mut router = self.gateway.router();
         for said in servers {
             let (id, state) = (said.id.clone(), said.state);
-            if router.announced(now, said) {
+            if router.apply_announcement(now, said) {
                 news += 1;
                 if told <= MAX_LOGGED {
                     log::info!(server:% = id, state:? = state; "backend server learned");
@@ -409,9 +409,9 @@
     fn learn_limits(&self, from: SocketAddr, limits: &[LimitOf]) {
         let now = self.gateway.now();
         let mut router = self.gateway.router();
-        let news = router.told_limits(now, limits);
+        let news = router.apply_limits(now, limits);
         if !news.is_empty() {
-            let limited = router.limited();
+            let limited = router.limited_count();
             log::info!(
                 replica:% = from, limited = limited, news:? = news[..news.len().min(MAX_LOGGED)];
                 "limits learned"
--- a/sesamebeam/src/gateway/flight.rs
+++ b/sesamebeam/src/gateway/flight.rs
@@ -58,7 +58,7 @@
             let now = self.gateway.now();
             let took = self.since();
             let mut router = self.gateway.router();
-            router.waited(now, &self.plan, &self.choice, model, took);
+            router.record_first_event(now, &self.plan, &self.choice, model, took);
         }
     }
 
@@ -68,9 +68,9 @@
             let now = self.gateway.now();
             let mut router = self.gateway.router();
             if !self.began {
-                router.never_began(now, &self.choice);
+                router.record_aborted(now, &self.choice);
             }
-            router.finished(now, &self.plan, &self.choice, outcome);
+            router.record_outcome(now, &self.plan, &self.choice, outcome);
             self.gateway.meters.send(send_end(outcome));
         }
     }
--- a/sesamebeam/src/gateway/send.rs
+++ b/sesamebeam/src/gateway/send.rs
@@ -187,7 +187,8 @@
             return Sent::Broken("answer to another request".to_owned());
         }
         self.note_limit(choice, sent_at, &answer);
-        self.router().heard(self.now(), &choice.id, answer.load);
+        self.router()
+            .record_response(self.now(), &choice.id, answer.load);
         self.meters.first_byte(self.now().saturating_sub(sent_at));
         let response = Response::from_parts(parts, body);
         Sent::Answered(Box::new(response), answer, lease)
@@ -196,14 +197,14 @@
     /// Notes the limit that an answer names, or that it names none.
     fn note_limit(&self, choice: &Choice, sent_at: Duration, answer: &AnswerHead) {
         let mut router = self.router();
-        if router.limit_heard(self.now(), choice, sent_at, answer) {
+        if router.record_limit(self.now(), choice, sent_at, answer) {
             log::info!(server:% = choice.id, limit:? = answer.limit; "limit heard");
         }
     }
 
     /// Notes that the backend server asks for a pause, or leaves.
     fn note_backoff(&self, choice: &Choice, answer: &AnswerHead) {
-        let asked = self.router().backoff_heard(self.now(), choice, answer);
+        let asked = self.router().record_backoff(self.now(), choice, answer);
         match asked {
             Some(Backoff::Pause(pause)) => {
                 log::info!(
@@ -220,7 +221,7 @@
     fn is_overdue(&self, req: &Received, choice: &Choice) {
         log::info!(id:% = req.head.id, server:% = choice.id; "answer overdue");
         self.client.retire(choice.addr);
-        self.router().overdue(self.now(), &choice.id);
+        self.router().record_overdue(self.now(), &choice.id);
     }
 
     /// Waits until a backend server has been silent for long and the patience
@@ -229,7 +230,7 @@
         sleep(patience).await;
         loop {
             sleep(LOOK_EVERY).await;
-            let heard = self.router().heard_at(&choice.id).max(since);
+            let heard = self.router().last_response_at(&choice.id).max(since);
             if self.now().saturating_sub(heard) > SILENT_FOR {
                 return;
             }
@@ -261,7 +262,7 @@
                 && e.kind() == ErrorKind::ConnectionRefused
             {
                 log::info!(id:% = id, server:% = choice.id; "backend server went down");
-                gateway.router().crashed(fingerprint, &choice);
+                gateway.router().record_crash(fingerprint, &choice);
             }
         });
     }
--- a/sesamebeam/src/gateway/stream.rs
+++ b/sesamebeam/src/gateway/stream.rs
@@ -155,7 +155,7 @@
                 Err(_) if Instant::now() >= until => return Step::Late,
                 Err(_) => {
                     let attempt = &self.attempt;
-                    let heard = attempt.gateway.router().heard_at(&source.choice.id);
+                    let heard = attempt.gateway.router().last_response_at(&source.choice.id);
                     let silent = attempt.gateway.now().saturating_sub(heard) > SILENT_FOR;
                     let resumable = attempt.plan.route.resumable;
                     if silent && resumable && attempt.could_go_on(attempt.sends, &source.choice) {
@@ -171,7 +171,7 @@
                     let gateway = &self.attempt.gateway;
                     gateway
                         .router()
-                        .heard(gateway.now(), &source.choice.id, None);
+                        .record_response(gateway.now(), &source.choice.id, None);
                     match self.events.push(piece) {
                         Ok(events) if events.is_empty() => {}
                         Ok(events) => return Step::Events(events),
@@ -192,7 +192,7 @@
         self.note_pace(&source.choice);
         source.choice.end(Outcome::Good);
         let fingerprint = self.attempt.req.fingerprint;
-        self.attempt.gateway.router().completed(fingerprint);
+        self.attempt.gateway.router().record_completion(fingerprint);
         self.attempt.count(RequestEnd::StreamComplete);
         self.log("stream complete");
     }
@@ -210,7 +210,7 @@
         let attempt = &self.attempt;
         let model = attempt.model.as_deref();
         let mut router = attempt.gateway.router();
-        router.paced(&attempt.plan, choice, model, pace);
+        router.record_event_interval(&attempt.plan, choice, model, pace);
     }
 
     fn end_source(&mut self, outcome: Outcome) {
--- a/sesamebeam_bench/benches/directory.rs
+++ b/sesamebeam_bench/benches/directory.rs
@@ -72,7 +72,7 @@
     });
     router.set_config(NOW, config());
     for number in 0..servers {
-        router.announced(NOW, server(number));
+        router.apply_announcement(NOW, server(number));
     }
     router
 }
@@ -142,7 +142,7 @@
                 at += 1;
                 let plan = &plans[at % plans.len()];
                 if let Ok(choice) = router.choose(NOW, plan, None, &[]) {
-                    router.finished(NOW, plan, &choice, Outcome::Dropped);
+                    router.record_outcome(NOW, plan, &choice, Outcome::Dropped);
                     black_box(choice);
                 }
             });
--- a/sesamebeam_core/src/gateway/backoff.rs
+++ b/sesamebeam_core/src/gateway/backoff.rs
@@ -27,12 +27,12 @@
 
 impl Backoff {
     /// Returns the backoff requested in the head of an answer.
-    fn of(now: MonoTime, answer: &AnswerHead) -> Option<Self> {
+    fn from_answer(now: MonoTime, answer: &AnswerHead) -> Option<Self> {
         if answer.leaving {
             return Some(Self::Leaving);
         }
-        let asked = answer.retry_after.filter(|_| answer.turns_away())?;
-        Some(Self::Pause(RequestedPause::new(now, asked)))
+        let requested = answer.retry_after.filter(|_| answer.turns_away())?;
+        Some(Self::Pause(RequestedPause::new(now, requested)))
     }
 
     /// Returns whether this backoff lasts longer than another.
@@ -55,52 +55,55 @@
 /// Backoffs requested from this entry.
 #[derive(Debug, Default)]
 pub struct Backoffs {
-    of: HashMap<ServerId, Backoff>,
+    servers: HashMap<ServerId, Backoff>,
 }
 
 impl Backoffs {
     /// Records the backoff requested in an answer, and returns it if it lasts longer than
     /// the previous one; answers on different connections may arrive out of order.
-    pub fn heard(&mut self, now: MonoTime, id: &ServerId, answer: &AnswerHead) -> Option<Backoff> {
-        let asked = Backoff::of(now, answer)?;
-        let known = self.of.get(id);
-        if known.is_some_and(|&known| !asked.outlasts(known)) {
+    pub fn record(&mut self, now: MonoTime, id: &ServerId, answer: &AnswerHead) -> Option<Backoff> {
+        let requested = Backoff::from_answer(now, answer)?;
+        let known = self.servers.get(id);
+        if known.is_some_and(|&known| !requested.outlasts(known)) {
             return None;
         }
-        self.of.insert(id.clone(), asked);
-        Some(asked)
+        self.servers.insert(id.clone(), requested);
+        Some(requested)
     }
 
     /// Returns the backoff of a backend server that is in force; none if it accepts
     /// requests.
     pub fn get(&self, now: MonoTime, id: &ServerId) -> Option<Backoff> {
-        let asked = self.of.get(id).copied();
-        asked.filter(|asked| !asked.is_over(now))
+        let requested = self.servers.get(id).copied();
+        requested.filter(|requested| !requested.is_over(now))
     }
 
     /// Returns whether a request may be sent to a backend server now.
-    pub fn is_open(&self, now: MonoTime, id: &ServerId) -> bool {
+    pub fn allows_send(&self, now: MonoTime, id: &ServerId) -> bool {
         self.get(now, id).is_none()
     }
 
     /// Returns whether a backend server is shutting down.
     pub fn is_leaving(&self, id: &ServerId) -> bool {
-        matches!(self.of.get(id), Some(Backoff::Leaving))
+        matches!(self.servers.get(id), Some(Backoff::Leaving))
     }
 
     /// Returns the number of backend servers with a backoff in force.
     pub fn count(&self, now: MonoTime) -> usize {
-        let asked = self.of.values();
-        asked.filter(|asked| !asked.is_over(now)).count()
+        let requested = self.servers.values();
+        requested
+            .filter(|requested| !requested.is_over(now))
+            .count()
     }
 
     /// Removes the backoff requested by an earlier incarnation.
     pub fn forget(&mut self, id: &ServerId) {
-        self.of.remove(id);
+        self.servers.remove(id);
     }
 
     /// Removes expired pauses and backend servers that are gone.
     pub fn retain(&mut self, now: MonoTime, known: impl Fn(&ServerId) -> bool) {
-        self.of.retain(|id, asked| !asked.is_over(now) && known(id));
+        self.servers
+            .retain(|id, requested| !requested.is_over(now) && known(id));
     }
 }
--- a/sesamebeam_core/src/gateway/balance.rs
+++ b/sesamebeam_core/src/gateway/balance.rs
@@ -21,12 +21,12 @@
         Loads,
         ServerKey, //
     },
+    outliers::{
+        AnswerCounts,
+        Doubt, //
+    },
     paths::Paths,
     pause::Pause,
-    pool::{
-        Doubt,
-        Outcomes, //
-    },
     reading::{
         self,
         Queue, //
@@ -47,7 +47,7 @@
 
 /// Requests added to that bound, so that it is meaningful where backend servers have
 /// hardly any load.
-pub(super) const LOAD_SPARE: f64 = 2.0;
+pub(super) const LOAD_ALLOWANCE: f64 = 2.0;
 
 /// Weight of a waiting request relative to a running one: a queue delays all later
 /// requests, while a running request only slows them down.
@@ -55,7 +55,7 @@
 
 /// Load, as a share of the slots, that balances a hop to another failure domain: one
 /// round trip between domains compared with the work of a request.
-const FAR_COST: f64 = 0.25;
+const CROSS_DOMAIN_COST: f64 = 0.25;
 
 /// Number of shared tokens below which a prompt is processed once in each failure domain
 /// instead of being sent to another domain that has it cached. Engines process some
@@ -64,19 +64,19 @@
 /// Measured with all prompts kept local, on days with such faults, one deployment gained
 /// a score of 0.02 and another lost 0.015, as its long shared prompts were processed
 /// three times.
-const NEAR_BELOW: u32 = 2_000;
+const LOCAL_PROMPT_TOKENS: u32 = 2_000;
 
 /// Prefill backlog up to which an engine is preferred for a cached prompt: processing
 /// that prompt again on another engine takes about as long.
-const READS_FOR: Duration = Duration::from_millis(100);
+const MAX_PREFILL_BACKLOG: Duration = Duration::from_millis(100);
 
 /// Time for which a response received by this entry takes precedence over reports that
 /// another entry could not reach the backend server.
-const HEARD_OF_LATE: Duration = Duration::from_millis(500);
+const OWN_RESPONSE_PRECEDENCE: Duration = Duration::from_millis(500);
 
 /// Pause for a backend server whose answer is overdue. It starts anew while the answer is
 /// missing and ends with any response.
-const OVERDUE_REST: Duration = Duration::from_millis(1000);
+const OVERDUE_PAUSE: Duration = Duration::from_millis(1000);
 
 /// Maximum pause for an unreachable backend server; shorter than a restart takes.
 const MAX_PAUSE: Duration = Duration::from_secs(4);
@@ -94,44 +94,44 @@
 
 /// One in this many repeatable requests ignores doubts, so that its answer shows whether
 /// the backend server has recovered.
-const TRY_DOUBTED: u64 = 16;
+const DOUBT_PROBE_ONE_IN: u64 = 16;
 
 /// Half-life of a reported load; engines replace their running requests within this time.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(500);
 
 /// Time after which a load received from the control replicas has decayed to a
 /// thousandth.
-const TOLD_COUNTS_FOR: Duration = Duration::from_secs(5);
+const SHARED_REPORT_LIFETIME: Duration = Duration::from_secs(5);
 
 /// State of a backend server as observed by one entry.
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct ServerStats {
     domain: DomainId,
     /// Own requests in flight.
     in_flight: u32,
     /// Last load reported to this entry.
-    load: Option<Reported>,
+    own_report: Option<LoadReport>,
     /// Last load reported to another entry.
-    shared: Option<Reported>,
+    shared_report: Option<LoadReport>,
     /// Failure rate of its answers, as a moving average.
-    failures: f64,
+    failure_rate: f64,
     /// Pause after failed connections, during which it gets no requests.
     pause: Pause,
     /// When it last responded.
-    heard_at: MonoTime,
+    last_response_at: MonoTime,
     /// Long prompts that it has not processed yet.
-    queue: Queue,
+    prefill_queue: Queue,
 }
 
 /// Load reported by a backend server.
 #[derive(Clone, Copy, Debug)]
-struct Reported {
+struct LoadReport {
     running: u32,
     waiting: u32,
     /// When the report arrived.
     at: MonoTime,
     /// Own requests in flight when the report arrived.
-    own: u32,
+    own_in_flight: u32,
 }
 
 /// Prompt prefix that a request shares with others.
@@ -145,17 +145,17 @@
 
 /// Parameters of a choice.
 #[derive(Clone, Copy, Debug)]
-pub struct Need<'a> {
+pub struct ChoiceParams<'a> {
     /// Shared prompt; none if the request has no preferred backend server.
     pub affinity: Option<Affinity>,
     /// Time that an engine takes to process the unshared part of the prompt.
-    pub reading: Duration,
+    pub prefill_time: Duration,
     /// Failure domain of this entry.
     pub domain: &'a str,
     /// Backend servers already tried for this request.
     pub tried: &'a [ServerId],
     /// Whether the request must not run more than once.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Pseudo-random tie breaker.
     pub seed: u64,
 }
@@ -173,7 +173,7 @@
     Unreachable,
     /// The connection was refused: the process is down, but the network path works.
     Down,
-    /// The response timed out.
+    /// The backend server sent nothing for too long.
     Silent,
     /// The request was cancelled for a reason unrelated to the backend server.
     Dropped,
@@ -181,73 +181,73 @@
 
 /// Load balancer of one entry.
 #[derive(Debug, Default)]
-pub struct Balance {
-    seen: HashMap<ServerId, Seen>,
+pub struct LoadBalancer {
+    servers: HashMap<ServerId, ServerStats>,
     paths: Paths,
     /// Loads to report to the other entries.
-    heard: Loads,
+    unreported_loads: Loads,
     /// Unreported counts of good and bad answers.
-    outcomes: HashMap<ServerKey, (u32, u32)>,
+    unreported_outcomes: HashMap<ServerKey, (u32, u32)>,
     /// Unreported unreachable backend servers, each with whether it is down.
     unreached: Vec<(ServerKey, bool)>,
     /// Failure rates of backend servers that fail more often than their service.
     doubts: HashMap<ServerKey, f64>,
 }
 
-impl Balance {
+impl LoadBalancer {
     /// Chooses among the candidates and counts the request.
     pub fn choose<'a>(
         &mut self,
         now: MonoTime,
         candidates: &[&'a Known],
-        need: &Need<'_>,
+        params: &ChoiceParams<'_>,
     ) -> Option<&'a Known> {
-        let fit = self.fit(now, candidates, need.tried);
-        let chosen = match need.affinity {
-            Some(affinity) => self.by_prompt(now, &fit, affinity, need),
-            None => self.by_load(now, &fit, need),
+        let eligible = self.eligible(now, candidates, params.tried);
+        let chosen = match params.affinity {
+            Some(affinity) => self.choose_by_prompt(now, &eligible, affinity, params),
+            None => self.choose_by_load(now, &eligible, params),
         }?;
-        let seen = self.seen.entry(chosen.said.id.clone()).or_default();
-        seen.in_flight += 1;
-        seen.domain = chosen.said.domain.clone();
+        let stats = self.servers.entry(chosen.said.id.clone()).or_default();
+        stats.in_flight += 1;
+        stats.domain = chosen.said.domain.clone();
         self.paths.tries(now, &chosen.said.domain);
-        if need.reading >= reading::LONG {
-            self.expect_queue(now, &chosen.said.id, need.reading);
+        if params.prefill_time >= reading::LONG {
+            self.record_prefill(now, &chosen.said.id, params.prefill_time);
         }
         Some(chosen)
     }
 
     /// Records a response from a backend server.
-    pub fn heard(&mut self, now: MonoTime, id: &ServerId, load: Option<Load>) {
-        let seen = self.seen.entry(id.clone()).or_default();
-        seen.heard_at = now;
-        seen.pause = Pause::default();
-        self.paths.heard(&seen.domain);
+    pub fn record_response(&mut self, now: MonoTime, id: &ServerId, load: Option<Load>) {
+        let stats = self.servers.entry(id.clone()).or_default();
+        stats.last_response_at = now;
+        stats.pause = Pause::default();
+        self.paths.heard(&stats.domain);
         if let Some(load) = load {
             let load = LoadOf::new(id, load);
-            seen.load = Some(seen.reported(now, load));
-            let load = load.reading(seen.queue.own_left(now));
-            self.heard.take(now, [load]);
+            stats.own_report = Some(stats.make_report(now, load));
+            let load = load.reading(stats.prefill_queue.own_left(now));
+            self.unreported_loads.take(now, [load]);
         }
     }
 
     /// Resets the state of a backend server that restarted: the new incarnation is idle
     /// and has no failures.
-    pub fn reborn(&mut self, id: &ServerId) {
-        if let Some(seen) = self.seen.get_mut(id) {
-            *seen = Seen {
-                domain: seen.domain.clone(),
-                in_flight: seen.in_flight,
-                ..Seen::default()
+    pub fn reset(&mut self, id: &ServerId) {
+        if let Some(stats) = self.servers.get_mut(id) {
+            *stats = ServerStats {
+                domain: stats.domain.clone(),
+                in_flight: stats.in_flight,
+                ..ServerStats::default()
             };
         }
     }
 
     /// Records a load measured by another entry.
-    pub fn told(&mut self, now: MonoTime, id: &ServerId, load: LoadOf) {
-        let seen = self.seen.entry(id.clone()).or_default();
-        seen.shared = Some(seen.reported(now, load));
-        seen.queue.told(now, load.reads_for());
+    pub fn apply_load(&mut self, now: MonoTime, id: &ServerId, load: LoadOf) {
+        let stats = self.servers.entry(id.clone()).or_default();
+        stats.shared_report = Some(stats.make_report(now, load));
+        stats.prefill_queue.told(now, load.reads_for());
     }
 
     /// Records a long prompt sent to an engine, for this entry and the others, until its
@@ -257,47 +257,49 @@
     /// requests queued up behind one and were late. Reported as a number of tokens, the
     /// backlog was taken for work of the small model and decayed within a second, so it
     /// is reported as a time.
-    fn expect_queue(&mut self, now: MonoTime, id: &ServerId, reading: Duration) {
-        let seen = self.seen.entry(id.clone()).or_default();
-        seen.queue.send(now, reading);
-        let newest = seen.newest();
+    fn record_prefill(&mut self, now: MonoTime, id: &ServerId, prefill_time: Duration) {
+        let stats = self.servers.entry(id.clone()).or_default();
+        stats.prefill_queue.send(now, prefill_time);
+        let newest_report = stats.newest_report();
         let load = Load {
-            running: newest.map_or(0, |r| r.running),
-            waiting: newest.map_or(0, |r| r.waiting),
+            running: newest_report.map_or(0, |r| r.running),
+            waiting: newest_report.map_or(0, |r| r.waiting),
             slots: 0,
         };
-        let load = LoadOf::new(id, load).reading(seen.queue.own_left(now));
-        self.heard.take(now, [load]);
+        let load = LoadOf::new(id, load).reading(stats.prefill_queue.own_left(now));
+        self.unreported_loads.take(now, [load]);
     }
 
     /// Records that a long prompt was processed or that its request ended.
-    pub fn read(&mut self, now: MonoTime, id: &ServerId, reading: Duration) {
-        if reading >= reading::LONG
-            && let Some(seen) = self.seen.get_mut(id)
+    pub fn record_prefilled(&mut self, now: MonoTime, id: &ServerId, prefill_time: Duration) {
+        if prefill_time >= reading::LONG
+            && let Some(stats) = self.servers.get_mut(id)
         {
-            seen.queue.done(now, reading);
+            stats.prefill_queue.done(now, prefill_time);
         }
     }
 
     /// Takes the loads that are due to be reported.
-    pub fn take_heard(&mut self, now: MonoTime) -> Option<Vec<LoadOf>> {
-        self.heard.due(now, 0)
+    pub fn take_loads(&mut self, now: MonoTime) -> Option<Vec<LoadOf>> {
+        self.unreported_loads.due(now, 0)
     }
 
     /// Returns when a backend server last responded.
-    pub fn heard_at(&self, id: &ServerId) -> MonoTime {
-        self.seen.get(id).map_or(MonoTime::ZERO, |s| s.heard_at)
+    pub fn last_response_at(&self, id: &ServerId) -> MonoTime {
+        self.servers
+            .get(id)
+            .map_or(MonoTime::ZERO, |s| s.last_response_at)
     }
 
     /// Takes the unreported answer counts.
-    pub fn take_outcomes(&mut self) -> Vec<Outcomes> {
-        let outcome = |(server, (good, bad))| Outcomes { server, good, bad };
-        self.outcomes.drain().map(outcome).collect()
+    pub fn take_outcomes(&mut self) -> Vec<AnswerCounts> {
+        let outcome = |(server, (good, bad))| AnswerCounts { server, good, bad };
+        self.unreported_outcomes.drain().map(outcome).collect()
     }
 
     /// Returns whether there are unreported failures or unreachable backend servers.
     pub fn has_failures(&self) -> bool {
-        !self.unreached.is_empty() || self.outcomes.values().any(|(_, bad)| *bad > 0)
+        !self.unreached.is_empty() || self.unreported_outcomes.values().any(|(_, bad)| *bad > 0)
     }
 
     /// Takes the unreported unreachable backend servers, each with whether it is down.
@@ -311,20 +313,22 @@
     /// When a failure domain was partitioned, each of 295 entries had to detect that
     /// itself, and again after each pause: 1,260 requests waited for connections that
     /// failed within six seconds.
-    pub fn told_unreached(
+    pub fn apply_unreached(
         &mut self,
         now: MonoTime,
         id: &ServerId,
         domain: &DomainId,
         is_down: bool,
     ) {
-        let seen = self.seen.entry(id.clone()).or_default();
-        seen.domain = domain.clone();
-        if seen.heard_at > MonoTime::ZERO && now < seen.heard_at + HEARD_OF_LATE {
+        let stats = self.servers.entry(id.clone()).or_default();
+        stats.domain = domain.clone();
+        if stats.last_response_at > MonoTime::ZERO
+            && now < stats.last_response_at + OWN_RESPONSE_PRECEDENCE
+        {
             return;
         }
-        if seen.pause.is_over(now) {
-            seen.pause.lengthen(now, MAX_PAUSE);
+        if stats.pause.is_over(now) {
+            stats.pause.lengthen(now, MAX_PAUSE);
         }
         if !is_down {
             self.paths.unreached(now, domain, id);
@@ -340,33 +344,43 @@
 
     /// Pauses a backend server with an overdue answer, here and at the other entries in
     /// this failure domain, until it responds.
-    pub fn overdue(&mut self, now: MonoTime, id: &ServerId) {
-        let seen = self.seen.entry(id.clone()).or_default();
-        seen.pause.at_least(now, OVERDUE_REST);
+    pub fn record_overdue(&mut self, now: MonoTime, id: &ServerId) {
+        let stats = self.servers.entry(id.clone()).or_default();
+        stats.pause.at_least(now, OVERDUE_PAUSE);
         self.unreached.push((loads::key(id), true));
     }
 
     /// Records the outcome of a send.
-    pub fn finished(&mut self, now: MonoTime, id: &ServerId, outcome: Outcome) {
+    pub fn record_outcome(&mut self, now: MonoTime, id: &ServerId, outcome: Outcome) {
         match outcome {
-            Outcome::Good => self.outcomes.entry(loads::key(id)).or_default().0 += 1,
-            Outcome::Failed => self.outcomes.entry(loads::key(id)).or_default().1 += 1,
+            Outcome::Good => {
+                self.unreported_outcomes
+                    .entry(loads::key(id))
+                    .or_default()
+                    .0 += 1
+            }
+            Outcome::Failed => {
+                self.unreported_outcomes
+                    .entry(loads::key(id))
+                    .or_default()
+                    .1 += 1
+            }
             Outcome::Refused
             | Outcome::Unreachable
             | Outcome::Down
             | Outcome::Silent
             | Outcome::Dropped => {}
         }
-        let seen = self.seen.entry(id.clone()).or_default();
-        seen.in_flight = seen.in_flight.saturating_sub(1);
+        let stats = self.servers.entry(id.clone()).or_default();
+        stats.in_flight = stats.in_flight.saturating_sub(1);
         match outcome {
-            Outcome::Good => seen.failures *= 1.0 - FAILURE_WEIGHT,
+            Outcome::Good => stats.failure_rate *= 1.0 - FAILURE_WEIGHT,
             Outcome::Failed => {
-                seen.failures = seen.failures * (1.0 - FAILURE_WEIGHT) + FAILURE_WEIGHT;
+                stats.failure_rate = stats.failure_rate * (1.0 - FAILURE_WEIGHT) + FAILURE_WEIGHT;
             }
             Outcome::Down => {
                 self.unreached.push((loads::key(id), true));
-                seen.pause.lengthen(now, MAX_PAUSE);
+                stats.pause.lengthen(now, MAX_PAUSE);
             }
             Outcome::Unreachable | Outcome::Silent => {
                 // Busy engines send nothing for seconds: a report to other entries could
@@ -374,22 +388,22 @@
                 if outcome == Outcome::Unreachable {
                     self.unreached.push((loads::key(id), false));
                 }
-                seen.pause.lengthen(now, MAX_PAUSE);
-                self.paths.unreached(now, &seen.domain, id);
+                stats.pause.lengthen(now, MAX_PAUSE);
+                self.paths.unreached(now, &stats.domain, id);
             }
             Outcome::Refused | Outcome::Dropped => {}
         }
     }
 
     /// Returns whether a backend server is neither paused nor behind a partition.
-    pub fn reaches(&self, now: MonoTime, known: &Known) -> bool {
-        let seen = self.seen.get(&known.said.id);
-        let rested = seen.is_none_or(|s| s.pause.is_over(now));
-        rested && !self.paths.avoids(now, &known.said.domain)
+    pub fn is_reachable(&self, now: MonoTime, known: &Known) -> bool {
+        let stats = self.servers.get(&known.said.id);
+        let is_unpaused = stats.is_none_or(|s| s.pause.is_over(now));
+        is_unpaused && !self.paths.avoids(now, &known.said.domain)
     }
 
     /// Returns the mean share of occupied slots of backend servers.
-    pub fn taken(&self, now: MonoTime, servers: &[&Known]) -> f64 {
+    pub fn utilization(&self, now: MonoTime, servers: &[&Known]) -> f64 {
         let loads: Vec<f64> = servers.iter().map(|k| self.shared_load(now, k)).collect();
         mean(&loads)
     }
@@ -397,90 +411,101 @@
     /// Removes state of backend servers that are gone, and decayed reports of other
     /// entries.
     pub fn retain(&mut self, now: MonoTime, known: impl Fn(&ServerId) -> bool) {
-        self.seen
-            .retain(|id, seen| seen.in_flight > 0 || seen.tells(now) && known(id));
+        self.servers
+            .retain(|id, stats| stats.in_flight > 0 || stats.is_relevant(now) && known(id));
     }
 
     /// Returns the number of tracked backend servers.
     pub fn count(&self) -> usize {
-        self.seen.len()
+        self.servers.len()
     }
 
     /// Excludes backend servers that were tried, are unreachable or have a high failure
     /// rate, as long as others remain.
-    fn fit<'a>(&self, now: MonoTime, all: &[&'a Known], tried: &[ServerId]) -> Vec<&'a Known> {
-        let fresh: Vec<&Known> = all
+    fn eligible<'a>(&self, now: MonoTime, all: &[&'a Known], tried: &[ServerId]) -> Vec<&'a Known> {
+        let untried: Vec<&Known> = all
             .iter()
             .copied()
             .filter(|k| !tried.contains(&k.said.id))
             .collect();
-        let reached = |k: &&Known| self.reaches(now, k);
-        let mean = self.mean_failures(&fresh);
-        let sound = |k: &&Known| self.failures(k) <= mean + FAILURE_EXCESS;
-        let best: Vec<&Known> = fresh
+        let reachable = |k: &&Known| self.is_reachable(now, k);
+        let mean = self.mean_failure_rate(&untried);
+        let is_reliable = |k: &&Known| self.failure_rate(k) <= mean + FAILURE_EXCESS;
+        let best: Vec<&Known> = untried
             .iter()
             .copied()
-            .filter(reached)
-            .filter(sound)
+            .filter(reachable)
+            .filter(is_reliable)
             .collect();
         if !best.is_empty() {
             return best;
         }
-        let reached: Vec<&Known> = fresh.iter().copied().filter(reached).collect();
-        if reached.is_empty() { fresh } else { reached }
+        let reachable: Vec<&Known> = untried.iter().copied().filter(reachable).collect();
+        if reachable.is_empty() {
+            untried
+        } else {
+            reachable
+        }
     }
 
     /// Chooses the backend server with the highest rendezvous weight among those within
     /// the load bound, preferring this entry's failure domain for a short shared prompt.
-    fn by_prompt<'a>(
+    fn choose_by_prompt<'a>(
         &self,
         now: MonoTime,
-        fit: &[&'a Known],
+        eligible: &[&'a Known],
         affinity: Affinity,
-        need: &Need<'_>,
+        params: &ChoiceParams<'_>,
     ) -> Option<&'a Known> {
-        let slots = fit.iter().map(|k| k.said.slots).max().unwrap_or(1);
-        let spare = LOAD_SPARE / f64::from(slots.max(1));
-        let loads: Vec<f64> = fit.iter().map(|k| self.shared_load(now, k)).collect();
-        let bound = mean(&loads) * (1.0 + LOAD_MARGIN) + spare;
+        let slots = eligible.iter().map(|k| k.said.slots).max().unwrap_or(1);
+        let allowance = LOAD_ALLOWANCE / f64::from(slots.max(1));
+        let loads: Vec<f64> = eligible.iter().map(|k| self.shared_load(now, k)).collect();
+        let bound = mean(&loads) * (1.0 + LOAD_MARGIN) + allowance;
         let key = affinity.key.to_le_bytes();
-        let near_first = affinity.tokens < NEAR_BELOW;
-        let loaded = || fit.iter().copied().zip(loads.iter().copied());
-        let within = loaded().filter(|(k, load)| {
-            let reads_for = self.reads_for(now, k);
-            *load <= bound && reads_for <= READS_FOR
+        let prefer_local = affinity.tokens < LOCAL_PROMPT_TOKENS;
+        let with_loads = || eligible.iter().copied().zip(loads.iter().copied());
+        let within_bound = with_loads().filter(|(k, load)| {
+            let backlog = self.prefill_backlog(now, k);
+            *load <= bound && backlog <= MAX_PREFILL_BACKLOG
         });
-        let best = within.max_by_key(|(k, _)| {
-            let near = near_first && k.said.domain == need.domain;
-            let sound = self.doubt(k, need) == 0.0;
-            (sound, near, hash::rendezvous(&k.said.id, &key))
+        let best = within_bound.max_by_key(|(k, _)| {
+            let is_local = prefer_local && k.said.domain == params.domain;
+            let is_reliable = self.doubt_rate(k, params) == 0.0;
+            (is_reliable, is_local, hash::rendezvous(&k.said.id, &key))
         });
         // A second of prefill backlog delays as many requests as a full engine.
-        let held_up = |(k, load): &(&Known, f64)| load + self.reads_for(now, k).as_secs_f64();
-        let lightest = || loaded().min_by(|a, b| held_up(a).total_cmp(&held_up(b)));
-        best.or_else(lightest).map(|(k, _)| k)
+        let delay = |(k, load): &(&Known, f64)| load + self.prefill_backlog(now, k).as_secs_f64();
+        let least_delayed = || with_loads().min_by(|a, b| delay(a).total_cmp(&delay(b)));
+        best.or_else(least_delayed).map(|(k, _)| k)
     }
 
-    fn by_load<'a>(&self, now: MonoTime, fit: &[&'a Known], need: &Need<'_>) -> Option<&'a Known> {
-        let salt = need.seed.to_string();
+    fn choose_by_load<'a>(
+        &self,
+        now: MonoTime,
+        eligible: &[&'a Known],
+        params: &ChoiceParams<'_>,
+    ) -> Option<&'a Known> {
+        let salt = params.seed.to_string();
         let cost = |k: &Known| {
-            let far = if k.said.domain == need.domain {
+            let distance = if k.said.domain == params.domain {
                 0.0
             } else {
-                FAR_COST
+                CROSS_DOMAIN_COST
             };
             let jitter = hash::unit(k.said.id.as_bytes(), &salt) * 0.05;
-            self.load(now, k) + far + jitter + DOUBT_COST * self.doubt(k, need)
+            self.own_load(now, k) + distance + jitter + DOUBT_COST * self.doubt_rate(k, params)
         };
-        let best = fit.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
+        let best = eligible.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
         best.copied()
     }
 
     /// Returns the requests on a backend server as a share of its slots, from own
     /// observations only.
-    fn load(&self, now: MonoTime, known: &Known) -> f64 {
-        let seen = self.seen.get(&known.said.id);
-        seen.map_or(0.0, |seen| seen.load(now, known.said.slots, seen.load))
+    fn own_load(&self, now: MonoTime, known: &Known) -> f64 {
+        let stats = self.servers.get(&known.said.id);
+        stats.map_or(0.0, |stats| {
+            stats.load(now, known.said.slots, stats.own_report)
+        })
     }
 
     /// Returns the requests on a backend server as a share of its slots, from the
@@ -489,76 +514,80 @@
     /// This only limits which backend servers are eligible and never ranks them: all
     /// entries receive it at the same time and would all choose the same one.
     fn shared_load(&self, now: MonoTime, known: &Known) -> f64 {
-        let Some(seen) = self.seen.get(&known.said.id) else {
+        let Some(stats) = self.servers.get(&known.said.id) else {
             return 0.0;
         };
-        seen.load(now, known.said.slots, seen.newest())
+        stats.load(now, known.said.slots, stats.newest_report())
     }
 
     /// Returns the time that an engine still needs for long prompts sent to it.
-    fn reads_for(&self, now: MonoTime, known: &Known) -> Duration {
-        let seen = self.seen.get(&known.said.id);
-        seen.map_or(Duration::ZERO, |seen| seen.queue.left(now))
+    fn prefill_backlog(&self, now: MonoTime, known: &Known) -> Duration {
+        let stats = self.servers.get(&known.said.id);
+        stats.map_or(Duration::ZERO, |stats| stats.prefill_queue.left(now))
     }
 
     /// Returns the failure rate for which a backend server is avoided.
-    fn doubt(&self, known: &Known, need: &Need<'_>) -> f64 {
-        let tries = !need.once && need.tried.is_empty() && need.seed.is_multiple_of(TRY_DOUBTED);
-        if self.doubts.is_empty() || tries {
+    fn doubt_rate(&self, known: &Known, params: &ChoiceParams<'_>) -> f64 {
+        let probes = !params.at_most_once
+            && params.tried.is_empty()
+            && params.seed.is_multiple_of(DOUBT_PROBE_ONE_IN);
+        if self.doubts.is_empty() || probes {
             return 0.0;
         }
         let doubt = self.doubts.get(&loads::key(&known.said.id));
         doubt.copied().unwrap_or_default()
     }
 
-    fn failures(&self, known: &Known) -> f64 {
-        self.seen.get(&known.said.id).map_or(0.0, |s| s.failures)
+    fn failure_rate(&self, known: &Known) -> f64 {
+        self.servers
+            .get(&known.said.id)
+            .map_or(0.0, |s| s.failure_rate)
     }
 
-    fn mean_failures(&self, fit: &[&Known]) -> f64 {
-        let failures: Vec<f64> = fit.iter().map(|k| self.failures(k)).collect();
-        mean(&failures)
+    fn mean_failure_rate(&self, eligible: &[&Known]) -> f64 {
+        let rates: Vec<f64> = eligible.iter().map(|k| self.failure_rate(k)).collect();
+        mean(&rates)
     }
 }
 
-impl Seen {
+impl ServerStats {
     /// Returns whether the state can still affect a choice: this entry has had a response
     /// or a failure, a long prompt is being processed, or a load report of another entry
     /// has not decayed.
-    fn tells(&self, now: MonoTime) -> bool {
-        let is_known = self.heard_at > MonoTime::ZERO || self.pause != Pause::default();
-        let reads = !self.queue.left(now).is_zero();
-        let shared = self.shared;
-        is_known || reads || shared.is_some_and(|s| now < s.at + TOLD_COUNTS_FOR)
+    fn is_relevant(&self, now: MonoTime) -> bool {
+        let was_observed = self.last_response_at > MonoTime::ZERO || self.pause != Pause::default();
+        let is_prefilling = !self.prefill_queue.left(now).is_zero();
+        let shared = self.shared_report;
+        was_observed || is_prefilling || shared.is_some_and(|s| now < s.at + SHARED_REPORT_LIFETIME)
     }
 
     /// Returns the newest load report of any entry.
-    fn newest(&self) -> Option<Reported> {
-        let reports = [self.load, self.shared].into_iter().flatten();
-        reports.max_by_key(|reported| reported.at)
+    fn newest_report(&self) -> Option<LoadReport> {
+        let reports = [self.own_report, self.shared_report].into_iter().flatten();
+        reports.max_by_key(|report| report.at)
     }
 
     /// Returns the requests on the backend server as a share of its slots.
     ///
     /// The reported load decays in favour of own observations; without the decay, an old
     /// report of an idle engine attracts requests from every entry at once.
-    fn load(&self, now: MonoTime, slots: u32, reported: Option<Reported>) -> f64 {
+    fn load(&self, now: MonoTime, slots: u32, report: Option<LoadReport>) -> f64 {
         let own = f64::from(self.in_flight);
-        let others = reported.map_or(0.0, |r| {
-            let there = f64::from(r.running) + WAITING_WEIGHT * f64::from(r.waiting);
+        let others = report.map_or(0.0, |r| {
+            let total = f64::from(r.running) + WAITING_WEIGHT * f64::from(r.waiting);
             let age = now.saturating_sub(r.at).as_secs_f64() / LOAD_HALF_LIFE.as_secs_f64();
-            (there - f64::from(r.own)).max(0.0) * 0.5f64.powf(age)
+            (total - f64::from(r.own_in_flight)).max(0.0) * 0.5f64.powf(age)
         });
         (own + others) / f64::from(slots.max(1))
     }
 
     /// Creates a report that arrived now.
-    fn reported(&self, now: MonoTime, load: LoadOf) -> Reported {
-        Reported {
+    fn make_report(&self, now: MonoTime, load: LoadOf) -> LoadReport {
+        LoadReport {
             running: load.running,
             waiting: load.waiting,
             at: now,
-            own: self.in_flight,
+            own_in_flight: self.in_flight,
         }
     }
 }
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -55,18 +55,18 @@
         ToEntry, //
     },
     limits::{
-        LimitOf,
-        NamedLimits, //
+        KnownLimits,
+        LimitOf, //
     },
     loads::Loads,
-    pool::{
+    outliers::{
         Doubt,
-        Pool, //
+        OutlierDetector, //
     },
     rollout::Phase,
     shortage::{
-        ShareOf,
-        Shortages, //
+        AdmissionControl,
+        ShareOf, //
     },
     store::{
         Command,
@@ -301,10 +301,10 @@
     next_ticket: u64,
     crashes: Crashes,
     loads: Loads,
-    limits: NamedLimits,
-    pool: Pool,
+    limits: KnownLimits,
+    pool: OutlierDetector,
     waits: PooledWaits,
-    shortages: Shortages,
+    shortages: AdmissionControl,
     look_at: MonoTime,
     /// Write that is not synced yet, and since when.
     writing: Option<(WriteId, MonoTime)>,
@@ -334,10 +334,10 @@
             next_ticket: 1,
             crashes: Crashes::default(),
             loads: Loads::default(),
-            limits: NamedLimits::default(),
-            pool: Pool::default(),
+            limits: KnownLimits::default(),
+            pool: OutlierDetector::default(),
             waits: PooledWaits::default(),
-            shortages: Shortages::default(),
+            shortages: AdmissionControl::default(),
             look_at: now,
             writing: None,
             disk_full: false,
--- a/sesamebeam_core/src/gateway/coordinator/telling.rs
+++ b/sesamebeam_core/src/gateway/coordinator/telling.rs
@@ -169,7 +169,7 @@
         let doubts = self.pool.doubts().to_vec();
         self.push(this.clone(), ToEntry::Doubts(doubts));
         if !self.limits.is_empty() {
-            let limits = self.limits.tell(self.now);
+            let limits = self.limits.current(self.now);
             self.push(this.clone(), ToEntry::Limits(limits));
         }
         for (kept, all) in self.trials.kept(self.now) {
@@ -201,10 +201,10 @@
         self.trials.have_run(self.now, &self.store, &report.ages);
         self.trials.take(self.now, &self.store, &report.evidence);
         self.loads.take(self.now, report.loads.iter().copied());
-        self.limits.take(self.now, report.limits.iter().copied());
-        self.pool.take(report.outcomes.iter().copied());
+        self.limits.apply(self.now, report.limits.iter().copied());
+        self.pool.record(report.outcomes.iter().copied());
         self.waits.take(self.now, report.waits.iter().copied());
-        self.shortages.take(self.now, report.work.iter().copied());
+        self.shortages.record(self.now, report.work.iter().copied());
         self.count_crashes(&report.crashes);
         for kept in &report.kept {
             self.keep_sessions(kept);
@@ -261,7 +261,7 @@
             };
             self.push(self.telling.followers(), loads);
         }
-        if self.pool.judge(self.now, &self.directory) {
+        if self.pool.evaluate(self.now, &self.directory) {
             let doubts = self.pool.doubts().to_vec();
             self.note(Note::Doubts(doubts.clone()));
             self.push(self.telling.followers(), ToEntry::Doubts(doubts));
@@ -295,7 +295,7 @@
         let directory = &self.directory;
         self.limits
             .retain(|server| directory.with_key(server).next().is_some());
-        let limits = self.limits.tell(self.now);
+        let limits = self.limits.current(self.now);
         if self.telling.limits != limits {
             self.telling.limits = limits.clone();
             self.note(Note::Limits(limits.clone()));
--- a/sesamebeam_core/src/gateway/feed.rs
+++ b/sesamebeam_core/src/gateway/feed.rs
@@ -40,13 +40,13 @@
         LoadOf,
         ServerKey, //
     },
-    pool::{
-        Doubt,
-        Outcomes, //
+    outliers::{
+        AnswerCounts,
+        Doubt, //
     },
     shortage::{
-        ShareOf,
-        WorkOf, //
+        ServiceLoad,
+        ShareOf, //
     },
     store::{
         Document,
@@ -142,14 +142,14 @@
     /// Limits that backend servers have named, or named no more.
     pub limits: Vec<LimitOf>,
     /// Answers of backend servers, good and bad.
-    pub outcomes: Vec<Outcomes>,
+    pub outcomes: Vec<AnswerCounts>,
     /// Backend servers that could not be reached from a failure domain. What is cut
     /// from one may be within reach of another, so that these stay in their own.
     pub unreached: Vec<Unreached>,
     /// Waits for first events.
     pub waits: Vec<WaitsOf>,
     /// What became of requests to plain services.
-    pub work: Vec<WorkOf>,
+    pub work: Vec<ServiceLoad>,
     /// Requests that were running when backend servers went down.
     pub crashes: Vec<Crash>,
     /// Sessions that must stay on the versions before a roll-out.
--- a/sesamebeam_core/src/gateway/limits.rs
+++ b/sesamebeam_core/src/gateway/limits.rs
@@ -7,7 +7,7 @@
 //! receive through the control replicas: an entry that may send once in a hundred seconds
 //! would otherwise follow a limit of that age.
 
-mod named;
+mod known;
 mod pace;
 
 use std::{
@@ -18,13 +18,13 @@
 use smol_str::SmolStr;
 
 pub use self::{
-    named::{
-        LimitOf,
-        NamedLimits, //
+    known::{
+        KnownLimits,
+        LimitOf, //
     },
     pace::{
         Pace,
-        allowed, //
+        max_arrivals, //
     },
 };
 use super::{
@@ -42,48 +42,48 @@
 
 /// Time for which a limit received in an answer takes precedence over reported ones;
 /// reports take up to half a second through two control replicas.
-const OWN_COUNTS_FOR: Duration = Duration::from_secs(1);
+const OWN_ANSWER_PRECEDENCE: Duration = Duration::from_secs(1);
 
 /// Limits known to one entry, and its sends to limited backend servers.
 #[derive(Debug)]
-pub struct Limits {
+pub struct ServerLimits {
     /// Name of this entry, which determines the phase of its turns.
     name: SmolStr,
     entries: EntryCount,
-    of: HashMap<ServerId, Limited>,
+    servers: HashMap<ServerId, LimitedServer>,
     /// Limits to report.
-    fresh: HashMap<ServerKey, LimitOf>,
+    unreported: HashMap<ServerKey, LimitOf>,
 }
 
 /// Backend server with a rate limit.
 #[derive(Clone, Copy, Debug)]
-struct Limited {
+struct LimitedServer {
     /// Requests per second from all entries.
     limit: f64,
     pace: Pace,
     /// When an answer last stated the limit, or when the first report of it arrived.
-    heard_at: MonoTime,
+    received_at: MonoTime,
     /// Last send while the limit is known.
     sent_at: Option<MonoTime>,
     /// Latest time at which a rejected caller was told to retry.
-    promised: Option<MonoTime>,
+    reserved_at: Option<MonoTime>,
 }
 
-impl Limits {
+impl ServerLimits {
     /// Creates an empty set of limits.
     pub fn new(name: SmolStr) -> Self {
         Self {
             name,
             entries: EntryCount::default(),
-            of: HashMap::new(),
-            fresh: HashMap::new(),
+            servers: HashMap::new(),
+            unreported: HashMap::new(),
         }
     }
 
     /// Sets the number of entries.
     pub fn set_entries(&mut self, now: MonoTime, entries: u32) {
         if self.entries.hear(now, entries) {
-            for limited in self.of.values_mut() {
+            for limited in self.servers.values_mut() {
                 limited.pace = Pace::of(limited.limit, self.entries.most());
             }
         }
@@ -94,126 +94,126 @@
     ///
     /// An answer without a limit ends the limit only if its request was sent after the
     /// limit was received, as answers on different connections may arrive out of order.
-    pub fn heard(
+    pub fn record(
         &mut self,
         now: MonoTime,
         id: &ServerId,
         sent_at: MonoTime,
         limit: Option<f64>,
     ) -> bool {
-        let known = self.of.get(id);
-        let ends = known.is_some_and(|known| sent_at > known.heard_at);
+        let known = self.servers.get(id);
+        let ends = known.is_some_and(|known| sent_at > known.received_at);
         if limit.is_none() && !ends {
             return false;
         }
         let server = loads::key(id);
-        self.fresh.insert(server, LimitOf { server, limit });
+        self.unreported.insert(server, LimitOf { server, limit });
         self.set(now, id, limit)
     }
 
     /// Applies a limit received by another entry and returns whether it changed.
-    pub fn told(&mut self, now: MonoTime, id: &ServerId, limit: Option<f64>) -> bool {
-        match self.of.get(id) {
-            Some(known) if now < known.heard_at + OWN_COUNTS_FOR => false,
+    pub fn apply(&mut self, now: MonoTime, id: &ServerId, limit: Option<f64>) -> bool {
+        match self.servers.get(id) {
+            Some(known) if now < known.received_at + OWN_ANSWER_PRECEDENCE => false,
             Some(known) if limit == Some(known.limit) => false,
             _ => self.set(now, id, limit),
         }
     }
 
     /// Returns whether a request may be sent to a backend server now.
-    pub fn is_open(&self, now: MonoTime, id: &ServerId) -> bool {
-        let limited = self.of.get(id);
+    pub fn allows_send(&self, now: MonoTime, id: &ServerId) -> bool {
+        let limited = self.servers.get(id);
         limited.is_none_or(|limited| {
-            let opens_at = self.opens_at(now, id, limited, limited.sent_at);
-            opens_at.is_some_and(|at| at <= now)
+            let allowed_at = self.allowed_at(now, id, limited, limited.sent_at);
+            allowed_at.is_some_and(|at| at <= now)
         })
     }
 
     /// Records a send.
-    pub fn sent(&mut self, now: MonoTime, id: &ServerId) {
-        if let Some(limited) = self.of.get_mut(id) {
+    pub fn record_send(&mut self, now: MonoTime, id: &ServerId) {
+        if let Some(limited) = self.servers.get_mut(id) {
             limited.sent_at = Some(now);
         }
     }
 
     /// Returns the number of backend servers with a limit.
     pub fn count(&self) -> usize {
-        self.of.len()
+        self.servers.len()
     }
 
     /// Returns whether a backend server has a limit.
-    pub fn names(&self, id: &ServerId) -> bool {
-        self.of.contains_key(id)
+    pub fn has_limit(&self, id: &ServerId) -> bool {
+        self.servers.contains_key(id)
     }
 
     /// Returns the earliest time from `from` on at which a backend server accepts another
     /// request, after all times reserved for callers; none if that cannot be computed.
-    pub fn next_opening(&self, from: MonoTime, id: &ServerId) -> Option<MonoTime> {
-        let Some(limited) = self.of.get(id) else {
+    pub fn next_allowed(&self, from: MonoTime, id: &ServerId) -> Option<MonoTime> {
+        let Some(limited) = self.servers.get(id) else {
             return Some(from);
         };
-        let last = limited.sent_at.max(limited.promised);
-        self.opens_at(from, id, limited, last)
+        let last = limited.sent_at.max(limited.reserved_at);
+        self.allowed_at(from, id, limited, last)
     }
 
     /// Reserves a time at which a rejected caller was told to retry.
-    pub fn promise(&mut self, id: &ServerId, at: MonoTime) {
-        if let Some(limited) = self.of.get_mut(id) {
-            limited.promised = Some(at);
+    pub fn reserve(&mut self, id: &ServerId, at: MonoTime) {
+        if let Some(limited) = self.servers.get_mut(id) {
+            limited.reserved_at = Some(at);
         }
     }
 
     /// Takes the limits to report.
-    pub fn take_fresh(&mut self) -> Vec<LimitOf> {
-        self.fresh.drain().map(|(_, limit)| limit).collect()
+    pub fn take_unreported(&mut self) -> Vec<LimitOf> {
+        self.unreported.drain().map(|(_, limit)| limit).collect()
     }
 
     /// Removes the limit of an earlier incarnation.
     pub fn forget(&mut self, id: &ServerId) {
-        self.of.remove(id);
+        self.servers.remove(id);
     }
 
     /// Removes backend servers that are gone.
     pub fn retain(&mut self, known: impl Fn(&ServerId) -> bool) {
-        self.of.retain(|id, _| known(id));
+        self.servers.retain(|id, _| known(id));
     }
 
     fn set(&mut self, now: MonoTime, id: &ServerId, limit: Option<f64>) -> bool {
         let Some(limit) = limit else {
-            return self.of.remove(id).is_some();
+            return self.servers.remove(id).is_some();
         };
-        let before = self.of.get(id).copied();
+        let before = self.servers.get(id).copied();
         let pace = match before {
             Some(before) if before.limit == limit => before.pace,
             _ => Pace::of(limit, self.entries.most()),
         };
-        let limited = Limited {
+        let limited = LimitedServer {
             limit,
             pace,
-            heard_at: now,
+            received_at: now,
             sent_at: before.and_then(|before| before.sent_at),
-            promised: before.and_then(|before| before.promised),
+            reserved_at: before.and_then(|before| before.reserved_at),
         };
-        self.of.insert(id.clone(), limited);
+        self.servers.insert(id.clone(), limited);
         before.is_none_or(|before| before.limit != limit)
     }
 
     /// Returns the earliest time from `from` on at which a request may be sent, given the
     /// last send; none if that cannot be computed.
-    fn opens_at(
+    fn allowed_at(
         &self,
         from: MonoTime,
         id: &ServerId,
-        limited: &Limited,
+        limited: &LimitedServer,
         last: Option<MonoTime>,
     ) -> Option<MonoTime> {
-        let counted_since = self.entries.since()?;
+        let count_known_since = self.entries.since()?;
         match limited.pace {
             Pace::Never => None,
             // Without a known send, assumes one at the first count of entries: this entry
             // may have sent a request before it restarted.
             Pace::Spaced(period) => {
-                let last = last.unwrap_or(counted_since);
+                let last = last.unwrap_or(count_known_since);
                 Some(from.max(last + period))
             }
             Pace::Turns { period, width } => {
@@ -234,10 +234,10 @@
     width: Duration,
     last: Option<MonoTime>,
 ) -> MonoTime {
-    let into = period.mul_f64((from.as_secs_f64() / period.as_secs_f64() + phase).fract());
-    let is_used = last.is_some_and(|at| at + into >= from);
-    match into < width && !is_used {
+    let offset = period.mul_f64((from.as_secs_f64() / period.as_secs_f64() + phase).fract());
+    let is_used = last.is_some_and(|at| at + offset >= from);
+    match offset < width && !is_used {
         true => from,
-        false => from + (period - into),
+        false => from + (period - offset),
     }
 }
--- a/sesamebeam_core/src/gateway/limits/named.rs
+++ b/sesamebeam_core/src/gateway/limits/known.rs
@@ -17,11 +17,11 @@
 
 /// Time after which reports about a limit that has ended no longer arrive: entries report
 /// five times a second, and replicas forward ten times a second.
-const CROSSES_IN: Duration = Duration::from_millis(500);
+const REPORT_DELAY: Duration = Duration::from_millis(500);
 
 /// Time for which the end of a limit is published. An entry that misses it learns of the
 /// end from its next answer.
-const ENDED_FOR: Duration = Duration::from_secs(5);
+const ENDED_RETENTION: Duration = Duration::from_secs(5);
 
 /// Limit stated by a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -34,50 +34,51 @@
 
 /// Limits known to a control replica.
 #[derive(Clone, Debug, Default)]
-pub struct NamedLimits {
-    of: BTreeMap<ServerKey, Named>,
+pub struct KnownLimits {
+    limits: BTreeMap<ServerKey, KnownLimit>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct KnownLimit {
     limit: Option<f64>,
     /// When the limit was last reported, or ended.
     at: MonoTime,
 }
 
-impl NamedLimits {
+impl KnownLimits {
     /// Applies reports of entries.
     ///
     /// A limit ends only if no entry has reported it for a while, as the report of an
     /// answer without a limit may arrive before that of an earlier answer with one.
-    pub fn take(&mut self, now: MonoTime, heard: impl IntoIterator<Item = LimitOf>) {
-        for LimitOf { server, limit } in heard {
-            let known = self.of.get(&server);
-            let ends = known.is_some_and(|k| k.limit.is_some() && now >= k.at + CROSSES_IN);
+    pub fn apply(&mut self, now: MonoTime, reports: impl IntoIterator<Item = LimitOf>) {
+        for LimitOf { server, limit } in reports {
+            let known = self.limits.get(&server);
+            let ends = known.is_some_and(|k| k.limit.is_some() && now >= k.at + REPORT_DELAY);
             if limit.is_some() || ends {
-                self.of.insert(server, Named { limit, at: now });
+                self.limits.insert(server, KnownLimit { limit, at: now });
             }
         }
     }
 
     /// Returns all limits, including recently ended ones.
-    pub fn tell(&mut self, now: MonoTime) -> Vec<LimitOf> {
-        let stays = |named: &Named| named.limit.is_some() || now < named.at + ENDED_FOR;
-        self.of.retain(|_, named| stays(named));
-        let tell = |(&server, named): (&ServerKey, &Named)| LimitOf {
+    pub fn current(&mut self, now: MonoTime) -> Vec<LimitOf> {
+        let is_retained =
+            |known: &KnownLimit| known.limit.is_some() || now < known.at + ENDED_RETENTION;
+        self.limits.retain(|_, known| is_retained(known));
+        let to_limit = |(&server, known): (&ServerKey, &KnownLimit)| LimitOf {
             server,
-            limit: named.limit,
+            limit: known.limit,
         };
-        self.of.iter().map(tell).collect()
+        self.limits.iter().map(to_limit).collect()
     }
 
     /// Removes backend servers that are gone.
     pub fn retain(&mut self, known: impl Fn(ServerKey) -> bool) {
-        self.of.retain(|&server, _| known(server));
+        self.limits.retain(|&server, _| known(server));
     }
 
     /// Returns whether no limits are known.
     pub fn is_empty(&self) -> bool {
-        self.of.is_empty()
+        self.limits.is_empty()
     }
 }
--- a/sesamebeam_core/src/gateway/limits/pace.rs
+++ b/sesamebeam_core/src/gateway/limits/pace.rs
@@ -35,18 +35,18 @@
 
 /// Maximum difference between the times that two requests take from choice to arrival: a
 /// wait for a connection of a quarter of a second, and as much for a slow network path.
-const ON_THE_WAY: Duration = Duration::from_millis(500);
+const MAX_TRANSIT_DIFFERENCE: Duration = Duration::from_millis(500);
 
 /// Maximum length of a turn. An entry of a fully limited service gets one or two callers
 /// a second, one of which has to fall into the turn; a longer turn lowers the total rate.
-const TURN: Duration = Duration::from_secs(1);
+const MAX_TURN: Duration = Duration::from_secs(1);
 
 /// Negative exponent of the probability that the turns coincide and exceed the bound: one
 /// in 10 million.
-const UNLIKELY: f64 = 16.1;
+const MIN_VIOLATION_EXPONENT: f64 = 16.1;
 
 /// Bisection steps for the rate of turns, to a thousandth of the bound.
-const HALVINGS: u32 = 20;
+const BISECTION_STEPS: u32 = 20;
 
 /// Send schedule of one entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -79,7 +79,7 @@
         }
         period(turns).map_or(Self::Never, |period| Self::Turns {
             period,
-            width: TURN.min(period),
+            width: MAX_TURN.min(period),
         })
     }
 
@@ -93,28 +93,28 @@
 }
 
 /// Returns the maximum number of arrivals in any [`SPAN`].
-pub fn allowed(limit: f64) -> f64 {
+pub fn max_arrivals(limit: f64) -> f64 {
     OVERSHOOT * limit * SPAN.as_secs_f64() + SLACK
 }
 
 /// Returns the total rate of all entries with spaced sends.
 fn spaced_rate(limit: f64, entries: f64) -> f64 {
-    let sent_in = (SPAN + ON_THE_WAY).as_secs_f64();
-    ((allowed(limit) - entries) / sent_in).clamp(0.0, limit)
+    let send_span = (SPAN + MAX_TRANSIT_DIFFERENCE).as_secs_f64();
+    ((max_arrivals(limit) - entries) / send_span).clamp(0.0, limit)
 }
 
 /// Returns the total rate of all entries with turns.
 fn turn_rate(limit: f64) -> f64 {
-    let sent_in = (SPAN + ON_THE_WAY + TURN).as_secs_f64();
-    let breaks = allowed(limit).floor() + 1.0;
-    let exponent = |mean: f64| breaks * (breaks / mean).ln() - breaks + mean;
-    let (mut safe, mut unsafe_from) = (0.0, breaks);
-    for _ in 0..HALVINGS {
-        let mean = (safe + unsafe_from) / 2.0;
-        match exponent(mean) >= UNLIKELY {
-            true => safe = mean,
-            false => unsafe_from = mean,
+    let send_span = (SPAN + MAX_TRANSIT_DIFFERENCE + MAX_TURN).as_secs_f64();
+    let violation = max_arrivals(limit).floor() + 1.0;
+    let exponent = |mean: f64| violation * (violation / mean).ln() - violation + mean;
+    let (mut lower, mut upper) = (0.0, violation);
+    for _ in 0..BISECTION_STEPS {
+        let mean = (lower + upper) / 2.0;
+        match exponent(mean) >= MIN_VIOLATION_EXPONENT {
+            true => lower = mean,
+            false => upper = mean,
         }
     }
-    (safe / sent_in).min(limit)
+    (lower / send_span).min(limit)
 }
--- a/sesamebeam_core/src/gateway/loads.rs
+++ b/sesamebeam_core/src/gateway/loads.rs
@@ -16,7 +16,7 @@
 };
 
 use super::{
-    balance::LOAD_SPARE,
+    balance::LOAD_ALLOWANCE,
     directory::ServerId,
     request::Load, //
 };
@@ -114,7 +114,7 @@
     /// Returns what is to be told now, if its time has come.
     ///
     /// `among` is the number of backend servers, 0 if it is not known. Where these have
-    /// hardly any requests, loads up to [`LOAD_SPARE`] are left out: a choice passes over
+    /// hardly any requests, loads up to [`LOAD_ALLOWANCE`] are left out: a choice passes over
     /// none of them.
     pub fn due(&mut self, now: MonoTime, among: usize) -> Option<Vec<LoadOf>> {
         if self.fresh.is_empty() || now < self.told_at + TELL_EVERY {
@@ -127,7 +127,7 @@
         let mut told: Vec<LoadOf> = fresh.map(left).collect();
         let total: f64 = told.iter().map(|load| f64::from(load.total())).sum();
         if total < IDLE_MEAN * among as f64 {
-            told.retain(|load| f64::from(load.total()) > LOAD_SPARE || load.reading > 0);
+            told.retain(|load| f64::from(load.total()) > LOAD_ALLOWANCE || load.reading > 0);
         }
         told.sort_by_key(|load| (std::cmp::Reverse((load.reading, load.total())), load.server));
         told.truncate(MOST_TOLD);
--- a/sesamebeam_core/src/gateway/pool.rs
+++ b/sesamebeam_core/src/gateway/outliers.rs
@@ -33,11 +33,11 @@
 
 /// Half-life of answers in the recent failure rate of a backend server; faults last for
 /// seconds.
-const RECENT: Duration = Duration::from_millis(1000);
+const RECENT_HALF_LIFE: Duration = Duration::from_millis(1000);
 
 /// Half-life of answers in the baseline failure rate of a service: some requests fail on
 /// any backend server, 4 in 100 in one deployment.
-const USUAL: Duration = Duration::from_secs(20);
+const BASELINE_HALF_LIFE: Duration = Duration::from_secs(20);
 
 /// Prior of the baseline failure rate: assumed answers of a service and failures among
 /// them.
@@ -46,30 +46,30 @@
 
 /// Assumed excess of a faulty backend server's failure rate over the baseline; observed
 /// faults affect a fifth to a half of the answers.
-const EXCESS: f64 = 0.25;
+const ASSUMED_EXCESS: f64 = 0.25;
 
 /// Log-likelihood ratio at which a backend server is doubted. The sum restarts at 0 when
 /// it becomes negative (CUSUM test), so that good answers from long ago do not hide a new
-/// fault. `pool::good_one_doubted` measures the rate of false positives,
-/// `pool::bad_one_found` the detection time.
-const EVIDENCE: f64 = 7.0;
+/// fault. `outliers::false_positives_are_rare` measures the rate of false positives,
+/// `outliers::faulty_server_is_detected` the detection time.
+const EVIDENCE_THRESHOLD: f64 = 7.0;
 
 /// Upper bound of the failure rate that is assumed for a faulty backend server.
-const MOST_FAILING: f64 = 0.95;
+const MAX_ASSUMED_RATE: f64 = 0.95;
 
 /// Excess over the baseline failure rate below which a doubt ends.
-const CLEARED: f64 = 0.05;
+const CLEARED_EXCESS: f64 = 0.05;
 
 /// Minimum number of recent answers for ending a doubt.
-const MIN_CLEARING: f64 = 5.0;
+const MIN_CLEARING_ANSWERS: f64 = 5.0;
 
 /// Number of recent answers below which a doubt expires, so that the backend server is
 /// tried again: 70 answers decay to this within six seconds.
-const FORGOTTEN: f64 = 1.0;
+const MIN_RECENT_ANSWERS: f64 = 1.0;
 
 /// Counts of answers from one backend server, seen by one or more entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Outcomes {
+pub struct AnswerCounts {
     /// Key of the backend server.
     pub server: ServerKey,
     /// Successful answers.
@@ -78,7 +78,7 @@
     pub bad: u32,
 }
 
-impl Outcomes {
+impl AnswerCounts {
     /// Adds the counts of another report.
     pub fn add(&mut self, other: &Self) {
         self.good += other.good;
@@ -97,13 +97,13 @@
 
 /// Exponentially decaying counts of answers.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tally {
+struct DecayingCounts {
     good: f64,
     bad: f64,
     at: MonoTime,
 }
 
-impl Tally {
+impl DecayingCounts {
     fn add(&mut self, now: MonoTime, half_life: Duration, good: u32, bad: u32) {
         let age = now.saturating_sub(self.at).as_secs_f64();
         let factor = 0.5f64.powf(age / half_life.as_secs_f64());
@@ -116,15 +116,15 @@
         self.good + self.bad
     }
 
-    fn share(&self) -> f64 {
+    fn failure_rate(&self) -> f64 {
         self.bad / self.count().max(f64::EPSILON)
     }
 }
 
 /// Detection state of one backend server.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
-    recent: Tally,
+struct DetectionState {
+    recent: DecayingCounts,
     /// Log-likelihood ratio of the fault hypothesis since it was last 0.
     evidence: f64,
     is_doubted: bool,
@@ -132,20 +132,20 @@
 
 /// Outlier detector over the answers to all entries.
 #[derive(Clone, Debug, Default)]
-pub struct Pool {
-    servers: HashMap<ServerKey, Seen>,
+pub struct OutlierDetector {
+    servers: HashMap<ServerKey, DetectionState>,
     /// Baseline counts of each service.
-    usual: HashMap<ServiceId, Tally>,
+    baseline: HashMap<ServiceId, DecayingCounts>,
     /// Counts since the last evaluation.
-    fresh: HashMap<ServerKey, (u32, u32)>,
+    pending: HashMap<ServerKey, (u32, u32)>,
     doubts: Vec<Doubt>,
 }
 
-impl Pool {
+impl OutlierDetector {
     /// Adds reported counts.
-    pub fn take(&mut self, outcomes: impl IntoIterator<Item = Outcomes>) {
-        for Outcomes { server, good, bad } in outcomes {
-            let counts = self.fresh.entry(server).or_default();
+    pub fn record(&mut self, outcomes: impl IntoIterator<Item = AnswerCounts>) {
+        for AnswerCounts { server, good, bad } in outcomes {
+            let counts = self.pending.entry(server).or_default();
             counts.0 += good;
             counts.1 += bad;
         }
@@ -157,72 +157,73 @@
     }
 
     /// Evaluates the counts since the last call and returns whether the doubts changed.
-    pub fn judge(&mut self, now: MonoTime, directory: &Directory) -> bool {
-        if self.fresh.is_empty() && self.doubts.is_empty() {
+    pub fn evaluate(&mut self, now: MonoTime, directory: &Directory) -> bool {
+        if self.pending.is_empty() && self.doubts.is_empty() {
             return false;
         }
-        let fresh = std::mem::take(&mut self.fresh);
+        let pending = std::mem::take(&mut self.pending);
         let mut doubts = Vec::new();
         // Backend servers without new answers or a doubt keep their state.
-        let mut due: BTreeSet<ServerKey> = fresh.keys().copied().collect();
-        due.extend(self.doubts.iter().map(|d| d.server));
-        for key in due {
-            let Some(server) = living(directory, key) else {
+        let mut to_evaluate: BTreeSet<ServerKey> = pending.keys().copied().collect();
+        to_evaluate.extend(self.doubts.iter().map(|d| d.server));
+        for key in to_evaluate {
+            let Some(server) = find_present(directory, key) else {
                 continue;
             };
-            let mut seen = self.servers.get(&key).copied().unwrap_or_default();
-            let (good, bad) = fresh.get(&key).copied().unwrap_or_default();
-            seen.recent.add(now, RECENT, good, bad);
-            let usual = self.usual.entry(server.service.clone()).or_default();
-            seen.judge(usual_share(usual), good, bad);
-            if !seen.is_doubted {
-                usual.add(now, USUAL, good, bad);
+            let mut state = self.servers.get(&key).copied().unwrap_or_default();
+            let (good, bad) = pending.get(&key).copied().unwrap_or_default();
+            state.recent.add(now, RECENT_HALF_LIFE, good, bad);
+            let baseline = self.baseline.entry(server.service.clone()).or_default();
+            state.evaluate(baseline_rate(baseline), good, bad);
+            if !state.is_doubted {
+                baseline.add(now, BASELINE_HALF_LIFE, good, bad);
             } else {
-                let failing = (seen.recent.share() * 100.0).round() as u8;
+                let failing = (state.recent.failure_rate() * 100.0).round() as u8;
                 doubts.push(Doubt {
                     server: key,
                     failing,
                 });
             }
-            self.servers.insert(key, seen);
+            self.servers.insert(key, state);
         }
-        self.forget(directory);
+        self.remove_gone(directory);
         doubts.sort_by_key(|d| d.server);
-        let others = |d: &[Doubt]| {
+        let coarse = |d: &[Doubt]| {
             d.iter()
                 .map(|d| (d.server, d.failing / 10))
                 .collect::<Vec<_>>()
         };
-        let changed = others(&doubts) != others(&self.doubts);
+        let changed = coarse(&doubts) != coarse(&self.doubts);
         self.doubts = doubts;
         changed
     }
 
     /// Removes backend servers that are gone once the state holds twice as many as the
     /// directory.
-    fn forget(&mut self, directory: &Directory) {
+    fn remove_gone(&mut self, directory: &Directory) {
         if self.servers.len() <= 2 * directory.count() {
             return;
         }
         self.servers
-            .retain(|&key, _| living(directory, key).is_some());
+            .retain(|&key, _| find_present(directory, key).is_some());
     }
 }
 
-impl Seen {
+impl DetectionState {
     /// Updates the state from the baseline failure rate and the newest answers.
-    fn judge(&mut self, usual: f64, good: u32, bad: u32) {
-        let suspected = (usual + EXCESS).min(MOST_FAILING);
-        let of_bad = (suspected / usual).ln();
-        let of_good = ((1.0 - suspected) / (1.0 - usual)).ln();
-        let added = f64::from(bad) * of_bad + f64::from(good) * of_good;
-        self.evidence = (self.evidence + added).max(0.0);
+    fn evaluate(&mut self, baseline: f64, good: u32, bad: u32) {
+        let assumed = (baseline + ASSUMED_EXCESS).min(MAX_ASSUMED_RATE);
+        let bad_weight = (assumed / baseline).ln();
+        let good_weight = ((1.0 - assumed) / (1.0 - baseline)).ln();
+        let log_ratio = f64::from(bad) * bad_weight + f64::from(good) * good_weight;
+        self.evidence = (self.evidence + log_ratio).max(0.0);
         if self.is_doubted {
             let count = self.recent.count();
-            let is_cleared = count >= MIN_CLEARING && self.recent.share() < usual + CLEARED;
-            self.is_doubted = !is_cleared && count >= FORGOTTEN;
+            let is_cleared = count >= MIN_CLEARING_ANSWERS
+                && self.recent.failure_rate() < baseline + CLEARED_EXCESS;
+            self.is_doubted = !is_cleared && count >= MIN_RECENT_ANSWERS;
         } else {
-            self.is_doubted = self.evidence >= EVIDENCE;
+            self.is_doubted = self.evidence >= EVIDENCE_THRESHOLD;
         }
         if self.is_doubted {
             self.evidence = 0.0;
@@ -231,12 +232,12 @@
 }
 
 /// Returns the announcement of a backend server that is not gone.
-fn living(directory: &Directory, key: ServerKey) -> Option<&Announcement> {
-    let mut of_key = directory.with_key(key).map(|k| &k.said);
-    of_key.find(|said| said.state != ServerState::Gone)
+fn find_present(directory: &Directory, key: ServerKey) -> Option<&Announcement> {
+    let mut with_key = directory.with_key(key).map(|k| &k.said);
+    with_key.find(|said| said.state != ServerState::Gone)
 }
 
 /// Returns the baseline failure rate of a service.
-fn usual_share(usual: &Tally) -> f64 {
-    (usual.bad + PRIOR_FAILURES) / (usual.count() + PRIOR_ANSWERS)
+fn baseline_rate(baseline: &DecayingCounts) -> f64 {
+    (baseline.bad + PRIOR_FAILURES) / (baseline.count() + PRIOR_ANSWERS)
 }
--- a/sesamebeam_core/src/gateway/router.rs
+++ b/sesamebeam_core/src/gateway/router.rs
@@ -1,10 +1,10 @@
 //! Request routing of an entry in pass-through mode.
 
+mod canary;
+mod capacity;
 mod choosing;
 mod exchange;
 mod retry_after;
-mod shared;
-mod trial;
 
 use std::{
     net::SocketAddr,
@@ -15,11 +15,11 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-pub use self::choosing::CANDIDATES;
+pub use self::choosing::MAX_CANDIDATES;
 use super::{
     backoff::Backoffs,
     balance::{
-        Balance,
+        LoadBalancer,
         Outcome, //
     },
     budget::{
@@ -52,7 +52,7 @@
         Kept, //
     },
     lengths::Lengths,
-    limits::Limits,
+    limits::ServerLimits,
     reading::ReadingTimes,
     request::{
         AnswerHead,
@@ -88,7 +88,7 @@
 };
 
 /// Interval between two removals of expired state.
-const TIDY_EVERY: Duration = Duration::from_secs(1);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Settings of a router.
 #[derive(Clone, Debug, PartialEq)]
@@ -120,17 +120,17 @@
     #[error("unknown key")]
     UnknownKey,
     /// Requests with this fingerprint crash backend servers.
-    #[error("crashes what runs it")]
+    #[error("request crashes backend servers")]
     Quarantined,
     /// The service has too little capacity for its load, and this request was not
     /// admitted.
     #[error("service short of capacity")]
-    Short,
+    ShortOfCapacity,
 }
 
 /// Why no backend server could be chosen for a send.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Unserved {
+pub enum ChooseError {
     /// No backend server of the service has announced itself.
     #[error("no backend server is known")]
     Unknown,
@@ -168,13 +168,13 @@
     /// Cost of a model run, in tokens that are paid for, for each token of the answer.
     pub expense: f64,
     /// Prompt prefix shared with other requests.
-    shared: Option<PromptPart>,
+    shared_prefix: Option<PromptPart>,
     /// Prompt tokens that no other request shares.
-    own_tokens: u32,
+    unshared_tokens: u32,
     /// Session identifier.
     session: Option<SmolStr>,
     /// Whether the request goes to the new version during a canary phase.
-    on_trial: bool,
+    in_canary: bool,
     /// Pseudo-random tie breaker, derived from the request id.
     seed: u64,
 }
@@ -202,14 +202,14 @@
     /// Version that the backend server runs.
     pub version: SmolStr,
     /// Expected time to process the unshared part of the prompt.
-    pub reading: Duration,
+    pub prefill_time: Duration,
     /// Number of backend servers considered for the choice.
     pub candidates: usize,
 }
 
 impl Choice {
     /// Returns the chosen incarnation.
-    pub fn life(&self) -> Life {
+    pub fn incarnation(&self) -> Life {
         Life {
             id: self.id.clone(),
             born: self.born,
@@ -224,24 +224,24 @@
     table: Option<Arc<Table>>,
     /// Whether the configuration is at least as new as any that existed when this entry
     /// started.
-    current: bool,
-    index: LogIndex,
+    is_config_current: bool,
+    log_index: LogIndex,
     orders: Orders,
     directory: Directory,
     cold: Cold,
-    limits: Limits,
+    limits: ServerLimits,
     backoffs: Backoffs,
     admission: Admission,
-    balance: Balance,
+    balancer: LoadBalancer,
     budget: Budget,
     cascade: Cascade,
     tallies: Tallies,
     suspects: Suspects,
     sessions: Sessions,
     lengths: Lengths,
-    reading: ReadingTimes,
+    prefill_times: ReadingTimes,
     /// When expired state is removed next.
-    tidy_at: MonoTime,
+    cleanup_at: MonoTime,
 }
 
 impl Router {
@@ -251,22 +251,22 @@
             budget: Budget::new(cfg.budget),
             sessions: Sessions::new(cfg.session_pause, cfg.exposure_share * TRIAL_PART),
             cold: Cold::new(cfg.name.clone()),
-            limits: Limits::new(cfg.name.clone()),
+            limits: ServerLimits::new(cfg.name.clone()),
             backoffs: Backoffs::default(),
             cfg,
             table: None,
-            current: false,
-            index: 0,
+            is_config_current: false,
+            log_index: 0,
             orders: Orders::default(),
             directory: Directory::default(),
             admission: Admission::default(),
-            balance: Balance::default(),
+            balancer: LoadBalancer::default(),
             cascade: Cascade::default(),
             tallies: Tallies::default(),
             suspects: Suspects::default(),
             lengths: Lengths::default(),
-            reading: ReadingTimes::default(),
-            tidy_at: MonoTime::ZERO,
+            prefill_times: ReadingTimes::default(),
+            cleanup_at: MonoTime::ZERO,
         }
     }
 
@@ -286,14 +286,17 @@
     }
 
     /// Returns the number of backend servers with load-balancing state.
-    pub fn balanced(&self) -> usize {
-        self.balance.count()
+    pub fn tracked_servers(&self) -> usize {
+        self.balancer.count()
     }
 
     /// Applies a configuration unless one of the same or a later version is in force.
     /// Lagging control replicas may send older ones, so the version never decreases.
     pub fn set_config(&mut self, now: MonoTime, config: GatewayConfig) -> bool {
-        if self.version().is_some_and(|held| held >= config.version) {
+        if self
+            .version()
+            .is_some_and(|current| current >= config.version)
+        {
             return false;
         }
         if self.table.is_none() {
@@ -304,17 +307,17 @@
     }
 
     /// Records that a control replica with up-to-date state has sent all of it.
-    pub fn set_current(&mut self) {
-        self.current = true;
+    pub fn set_config_current(&mut self) {
+        self.is_config_current = true;
     }
 
     /// Applies roll-outs and evacuations as of an index of the replicated log. Returns
     /// whether anything changed.
     pub fn set_orders(&mut self, now: MonoTime, index: LogIndex, orders: Orders) -> bool {
-        if index < self.index {
+        if index < self.log_index {
             return false;
         }
-        self.index = index;
+        self.log_index = index;
         if self.orders == orders {
             return false;
         }
@@ -330,29 +333,30 @@
 
     /// Applies an announcement of a backend server. Returns whether the directory
     /// changed.
-    pub fn announced(&mut self, now: MonoTime, said: Announcement) -> bool {
+    pub fn apply_announcement(&mut self, now: MonoTime, announcement: Announcement) -> bool {
         let table = self.table.as_ref();
-        let is_named = table.is_some_and(|t| t.config().service(&said.service).is_some());
-        let before = self.directory.get(&said.id).map(Known::life);
-        let id = said.id.clone();
-        let news = self.directory.take(now, said, is_named);
+        let is_configured =
+            table.is_some_and(|t| t.config().service(&announcement.service).is_some());
+        let before = self.directory.get(&announcement.id).map(Known::life);
+        let id = announcement.id.clone();
+        let changed = self.directory.take(now, announcement, is_configured);
         let after = self.directory.get(&id).map(Known::life);
         if before.is_some() && before != after {
-            self.balance.reborn(&id);
+            self.balancer.reset(&id);
             self.limits.forget(&id);
             self.backoffs.forget(&id);
         }
-        news
+        changed
     }
 
     /// Removes state of backend servers and sessions that no longer exist.
-    pub fn tidy(&mut self, now: MonoTime) {
-        if now < self.tidy_at {
+    pub fn remove_expired(&mut self, now: MonoTime) {
+        if now < self.cleanup_at {
             return;
         }
-        self.tidy_at = now + TIDY_EVERY;
+        self.cleanup_at = now + CLEANUP_INTERVAL;
         let directory = &self.directory;
-        self.balance.retain(now, |id| directory.get(id).is_some());
+        self.balancer.retain(now, |id| directory.get(id).is_some());
         self.cold.retain(|id| directory.get(id).is_some());
         self.limits.retain(|id| directory.get(id).is_some());
         self.backoffs.retain(now, |id| directory.get(id).is_some());
@@ -368,10 +372,10 @@
         let table = self.table.clone().ok_or(Refusal::NoConfig)?;
         let path = head.path.split('?').next().unwrap_or_default();
         let route = table.route(&head.host, path);
-        let route = route.ok_or(self.if_current(Refusal::NoRoute))?;
+        let route = route.ok_or(self.if_config_current(Refusal::NoRoute))?;
         let caller = table.caller(route, head.key.as_deref());
         let organisation = match &caller {
-            Caller::Unknown => return Err(self.if_current(Refusal::UnknownKey)),
+            Caller::Unknown => return Err(self.if_config_current(Refusal::UnknownKey)),
             Caller::Anonymous => None,
             Caller::Of(org) => Some(org.name.clone()),
         };
@@ -381,19 +385,19 @@
         let service = table.service(route, seed).clone();
         self.budget.request(now, &service);
         if !route.streaming && !self.admission.admits(now, &service, route, head) {
-            return Err(Refusal::Short);
+            return Err(Refusal::ShortOfCapacity);
         }
         let session = head.session.as_ref();
-        let fair = self.fair_share(&service);
-        let on_trial = self
+        let canary_share = self.canary_share(&service);
+        let in_canary = self
             .sessions
-            .may_try(now, &service, session, &head.id, fair);
+            .may_try(now, &service, session, &head.id, canary_share);
         let rank = table::rank(route, &caller);
-        let open = head
+        let is_model_open = head
             .model
             .as_deref()
             .is_none_or(|m| m == crate::ids::ANY_MODEL);
-        let model = route.sizes.first().filter(|_| open).cloned();
+        let model = route.sizes.first().filter(|_| is_model_open).cloned();
         Ok(Plan {
             engine_rank: self
                 .lengths
@@ -402,10 +406,10 @@
             organisation,
             model,
             expense: cascade::expense(head.prompt_tokens, head.answer_tokens),
-            shared: head.shared_part().copied(),
-            own_tokens: head.own_tokens(),
+            shared_prefix: head.shared_part().copied(),
+            unshared_tokens: head.own_tokens(),
             session: head.session.clone(),
-            on_trial,
+            in_canary,
             seed,
             service,
             table,
@@ -418,8 +422,8 @@
     /// After a restart of all processes, an entry may receive an old configuration first.
     /// Callers do not retry after an unknown route or key, so these errors are returned
     /// only once the configuration is known to be current.
-    fn if_current(&self, refusal: Refusal) -> Refusal {
-        match self.current {
+    fn if_config_current(&self, refusal: Refusal) -> Refusal {
+        match self.is_config_current {
             true => refusal,
             false => Refusal::NoConfig,
         }
@@ -427,7 +431,7 @@
 
     /// Decides from the confidence stated by the model whether a successful answer is
     /// kept or the next larger model is asked.
-    pub fn judge(
+    pub fn judge_confidence(
         &mut self,
         now: MonoTime,
         plan: &Plan,
@@ -454,22 +458,22 @@
     }
 
     /// Records a response from a backend server.
-    pub fn heard(&mut self, now: MonoTime, id: &ServerId, load: Option<Load>) {
-        self.balance.heard(now, id, load);
+    pub fn record_response(&mut self, now: MonoTime, id: &ServerId, load: Option<Load>) {
+        self.balancer.record_response(now, id, load);
     }
 
     /// Records that the answer of a backend server is overdue.
-    pub fn overdue(&mut self, now: MonoTime, id: &ServerId) {
-        self.balance.overdue(now, id);
+    pub fn record_overdue(&mut self, now: MonoTime, id: &ServerId) {
+        self.balancer.record_overdue(now, id);
     }
 
     /// Returns when a backend server last responded.
-    pub fn heard_at(&self, id: &ServerId) -> MonoTime {
-        self.balance.heard_at(id)
+    pub fn last_response_at(&self, id: &ServerId) -> MonoTime {
+        self.balancer.last_response_at(id)
     }
 
     /// Records the time from a send to its first event.
-    pub fn waited(
+    pub fn record_first_event(
         &mut self,
         now: MonoTime,
         plan: &Plan,
@@ -479,75 +483,96 @@
     ) {
         let target = plan.route.target;
         self.cascade.waited(now, &plan.service, took, target);
-        self.reading
-            .note(&plan.service, model, plan.own_tokens, took);
-        self.balance.read(now, &choice.id, choice.reading);
+        self.prefill_times
+            .note(&plan.service, model, plan.unshared_tokens, took);
+        self.balancer
+            .record_prefilled(now, &choice.id, choice.prefill_time);
     }
 
     /// Records that a send ended, or is continued on another backend server, before its
     /// first event.
-    pub fn never_began(&mut self, now: MonoTime, choice: &Choice) {
-        self.balance.read(now, &choice.id, choice.reading);
+    pub fn record_aborted(&mut self, now: MonoTime, choice: &Choice) {
+        self.balancer
+            .record_prefilled(now, &choice.id, choice.prefill_time);
     }
 
     /// Returns the confidence at which an answer is currently kept.
-    pub fn keep_from(&self, now: MonoTime, plan: &Plan) -> f64 {
+    pub fn confidence_threshold(&self, now: MonoTime, plan: &Plan) -> f64 {
         self.cascade.keep_from(now, &plan.service, plan.expense)
     }
 
     /// Records the time from a send to the first byte of a successful answer.
-    pub fn timed(&mut self, plan: &Plan, choice: &Choice, model: Option<&str>, took: Duration) {
-        let on_trial = self.is_target(&plan.service, &choice.version);
+    pub fn record_first_byte(
+        &mut self,
+        plan: &Plan,
+        choice: &Choice,
+        model: Option<&str>,
+        took: Duration,
+    ) {
+        let in_canary = self.is_rollout_target(&plan.service, &choice.version);
         self.tallies
-            .timed(&plan.sender(choice), model, took, on_trial);
+            .timed(&plan.sender(choice), model, took, in_canary);
     }
 
     /// Records the mean time between the events of a stream.
-    pub fn paced(&mut self, plan: &Plan, choice: &Choice, model: Option<&str>, pace: Duration) {
-        let on_trial = self.is_target(&plan.service, &choice.version);
+    pub fn record_event_interval(
+        &mut self,
+        plan: &Plan,
+        choice: &Choice,
+        model: Option<&str>,
+        pace: Duration,
+    ) {
+        let in_canary = self.is_rollout_target(&plan.service, &choice.version);
         self.tallies
-            .paced(&plan.sender(choice), model, pace, on_trial);
+            .paced(&plan.sender(choice), model, pace, in_canary);
     }
 
     /// Records the answer to a non-streaming request.
-    pub fn answered(&mut self, plan: &Plan, took: Duration, load: Option<Load>) {
+    pub fn record_answer(&mut self, plan: &Plan, took: Duration, load: Option<Load>) {
         let target = plan.route.target;
-        self.admission.answered(&plan.service, took, target, load);
+        self.admission
+            .record_answer(&plan.service, took, target, load);
     }
 
     /// Records that a request found the queues of all backend servers full.
-    pub fn turned_away(&mut self, plan: &Plan) {
-        self.admission.turned_away(&plan.service);
+    pub fn record_rejected(&mut self, plan: &Plan) {
+        self.admission.record_rejected(&plan.service);
     }
 
     /// Records the outcome of a send.
     ///
     /// The outcome of a send to an earlier incarnation is ignored for the current one.
-    pub fn finished(&mut self, now: MonoTime, plan: &Plan, choice: &Choice, outcome: Outcome) {
-        let outcome = match self.lives(choice) {
+    pub fn record_outcome(
+        &mut self,
+        now: MonoTime,
+        plan: &Plan,
+        choice: &Choice,
+        outcome: Outcome,
+    ) {
+        let outcome = match self.is_current_incarnation(choice) {
             true => outcome,
             false => Outcome::Dropped,
         };
-        self.balance.finished(now, &choice.id, outcome);
-        self.keep_session(now, plan, choice);
+        self.balancer.record_outcome(now, &choice.id, outcome);
+        self.record_session(now, plan, choice);
         self.tallies.ended(&plan.sender(choice), outcome);
     }
 
     /// Marks the chosen incarnation as gone because another process answers at its
     /// address.
-    pub fn displaced(&mut self, now: MonoTime, choice: &Choice) {
+    pub fn mark_replaced(&mut self, now: MonoTime, choice: &Choice) {
         self.directory.leave(now, &choice.id, Some(choice.born));
     }
 
     /// Returns whether the chosen incarnation is still the current one of its backend
     /// server.
-    fn lives(&self, choice: &Choice) -> bool {
+    fn is_current_incarnation(&self, choice: &Choice) -> bool {
         let known = self.directory.get(&choice.id);
         known.is_none_or(|k| k.said.born == choice.born)
     }
 
     /// Records sessions that must stay on the versions from before a roll-out.
-    pub fn keep_sessions(&mut self, now: MonoTime, kept: &Kept, all: bool) {
+    pub fn pin_sessions(&mut self, now: MonoTime, kept: &Kept, all: bool) {
         self.sessions.keep(now, kept, all);
     }
 
@@ -575,16 +600,16 @@
     }
 
     /// Records that a request completed.
-    pub fn completed(&mut self, fingerprint: Digest) {
+    pub fn record_completion(&mut self, fingerprint: Digest) {
         self.suspects.completed(fingerprint);
     }
 
     /// Records that a request was running when its backend server crashed.
-    pub fn crashed(&mut self, fingerprint: Digest, choice: &Choice) {
-        self.suspects.crashed(fingerprint, choice.life());
+    pub fn record_crash(&mut self, fingerprint: Digest, choice: &Choice) {
+        self.suspects.crashed(fingerprint, choice.incarnation());
     }
 
-    fn keep_session(&mut self, now: MonoTime, plan: &Plan, choice: &Choice) {
+    fn record_session(&mut self, now: MonoTime, plan: &Plan, choice: &Choice) {
         if let Some(session) = &plan.session {
             self.sessions.ran(now, session, &choice.version);
         }
--- a/sesamebeam_core/src/gateway/router/trial.rs
+++ b/sesamebeam_core/src/gateway/router/canary.rs
@@ -21,7 +21,7 @@
 };
 
 impl Router {
-    pub(super) fn is_target(&self, service: &str, version: &str) -> bool {
+    pub(super) fn is_rollout_target(&self, service: &str, version: &str) -> bool {
         self.orders
             .rollouts
             .get(service)
@@ -39,45 +39,50 @@
     /// Some versions fail only under load. Spread over all new backend servers, the
     /// canary share puts no load on any of them, and such a version would be promoted
     /// without evidence against it. All entries select the same backend servers.
-    pub(super) fn keep_few(&self, fit: &mut Vec<&Known>, plan: &Plan, tried: &[ServerId]) {
-        let few = self.few_on_trial(self.count_before(&plan.service));
-        fit.retain(|k| !tried.contains(&k.said.id));
-        fit.sort_by_key(|k| {
+    pub(super) fn retain_canary_servers(
+        &self,
+        eligible: &mut Vec<&Known>,
+        plan: &Plan,
+        tried: &[ServerId],
+    ) {
+        let canary_count = self.canary_server_count(self.count_stable(&plan.service));
+        eligible.retain(|k| !tried.contains(&k.said.id));
+        eligible.sort_by_key(|k| {
             std::cmp::Reverse(hash::rendezvous(&k.said.version, k.said.id.as_bytes()))
         });
-        fit.truncate(few);
+        eligible.truncate(canary_count);
     }
 
     /// Returns the number of backend servers of a new version that receive canary
     /// requests, given the number that run stable versions.
-    pub(super) fn few_on_trial(&self, before: usize) -> usize {
+    pub(super) fn canary_server_count(&self, stable_count: usize) -> usize {
         let share = self.cfg.exposure_share * TRIAL_PART;
-        (share * before as f64).floor().max(1.0) as usize
+        (share * stable_count as f64).floor().max(1.0) as usize
     }
 
     /// Returns the share of a service's requests at which each canary server gets as many
     /// as a stable one; 0 outside the canary phase.
-    pub(super) fn fair_share(&self, service: &ServiceId) -> f64 {
+    pub(super) fn canary_share(&self, service: &ServiceId) -> f64 {
         let Some(rollout) = self.orders.rollouts.get(service) else {
             return 0.0;
         };
         if rollout.phase != Phase::Canary {
             return 0.0;
         }
-        let before = self.count_before(service);
-        let few = self.few_on_trial(before) as f64;
-        few / (before as f64 + few)
+        let stable_count = self.count_stable(service);
+        let canary_count = self.canary_server_count(stable_count) as f64;
+        canary_count / (stable_count as f64 + canary_count)
     }
 
     /// Returns the number of backend servers of a service that do not run the target
     /// version of its roll-out.
-    fn count_before(&self, service: &str) -> usize {
+    fn count_stable(&self, service: &str) -> usize {
         let groups = self.open_groups(service);
-        let before = groups.filter(|g| !self.is_target(service, g.version));
-        before.map(|g| g.count()).sum()
+        let stable = groups.filter(|g| !self.is_rollout_target(service, g.version));
+        stable.map(|g| g.count()).sum()
     }
 
-    pub(super) fn allowed(&self, plan: &Plan) -> Allowed {
+    pub(super) fn allowed_versions(&self, plan: &Plan) -> Allowed {
         let Some(rollout) = self.orders.rollouts.get(&plan.service) else {
             return Allowed::Any;
         };
@@ -87,7 +92,7 @@
             groups.any(|g| *g.version == target)
         };
         match rollout.phase {
-            Phase::Canary if plan.on_trial && has_target() => Allowed::Only(target),
+            Phase::Canary if plan.in_canary && has_target() => Allowed::Only(target),
             Phase::Canary | Phase::RolledBack => Allowed::Not(target),
             Phase::Promoted | Phase::Completed if has_target() => Allowed::Only(target),
             Phase::Promoted | Phase::Completed => Allowed::Any,
--- a/sesamebeam_core/src/gateway/router/shared.rs
+++ b/sesamebeam_core/src/gateway/router/capacity.rs
@@ -35,27 +35,29 @@
     /// Answers of earlier incarnations are ignored. A missing limit ends a limit only in
     /// an answer sealed by its backend server, as a rejection or an answer of another
     /// process may omit the limit.
-    pub fn limit_heard(
+    pub fn record_limit(
         &mut self,
         now: MonoTime,
         choice: &Choice,
         sent_at: MonoTime,
         answer: &AnswerHead,
     ) -> bool {
-        let says = answer.limit.is_some() || answer.sealed;
-        says && self.lives(choice) && self.limits.heard(now, &choice.id, sent_at, answer.limit)
+        let is_stated = answer.limit.is_some() || answer.sealed;
+        is_stated
+            && self.is_current_incarnation(choice)
+            && self.limits.record(now, &choice.id, sent_at, answer.limit)
     }
 
     /// Returns the number of idle connections that this entry keeps to each backend
     /// server of a plan's service.
-    pub fn most_idle(&self, plan: &Plan) -> usize {
+    pub fn max_idle_connections(&self, plan: &Plan) -> usize {
         let service = plan.table.config().service(&plan.service);
-        let takes = service.map_or(0, |s| s.max_connections);
-        connections::most_idle(takes, self.budget.entries())
+        let accepted = service.map_or(0, |s| s.max_connections);
+        connections::most_idle(accepted, self.budget.entries())
     }
 
     /// Returns the number of backend servers with a rate limit.
-    pub fn limited(&self) -> usize {
+    pub fn limited_count(&self) -> usize {
         self.limits.count()
     }
 
@@ -64,26 +66,26 @@
     ///
     /// Answers of earlier incarnations are ignored, as are those of a process other than
     /// the chosen one.
-    pub fn backoff_heard(
+    pub fn record_backoff(
         &mut self,
         now: MonoTime,
         choice: &Choice,
         answer: &AnswerHead,
     ) -> Option<Backoff> {
-        if answer.misdirected || !self.lives(choice) {
+        if answer.misdirected || !self.is_current_incarnation(choice) {
             return None;
         }
-        self.backoffs.heard(now, &choice.id, answer)
+        self.backoffs.record(now, &choice.id, answer)
     }
 
     /// Returns the number of backend servers that have asked this entry to back off.
-    pub fn backed_off(&self, now: MonoTime) -> usize {
+    pub fn backed_off_count(&self, now: MonoTime) -> usize {
         self.backoffs.count(now)
     }
 
     /// Returns whether the requested backoff and the rate limit of a backend server allow
     /// this entry to send it a request now.
-    pub(super) fn takes(&self, now: MonoTime, id: &ServerId) -> bool {
-        self.backoffs.is_open(now, id) && self.limits.is_open(now, id)
+    pub(super) fn accepts(&self, now: MonoTime, id: &ServerId) -> bool {
+        self.backoffs.allows_send(now, id) && self.limits.allows_send(now, id)
     }
 }
--- a/sesamebeam_core/src/gateway/router/choosing.rs
+++ b/sesamebeam_core/src/gateway/router/choosing.rs
@@ -2,15 +2,15 @@
 
 use super::{
     Choice,
+    ChooseError,
     Plan,
-    Router,
-    Unserved, //
+    Router, //
 };
 use crate::{
     gateway::{
         balance::{
             Affinity,
-            Need, //
+            ChoiceParams, //
         },
         cold,
         config::ColdConfig,
@@ -31,10 +31,10 @@
 /// shared prompt or the request determines which ones, so that the cost of a choice does
 /// not grow with the fleet; the least loaded of 64 has hardly more load than the least
 /// loaded of all.
-pub const CANDIDATES: usize = 128;
+pub const MAX_CANDIDATES: usize = 128;
 
 /// Factor by which the candidate window grows when none of the candidates is usable.
-const WIDER: usize = 8;
+const WIDEN_FACTOR: usize = 8;
 
 impl Router {
     /// Chooses a backend server for the next send and counts the send.
@@ -48,18 +48,18 @@
         plan: &Plan,
         model: Option<&str>,
         tried: &[ServerId],
-    ) -> Result<Choice, Unserved> {
-        let allowed = self.allowed(plan);
+    ) -> Result<Choice, ChooseError> {
+        let allowed = self.allowed_versions(plan);
         // The canary servers are picked from the whole service, so that all entries use
         // the same ones.
-        if plan.on_trial && self.is_canary(&plan.service) {
+        if plan.in_canary && self.is_canary(&plan.service) {
             return self.choose_within(now, plan, model, tried, &allowed, Window::ALL);
         }
-        let mut most = CANDIDATES;
+        let mut max_candidates = MAX_CANDIDATES;
         loop {
-            let window = self.window(plan, model, &allowed, most);
+            let window = self.window(plan, model, &allowed, max_candidates);
             match self.choose_within(now, plan, model, tried, &allowed, window) {
-                Err(_) if !window.is_all() => most *= WIDER,
+                Err(_) if !window.is_all() => max_candidates *= WIDEN_FACTOR,
                 result => return result,
             }
         }
@@ -74,96 +74,101 @@
         tried: &[ServerId],
         allowed: &Allowed,
         window: Window,
-    ) -> Result<Choice, Unserved> {
+    ) -> Result<Choice, ChooseError> {
         let orders = &self.orders;
         let groups = self.directory.groups(&plan.service);
         let groups = groups.filter(|g| orders.admit(g.domain) && allowed.has(g.version));
-        let mut fit: Vec<&Known> = groups
+        let mut eligible: Vec<&Known> = groups
             .flat_map(|g| self.directory.members(&g, window))
             .collect();
-        let candidates = fit.len();
-        fit.retain(|k| !self.backoffs.is_leaving(&k.said.id));
-        let staying = fit.len();
-        fit.retain(|k| self.takes(now, &k.said.id));
-        let limited = fit.len() < staying;
-        if limited && fit.iter().all(|k| tried.contains(&k.said.id)) {
-            return Err(Unserved::Limited);
+        let candidates = eligible.len();
+        eligible.retain(|k| !self.backoffs.is_leaving(&k.said.id));
+        let staying_count = eligible.len();
+        eligible.retain(|k| self.accepts(now, &k.said.id));
+        let are_limited = eligible.len() < staying_count;
+        if are_limited && eligible.iter().all(|k| tried.contains(&k.said.id)) {
+            return Err(ChooseError::Limited);
         }
-        if plan.on_trial && self.is_canary(&plan.service) {
-            self.keep_few(&mut fit, plan, tried);
+        if plan.in_canary && self.is_canary(&plan.service) {
+            self.retain_canary_servers(&mut eligible, plan, tried);
         }
-        if fit.is_empty() {
-            return Err(self.unserved(plan));
+        if eligible.is_empty() {
+            return Err(self.choose_error(plan));
         }
         let cold = cold_limits(plan);
-        self.keep_warm(now, &mut fit, cold, tried);
-        if fit.is_empty() {
-            return Err(Unserved::Cold);
+        self.retain_warm(now, &mut eligible, cold, tried);
+        if eligible.is_empty() {
+            return Err(ChooseError::Cold);
         }
         let affinity = affinity(plan, model);
-        let reading = self.reading.expect(&plan.service, model, plan.own_tokens);
-        let need = Need {
+        let prefill_time = self
+            .prefill_times
+            .expect(&plan.service, model, plan.unshared_tokens);
+        let params = ChoiceParams {
             affinity,
-            reading,
+            prefill_time,
             domain: &self.cfg.domain,
             tried,
-            once: plan.route.runs_once(),
+            at_most_once: plan.route.runs_once(),
             seed: plan.seed,
         };
-        let chosen = self.balance.choose(now, &fit, &need);
-        let chosen = chosen.ok_or(Unserved::NoneLeft)?;
+        let chosen = self.balancer.choose(now, &eligible, &params);
+        let chosen = chosen.ok_or(ChooseError::NoneLeft)?;
         if let Some(cold) = cold.filter(|cold| self.cold.is_cold(now, chosen, Some(cold))) {
             self.cold.use_turn(now, &chosen.said.id, cold);
         }
-        self.limits.sent(now, &chosen.said.id);
+        self.limits.record_send(now, &chosen.said.id);
         let choice = Choice {
             id: chosen.said.id.clone(),
             born: chosen.said.born,
             addr: chosen.said.addr,
             version: chosen.said.version.clone(),
-            reading,
+            prefill_time,
             candidates,
         };
-        self.keep_session(now, plan, &choice);
+        self.record_session(now, plan, &choice);
         Ok(choice)
     }
 
     /// Returns whether a request could now continue on a backend server other than its
     /// current one and those already tried.
-    pub fn has_another(
+    pub fn has_alternative(
         &self,
         now: MonoTime,
         plan: &Plan,
         tried: &[ServerId],
-        now_at: &ServerId,
+        current: &ServerId,
     ) -> bool {
-        let mut left = self.left(now, plan, tried);
-        left.any(|k| &k.said.id != now_at)
+        let mut untried = self.untried(now, plan, tried);
+        untried.any(|k| &k.said.id != current)
     }
 
     /// Returns whether any backend server that was not tried yet accepts a request now.
-    pub fn has_room(&self, now: MonoTime, plan: &Plan, tried: &[ServerId]) -> bool {
-        self.left(now, plan, tried).next().is_some()
+    pub fn has_capacity(&self, now: MonoTime, plan: &Plan, tried: &[ServerId]) -> bool {
+        self.untried(now, plan, tried).next().is_some()
     }
 
     /// Iterates over the untried backend servers that may run a request now.
-    fn left<'a>(
+    fn untried<'a>(
         &'a self,
         now: MonoTime,
         plan: &'a Plan,
         tried: &'a [ServerId],
     ) -> impl Iterator<Item = &'a Known> + 'a {
-        let allowed = self.allowed(plan);
-        let open = self.open(&plan.service);
-        open.filter(move |k| {
+        let allowed = self.allowed_versions(plan);
+        let servers = self.open_servers(&plan.service);
+        servers.filter(move |k| {
             let id = &k.said.id;
-            !tried.contains(id) && allowed.has(&k.said.version) && self.takes(now, id)
+            !tried.contains(id) && allowed.has(&k.said.version) && self.accepts(now, id)
         })
     }
 
     /// Iterates over the ready backend servers of a service outside evacuated failure
     /// domains.
-    pub(super) fn open<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Known> + 'a {
+    pub(super) fn open_servers<'a>(
+        &'a self,
+        service: &'a str,
+    ) -> impl Iterator<Item = &'a Known> + 'a {
         let groups = self.open_groups(service);
         groups.flat_map(|g| self.directory.members(&g, Window::ALL))
     }
@@ -179,31 +184,41 @@
 
     /// Returns the share of occupied slots of a plan's service, sampled over as many
     /// backend servers as a choice considers.
-    pub fn taken(&self, now: MonoTime, plan: &Plan) -> f64 {
-        let window = self.window(plan, None, &self.allowed(plan), CANDIDATES);
+    pub fn utilization(&self, now: MonoTime, plan: &Plan) -> f64 {
+        let window = self.window(plan, None, &self.allowed_versions(plan), MAX_CANDIDATES);
         let groups = self.open_groups(&plan.service);
         let members = groups.flat_map(|g| self.directory.members(&g, window));
         let servers: Vec<&Known> = members.collect();
-        self.balance.taken(now, &servers)
+        self.balancer.utilization(now, &servers)
     }
 
-    /// Returns the part of the key space that contains about `most` eligible backend
-    /// servers. All entries use the same part for requests that share a prompt.
-    fn window(&self, plan: &Plan, model: Option<&str>, allowed: &Allowed, most: usize) -> Window {
+    /// Returns the part of the key space that contains about `max_candidates` eligible
+    /// backend servers. All entries use the same part for requests that share a prompt.
+    fn window(
+        &self,
+        plan: &Plan,
+        model: Option<&str>,
+        allowed: &Allowed,
+        max_candidates: usize,
+    ) -> Window {
         let point = affinity(plan, model).map_or(plan.seed, |a| hash::name(&a.key.to_le_bytes()));
         let groups = self.open_groups(&plan.service);
         let groups = groups.filter(|g| allowed.has(g.version));
-        Window::new(point as ServerKey, most, groups.map(|g| g.count()).sum())
+        Window::new(
+            point as ServerKey,
+            max_candidates,
+            groups.map(|g| g.count()).sum(),
+        )
     }
 
     /// Returns why no backend server may run a request.
-    fn unserved(&self, plan: &Plan) -> Unserved {
+    fn choose_error(&self, plan: &Plan) -> ChooseError {
         let is_known = self.directory.groups(&plan.service).next().is_some();
         let is_open = self.open_groups(&plan.service).next().is_some();
         match (is_known, is_open) {
-            (false, _) => Unserved::Unknown,
-            (true, false) => Unserved::Evacuated,
-            (true, true) => Unserved::NoneLeft,
+            (false, _) => ChooseError::Unknown,
+            (true, false) => ChooseError::Evacuated,
+            (true, true) => ChooseError::NoneLeft,
         }
     }
 
@@ -213,10 +228,10 @@
     /// Cold servers are idle and would otherwise attract too much load: after the
     /// recovery of a failure domain, single backend servers received up to 30 requests a
     /// second from 74 entries, and those with the most requests crashed.
-    fn keep_warm(
+    fn retain_warm(
         &self,
         now: MonoTime,
-        fit: &mut Vec<&Known>,
+        eligible: &mut Vec<&Known>,
         limits: Option<&ColdConfig>,
         tried: &[ServerId],
     ) {
@@ -227,25 +242,25 @@
         let has_turn = |k: &&Known| {
             is_cold(k) && !tried.contains(&k.said.id) && self.cold.has_turn(now, &k.said.id, limits)
         };
-        if !fit.iter().any(|k| is_cold(k)) {
+        if !eligible.iter().any(|k| is_cold(k)) {
             return;
         }
-        let serves = |k: &&&Known| {
-            !is_cold(k) && !tried.contains(&k.said.id) && self.balance.reaches(now, k)
+        let is_usable = |k: &&&Known| {
+            !is_cold(k) && !tried.contains(&k.said.id) && self.balancer.is_reachable(now, k)
         };
-        let warm: Vec<&Known> = fit.iter().filter(serves).copied().collect();
-        let is_pressed = warm.is_empty() || self.balance.taken(now, &warm) >= cold::PRESSED;
-        if is_pressed && fit.iter().any(has_turn) {
-            fit.retain(has_turn);
+        let warm: Vec<&Known> = eligible.iter().filter(is_usable).copied().collect();
+        let is_loaded = warm.is_empty() || self.balancer.utilization(now, &warm) >= cold::PRESSED;
+        if is_loaded && eligible.iter().any(has_turn) {
+            eligible.retain(has_turn);
         } else {
-            fit.retain(|k| !is_cold(k));
+            eligible.retain(|k| !is_cold(k));
         }
     }
 }
 
 /// Returns the prompt affinity of a plan's request for a model.
 fn affinity(plan: &Plan, model: Option<&str>) -> Option<Affinity> {
-    plan.shared.map(|part| Affinity {
+    plan.shared_prefix.map(|part| Affinity {
         key: part.id ^ hash::name(model.unwrap_or_default().as_bytes()),
         tokens: part.tokens,
     })
--- a/sesamebeam_core/src/gateway/router/exchange.rs
+++ b/sesamebeam_core/src/gateway/router/exchange.rs
@@ -13,7 +13,7 @@
         },
         limits::LimitOf,
         loads::LoadOf,
-        pool::Doubt,
+        outliers::Doubt,
         rollout::Phase,
         shortage::ShareOf,
         subscription::Holding,
@@ -23,7 +23,7 @@
 };
 
 impl Router {
-    /// Returns which control state this entry has, in detail.
+    /// Returns the versions and digests of the control state that this entry has.
     pub fn held(&mut self) -> Held {
         Held {
             config: self.version(),
@@ -36,71 +36,75 @@
     pub fn holding(&mut self) -> Holding {
         Holding {
             config: self.version(),
-            index: self.index,
+            index: self.log_index,
             servers: self.directory.digests().whole(),
         }
     }
 
     /// Applies loads and waiting times measured by all entries.
-    pub fn told_loads(&mut self, now: MonoTime, told: Vec<LoadOf>, waits: Vec<MeanWait>) {
+    pub fn apply_loads(&mut self, now: MonoTime, loads: Vec<LoadOf>, waits: Vec<MeanWait>) {
         self.cascade.told(now, waits);
-        for load in told {
+        for load in loads {
             for known in self.directory.with_key(load.server) {
-                self.balance.told(now, &known.said.id, load);
+                self.balancer.apply_load(now, &known.said.id, load);
             }
         }
     }
 
     /// Applies rate limits received by other entries, including limits that ended.
     /// Returns the backend servers whose limit changed.
-    pub fn told_limits(&mut self, now: MonoTime, told: &[LimitOf]) -> Vec<ServerId> {
-        let mut news = Vec::new();
-        for LimitOf { server, limit } in told {
+    pub fn apply_limits(&mut self, now: MonoTime, limits: &[LimitOf]) -> Vec<ServerId> {
+        let mut changed = Vec::new();
+        for LimitOf { server, limit } in limits {
             for id in self.directory.with_key(*server).map(|k| &k.said.id) {
-                if self.limits.told(now, id, *limit) {
-                    news.push(id.clone());
+                if self.limits.apply(now, id, *limit) {
+                    changed.push(id.clone());
                 }
             }
         }
-        news
+        changed
     }
 
     /// Sets the admitted shares of services that are short of capacity.
     pub fn set_shares(&mut self, now: MonoTime, shares: impl IntoIterator<Item = ShareOf>) {
-        self.admission.told(now, shares);
+        self.admission.set_shares(now, shares);
     }
 
     /// Sets the backend servers whose failure rate is above that of their service.
     pub fn set_doubts(&mut self, doubts: impl IntoIterator<Item = Doubt>) {
-        self.balance.set_doubts(doubts);
+        self.balancer.set_doubts(doubts);
     }
 
     /// Applies reports of other entries in this failure domain about unreachable backend
     /// servers.
-    pub fn told_unreached(&mut self, now: MonoTime, told: &[Unreached]) {
-        for unreached in told.iter().filter(|u| u.from == self.cfg.domain) {
-            for said in self.directory.with_key(unreached.server).map(|k| &k.said) {
-                self.balance
-                    .told_unreached(now, &said.id, &said.domain, unreached.is_down);
+    pub fn apply_unreached(&mut self, now: MonoTime, reports: &[Unreached]) {
+        for unreached in reports.iter().filter(|u| u.from == self.cfg.domain) {
+            for announcement in self.directory.with_key(unreached.server).map(|k| &k.said) {
+                self.balancer.apply_unreached(
+                    now,
+                    &announcement.id,
+                    &announcement.domain,
+                    unreached.is_down,
+                );
             }
         }
     }
 
     /// Returns whether there are unreported failures or unreachable backend servers.
     pub fn has_failures(&self) -> bool {
-        self.balance.has_failures()
+        self.balancer.has_failures()
     }
 
     /// Takes all observations since the last call for the next report.
     pub fn take_report(&mut self, now: MonoTime) -> Report {
         Report {
             evidence: self.take_evidence(),
-            loads: self.balance.take_heard(now).unwrap_or_default(),
-            limits: self.limits.take_fresh(),
-            outcomes: self.balance.take_outcomes(),
+            loads: self.balancer.take_loads(now).unwrap_or_default(),
+            limits: self.limits.take_unreported(),
+            outcomes: self.balancer.take_outcomes(),
             unreached: self.take_unreached(),
             waits: self.cascade.take_fresh(),
-            work: self.admission.take_fresh(),
+            work: self.admission.take_unreported(),
             crashes: self.suspects.take_crashes(),
             kept: self.sessions.take_fresh(),
             ages: Vec::new(),
@@ -115,7 +119,7 @@
             server,
             is_down,
         };
-        let servers = self.balance.take_unreached();
+        let servers = self.balancer.take_unreached();
         servers.into_iter().map(unreached).collect()
     }
 
--- a/sesamebeam_core/src/gateway/router/retry_after.rs
+++ b/sesamebeam_core/src/gateway/router/retry_after.rs
@@ -19,10 +19,10 @@
 
 /// `Retry-After` time if it cannot be computed when a backend server accepts requests
 /// again.
-const NOT_FORESEEN: Duration = Duration::from_secs(30);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// Granularity of `Retry-After` times.
-const TOLD_IN: Duration = Duration::from_millis(10);
+const RETRY_AFTER_STEP: Duration = Duration::from_millis(10);
 
 impl Router {
     /// Returns the time after which a caller can be served, or none if some eligible
@@ -37,53 +37,53 @@
         &mut self,
         now: MonoTime,
         plan: &Plan,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Option<Duration> {
-        let allowed = self.allowed(plan);
-        let may_run = self.open(&plan.service);
+        let allowed = self.allowed_versions(plan);
+        let may_run = self.open_servers(&plan.service);
         let may_run = may_run
             .filter(|k| allowed.has(&k.said.version))
             .map(|k| &k.said.id);
-        let mut stays = may_run
+        let mut staying = may_run
             .filter(|id| !self.backoffs.is_leaving(id))
             .peekable();
-        stays.peek()?;
+        staying.peek()?;
         let mut first: Option<(MonoTime, &ServerId)> = None;
-        for id in stays {
-            if self.takes(now, id) {
+        for id in staying {
+            if self.accepts(now, id) {
                 return None;
             }
-            let opens = self.opens_at(now, id).map(|at| (at, id));
-            first = first.into_iter().chain(opens).min();
+            let accepts_at = self.accepts_at(now, id).map(|at| (at, id));
+            first = first.into_iter().chain(accepts_at).min();
         }
         let Some((at, id)) = first else {
-            return Some(NOT_FORESEEN);
+            return Some(DEFAULT_RETRY_AFTER);
         };
         let id = id.clone();
-        let at = at + self.spread(now, plan, &id);
+        let at = at + self.retry_spread(now, plan, &id);
         // A caller that gives up earlier will not use the reserved send.
-        if at < now + patience {
-            self.limits.promise(&id, at);
+        if at < now + max_wait {
+            self.limits.reserve(&id, at);
         }
         Some(round_up(at.saturating_sub(now)))
     }
 
     /// Returns when a backend server accepts a request, considering its rate limit and
     /// requested pause; none if that cannot be computed.
-    fn opens_at(&self, now: MonoTime, id: &ServerId) -> Option<MonoTime> {
+    fn accepts_at(&self, now: MonoTime, id: &ServerId) -> Option<MonoTime> {
         let from = match self.backoffs.get(now, id) {
             Some(Backoff::Leaving) => return None,
             Some(Backoff::Pause(pause)) => pause.until(),
             None => now,
         };
-        self.limits.next_opening(from, id)
+        self.limits.next_allowed(from, id)
     }
 
     /// Returns the random delay that is added after a requested pause. Rate limits
     /// already give each caller a different time.
-    fn spread(&self, now: MonoTime, plan: &Plan, id: &ServerId) -> Duration {
+    fn retry_spread(&self, now: MonoTime, plan: &Plan, id: &ServerId) -> Duration {
         match self.backoffs.get(now, id) {
-            Some(Backoff::Pause(pause)) if !self.limits.names(id) => {
+            Some(Backoff::Pause(pause)) if !self.limits.has_limit(id) => {
                 let place = plan.seed ^ now.as_nanos() as u64;
                 pause.spread(hash::unit(&place.to_le_bytes(), "retry-after"))
             }
@@ -95,6 +95,6 @@
 /// Rounds up to the granularity of `Retry-After`, as a caller that returns too early is
 /// rejected again.
 fn round_up(after: Duration) -> Duration {
-    let steps = after.as_nanos().div_ceil(TOLD_IN.as_nanos());
-    u32::try_from(steps).map_or(after, |steps| TOLD_IN * steps)
+    let steps = after.as_nanos().div_ceil(RETRY_AFTER_STEP.as_nanos());
+    u32::try_from(steps).map_or(after, |steps| RETRY_AFTER_STEP * steps)
 }
--- a/sesamebeam_core/tests/gateway/backoff.rs
+++ b/sesamebeam_core/tests/gateway/backoff.rs
@@ -13,8 +13,8 @@
             Load, //
         },
         router::{
-            Router,
-            Unserved, //
+            ChooseError,
+            Router, //
         },
     },
     policy::backoff::RequestedPause,
@@ -40,7 +40,7 @@
     entry_of("entry-1", 3, servers)
 }
 
-fn turned_away(pause: u64) -> AnswerHead {
+fn rejection(pause: u64) -> AnswerHead {
     AnswerHead {
         status: 503,
         not_run: true,
@@ -60,7 +60,7 @@
 
 /// Delivers a rejection that requests a pause.
 fn pause(router: &mut Router, now: u64, number: u8, pause: u64) -> bool {
-    let heard = router.backoff_heard(ms(now), &choice(number), &turned_away(pause));
+    let heard = router.record_backoff(ms(now), &choice(number), &rejection(pause));
     heard.is_some()
 }
 
@@ -70,7 +70,7 @@
     // first sends skip.
     let mut router = entry(3);
     pause(&mut router, START, 0, PAUSE);
-    router.backoff_heard(ms(START), &choice(1), &leaving());
+    router.record_backoff(ms(START), &choice(1), &leaving());
     let left: ServerId = "server-2".into();
     for n in 0..200 {
         let now = ms(START + 10 * n);
@@ -82,10 +82,10 @@
         let tried = [left.clone()];
         assert_eq!(
             router.choose(now, &plan, None, &tried),
-            Err(Unserved::Limited)
+            Err(ChooseError::Limited)
         );
-        assert!(!router.has_another(now, &plan, &[], &left));
-        assert!(!router.has_room(now, &plan, &tried));
+        assert!(!router.has_alternative(now, &plan, &[], &left));
+        assert!(!router.has_capacity(now, &plan, &tried));
     }
 }
 
@@ -96,20 +96,20 @@
     let mut router = entry(1);
     assert!(pause(&mut router, START, 0, PAUSE));
     let id = choice(0).id;
-    router.heard(ms(START + 100), &id, Some(Load::default()));
+    router.record_response(ms(START + 100), &id, Some(Load::default()));
     let good = AnswerHead {
         status: 200,
         sealed: true,
         ..AnswerHead::default()
     };
-    router.backoff_heard(ms(START + 200), &choice(0), &good);
+    router.record_backoff(ms(START + 200), &choice(0), &good);
     assert!(!pause(&mut router, START + 300, 0, 500), "a shorter one");
-    router.tidy(ms(START + 400));
-    assert_eq!(router.backed_off(ms(START + 400)), 1);
+    router.remove_expired(ms(START + 400));
+    assert_eq!(router.backed_off_count(ms(START + 400)), 1);
     let early = send(&mut router, ms(START + PAUSE - 1), "early");
-    assert_eq!(early.err(), Some(Unserved::Limited));
+    assert_eq!(early.err(), Some(ChooseError::Limited));
     assert!(send(&mut router, ms(START + PAUSE), "back").is_ok());
-    assert_eq!(router.backed_off(ms(START + PAUSE)), 0);
+    assert_eq!(router.backed_off_count(ms(START + PAUSE)), 0);
 }
 
 #[test]
@@ -118,7 +118,7 @@
     pause(&mut router, START, 0, PAUSE);
     assert!(pause(&mut router, START + 1000, 0, PAUSE));
     let early = send(&mut router, ms(START + PAUSE), "early");
-    assert_eq!(early.err(), Some(Unserved::Limited));
+    assert_eq!(early.err(), Some(ChooseError::Limited));
     assert!(send(&mut router, ms(START + 1000 + PAUSE), "back").is_ok());
 }
 
@@ -134,11 +134,11 @@
     let answer = AnswerHead {
         status,
         misdirected: status == 421,
-        ..turned_away(PAUSE)
+        ..rejection(PAUSE)
     };
-    let heard = router.backoff_heard(ms(START), &choice(0), &answer);
-    let asked = Backoff::Pause(RequestedPause::new(ms(START), ms(PAUSE)));
-    assert_eq!(heard, pauses.then_some(asked));
+    let heard = router.record_backoff(ms(START), &choice(0), &answer);
+    let requested = Backoff::Pause(RequestedPause::new(ms(START), ms(PAUSE)));
+    assert_eq!(heard, pauses.then_some(requested));
     assert_eq!(send(&mut router, ms(START + 1), "next").is_err(), pauses);
 }
 
@@ -149,7 +149,7 @@
     let mut router = entry(2);
     pause(&mut router, START, 0, PAUSE);
     assert_eq!(
-        router.backoff_heard(ms(START + 1), &choice(0), &leaving()),
+        router.record_backoff(ms(START + 1), &choice(0), &leaving()),
         Some(Backoff::Leaving)
     );
     assert!(!pause(&mut router, START + 2, 0, PAUSE));
@@ -157,14 +157,14 @@
         let now = START + 1000 * n;
         let mut late = announcement(0);
         late.sequence = 2 + n;
-        router.announced(ms(now), late);
-        router.tidy(ms(now));
+        router.apply_announcement(ms(now), late);
+        router.remove_expired(ms(now));
         let chosen = send(&mut router, ms(now), &format!("caller-{n}"));
         assert_eq!(chosen.map(|c| c.id).as_deref(), Ok("server-1"));
     }
-    router.backoff_heard(ms(START), &choice(1), &leaving());
+    router.record_backoff(ms(START), &choice(1), &leaving());
     let none = send(&mut router, ms(START), "none");
-    assert_eq!(none.err(), Some(Unserved::NoneLeft));
+    assert_eq!(none.err(), Some(ChooseError::NoneLeft));
 }
 
 #[test]
@@ -172,10 +172,10 @@
     // Guards against applying the backoff of one incarnation to another at the same name
     // or address.
     let mut router = entry(1);
-    router.backoff_heard(ms(START), &choice(0), &leaving());
-    let mut reborn = announcement(0);
-    (reborn.born, reborn.sequence) = (5, 1);
-    router.announced(ms(START + 10), reborn);
+    router.record_backoff(ms(START), &choice(0), &leaving());
+    let mut restarted = announcement(0);
+    (restarted.born, restarted.sequence) = (5, 1);
+    router.apply_announcement(ms(START + 10), restarted);
     assert!(send(&mut router, ms(START + 20), "caller").is_ok());
     assert!(!pause(&mut router, START + 30, 0, PAUSE), "the older life");
     let misdirected = AnswerHead {
@@ -185,7 +185,7 @@
     };
     let mut living = choice(0);
     living.born = 5;
-    let heard = router.backoff_heard(ms(START + 40), &living, &misdirected);
+    let heard = router.record_backoff(ms(START + 40), &living, &misdirected);
     assert_eq!(heard, None);
     assert!(send(&mut router, ms(START + 50), "caller").is_ok());
 }
@@ -198,23 +198,26 @@
     pause(&mut router, START, 0, PAUSE);
     pause(&mut router, START + 500, 1, PAUSE);
     let callers: u64 = 300;
-    let mut comebacks = Vec::new();
+    let mut return_times = Vec::new();
     for n in 0..callers {
         let now = ms(START + 500 + n * (PAUSE - 500) / callers);
         let plan = plan(&mut router, now, &format!("caller-{n}"));
-        assert_eq!(router.choose(now, &plan, None, &[]), Err(Unserved::Limited));
+        assert_eq!(
+            router.choose(now, &plan, None, &[]),
+            Err(ChooseError::Limited)
+        );
         let after = router.retry_after(now, &plan, ms(15_000));
-        comebacks.push(now + after.expect("it was named"));
+        return_times.push(now + after.expect("a retry time"));
     }
-    comebacks.sort_unstable();
+    return_times.sort_unstable();
     let span = ms(START + PAUSE)..=ms(START + 2 * PAUSE + 10);
-    assert!(comebacks.iter().all(|at| span.contains(at)));
+    assert!(return_times.iter().all(|at| span.contains(at)));
     // No tenth of the pause gets more than twice the mean number of returning callers.
     let tenth = ms(PAUSE / 10);
-    let from = |n: usize| comebacks[n..].partition_point(|at| *at < comebacks[n] + tenth);
-    let most = (0..comebacks.len()).map(from).max().unwrap_or(0);
-    assert!(most <= 2 * comebacks.len() / 10, "{most}");
-    assert!(send(&mut router, comebacks[0], "back").is_ok());
+    let from = |n: usize| return_times[n..].partition_point(|at| *at < return_times[n] + tenth);
+    let most = (0..return_times.len()).map(from).max().unwrap_or(0);
+    assert!(most <= 2 * return_times.len() / 10, "{most}");
+    assert!(send(&mut router, return_times[0], "back").is_ok());
 }
 
 #[test]
@@ -227,11 +230,11 @@
     let now = ms(START + 10);
     let plan = plan(&mut router, now, "caller");
     assert_eq!(router.retry_after(now, &plan, ms(15_000)), None);
-    router.backoff_heard(now, &choice(2), &leaving());
+    router.record_backoff(now, &choice(2), &leaving());
     let after = router.retry_after(now, &plan, ms(15_000));
     assert!(after.is_some_and(|after| after >= ms(PAUSE - 10)));
     for number in 0..2 {
-        router.backoff_heard(now, &choice(number), &leaving());
+        router.record_backoff(now, &choice(number), &leaving());
     }
     assert_eq!(router.retry_after(now, &plan, ms(15_000)), None);
 }
@@ -243,21 +246,21 @@
     let mut router = entry(1);
     let limited = AnswerHead {
         limit: Some(2.0),
-        ..turned_away(PAUSE)
+        ..rejection(PAUSE)
     };
-    router.limit_heard(ms(START), &choice(0), ms(START), &limited);
-    router.backoff_heard(ms(START), &choice(0), &limited);
+    router.record_limit(ms(START), &choice(0), ms(START), &limited);
+    router.record_backoff(ms(START), &choice(0), &limited);
     let now = ms(START + 10);
-    let mut comebacks = Vec::new();
+    let mut return_times = Vec::new();
     for n in 0..5 {
         let plan = plan(&mut router, now, &format!("caller-{n}"));
         let after = router.retry_after(now, &plan, ms(60_000));
-        comebacks.push(now + after.expect("it was named"));
+        return_times.push(now + after.expect("a retry time"));
     }
-    assert!(comebacks.is_sorted());
-    for (n, at) in comebacks.into_iter().enumerate() {
+    assert!(return_times.is_sorted());
+    for (n, at) in return_times.into_iter().enumerate() {
         assert!(at >= ms(START + PAUSE));
-        send(&mut router, at, &format!("back-{n}")).expect("it was true");
+        send(&mut router, at, &format!("back-{n}")).expect("served at the retry time");
     }
 }
 
@@ -268,10 +271,10 @@
     let answer = AnswerHead {
         limit: Some(0.001),
         retry_after: Some(Duration::MAX),
-        ..turned_away(0)
+        ..rejection(0)
     };
-    router.limit_heard(ms(START), &choice(0), ms(START), &answer);
-    router.backoff_heard(ms(START), &choice(0), &answer);
+    router.record_limit(ms(START), &choice(0), ms(START), &answer);
+    router.record_backoff(ms(START), &choice(0), &answer);
     let plan = plan(&mut router, ms(START), "caller");
     assert!(router.retry_after(ms(START), &plan, ms(1000)).is_some());
 }
@@ -280,11 +283,11 @@
     /// For any sequence of pauses, no backend server gets a request before its last pause
     /// is over, and rejected callers get a time at which one is served.
     #[test]
-    fn any_order(asked in prop::collection::vec((0u8..4, 0u64..5000, 0u64..400), 1..60)) {
+    fn any_order(requested in prop::collection::vec((0u8..4, 0u64..5000, 0u64..400), 1..60)) {
         let mut router = entry(4);
         let mut open_at = [0u64; 4];
         let mut now = START;
-        for (n, (number, length, after)) in asked.into_iter().enumerate() {
+        for (n, (number, length, after)) in requested.into_iter().enumerate() {
             now += after;
             pause(&mut router, now, number, length);
             let until = &mut open_at[usize::from(number)];
--- a/sesamebeam_core/tests/gateway/balance.rs
+++ b/sesamebeam_core/tests/gateway/balance.rs
@@ -8,8 +8,8 @@
 use sesamebeam_core::gateway::{
     balance::{
         Affinity,
-        Balance,
-        Need,
+        ChoiceParams,
+        LoadBalancer,
         Outcome, //
     },
     directory::{
@@ -20,7 +20,7 @@
         self,
         LoadOf, //
     },
-    pool::Doubt,
+    outliers::Doubt,
     request::Load,
 };
 
@@ -29,17 +29,17 @@
     ms, //
 };
 
-const NEED: Need<'static> = Need {
+const NEED: ChoiceParams<'static> = ChoiceParams {
     affinity: None,
-    reading: Duration::from_millis(5),
+    prefill_time: Duration::from_millis(5),
     domain: "hall-1",
     tried: &[],
-    once: false,
+    at_most_once: false,
     seed: 1,
 };
 
 /// Creates an affinity with a long shared prompt.
-fn sharing(key: u64) -> Affinity {
+fn long_prompt(key: u64) -> Affinity {
     Affinity { key, tokens: 5_000 }
 }
 
@@ -55,10 +55,19 @@
     (0..count).map(|n| known(announcement(n))).collect()
 }
 
-fn choose(balance: &mut Balance, now: u64, servers: &[Known], need: &Need<'_>) -> String {
+fn choose(
+    balance: &mut LoadBalancer,
+    now: u64,
+    servers: &[Known],
+    need: &ChoiceParams<'_>,
+) -> String {
     let all: Vec<&Known> = servers.iter().collect();
     let chosen = balance.choose(ms(now), &all, need);
-    chosen.expect("there is one").said.id.to_string()
+    chosen
+        .expect("a backend server is eligible")
+        .said
+        .id
+        .to_string()
 }
 
 #[test]
@@ -66,16 +75,16 @@
     // Guards against prompts that are processed more than once: two independent entries
     // send requests with the same shared prompt to the same backend server.
     let servers = servers(8);
-    let need = Need {
-        affinity: Some(sharing(42)),
+    let need = ChoiceParams {
+        affinity: Some(long_prompt(42)),
         ..NEED
     };
-    let first = choose(&mut Balance::default(), 0, &servers, &need);
+    let first = choose(&mut LoadBalancer::default(), 0, &servers, &need);
     let other = choose(
-        &mut Balance::default(),
+        &mut LoadBalancer::default(),
         0,
         &servers,
-        &Need { seed: 9, ..need },
+        &ChoiceParams { seed: 9, ..need },
     );
     assert_eq!(first, other);
 }
@@ -85,9 +94,9 @@
     // Guards against an overload by a single prompt. Above the load bound, requests with
     // it go to other backend servers, too.
     let servers = servers(8);
-    let mut balance = Balance::default();
-    let need = Need {
-        affinity: Some(sharing(42)),
+    let mut balance = LoadBalancer::default();
+    let need = ChoiceParams {
+        affinity: Some(long_prompt(42)),
         ..NEED
     };
     let used: BTreeSet<String> = (0..40)
@@ -97,11 +106,11 @@
 }
 
 #[test]
-fn near_first() {
+fn local_domain_first() {
     let mut servers = servers(4);
     servers[3].said.domain = "hall-2".into();
     servers[0].said.domain = "hall-2".into();
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     for _ in 0..4 {
         let chosen = choose(&mut balance, 0, &servers, &NEED);
         assert!(["server-1", "server-2"].contains(&chosen.as_str()));
@@ -109,42 +118,42 @@
 }
 
 #[test]
-fn far_when_near_is_full() {
+fn remote_domain_when_local_is_full() {
     let mut servers = servers(2);
     servers[1].said.domain = "hall-2".into();
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     let full = Load {
         running: 10,
         waiting: 4,
         slots: 10,
     };
-    balance.heard(ms(0), &"server-0".into(), Some(full));
+    balance.record_response(ms(0), &"server-0".into(), Some(full));
     assert_eq!(choose(&mut balance, 0, &servers, &NEED), "server-1");
     assert_eq!(choose(&mut balance, 60_000, &servers, &NEED), "server-0");
 }
 
 #[test]
-fn unreachable_rests() {
+fn unreachable_is_paused() {
     // Guards against requests to an unreachable backend server, and against one that is
     // never tried again. It gets none during its pause, and the first one after it.
     let servers = servers(2);
-    let mut balance = Balance::default();
-    let need = Need {
-        affinity: Some(sharing(3)),
+    let mut balance = LoadBalancer::default();
+    let need = ChoiceParams {
+        affinity: Some(long_prompt(3)),
         ..NEED
     };
     let first = choose(&mut balance, 0, &servers, &need);
-    balance.finished(ms(0), &first.as_str().into(), Outcome::Unreachable);
+    balance.record_outcome(ms(0), &first.as_str().into(), Outcome::Unreachable);
     assert_ne!(choose(&mut balance, 100, &servers, &need), first);
     assert_eq!(choose(&mut balance, 300, &servers, &need), first);
 }
 
 #[test]
-fn failing_one_is_left_out() {
+fn failing_server_is_avoided() {
     // Guards against requests to a backend server that fails half of them while its
     // health check passes. The others fail one in ten, the baseline of the service.
     let servers = servers(4);
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     for n in 0..40 {
         for server in &servers {
             let bad = server.said.id == "server-2";
@@ -153,18 +162,18 @@
                 k if bad && k % 2 == 0 => Outcome::Failed,
                 _ => Outcome::Good,
             };
-            balance.finished(ms(n), &server.said.id, outcome);
+            balance.record_outcome(ms(n), &server.said.id, outcome);
         }
     }
     let chosen: Vec<String> = (0..20)
-        .map(|seed| choose(&mut balance, 50, &servers, &Need { seed, ..NEED }))
+        .map(|seed| choose(&mut balance, 50, &servers, &ChoiceParams { seed, ..NEED }))
         .collect();
     assert!(!chosen.contains(&"server-2".to_owned()), "{chosen:?}");
     assert!(chosen.contains(&"server-1".to_owned()), "{chosen:?}");
 }
 
 /// Records a doubt about a backend server that fails two in five answers.
-fn doubt(balance: &mut Balance, id: &str) {
+fn add_doubt(balance: &mut LoadBalancer, id: &str) {
     let server = loads::key(&id.into());
     balance.set_doubts([Doubt {
         server,
@@ -178,10 +187,14 @@
     // to notice that a backend server cuts off two in five answers. With a doubt from all
     // entries, such requests avoid it; repeatable ones still probe it.
     let servers = servers(4);
-    let mut balance = Balance::default();
-    doubt(&mut balance, "server-2");
-    let mut chosen = |once| -> Vec<String> {
-        let need = |seed| Need { seed, once, ..NEED };
+    let mut balance = LoadBalancer::default();
+    add_doubt(&mut balance, "server-2");
+    let mut chosen = |at_most_once| -> Vec<String> {
+        let need = |seed| ChoiceParams {
+            seed,
+            at_most_once,
+            ..NEED
+        };
         let chosen = (0..64).map(|seed| choose(&mut balance, 50, &servers, &need(seed)));
         chosen.collect()
     };
@@ -190,15 +203,15 @@
 }
 
 #[test]
-fn doubted_engine_passed_over() {
+fn doubted_engine_is_avoided() {
     let servers = servers(4);
-    let mut balance = Balance::default();
-    let need = Need {
-        affinity: Some(sharing(3)),
+    let mut balance = LoadBalancer::default();
+    let need = ChoiceParams {
+        affinity: Some(long_prompt(3)),
         ..NEED
     };
     let first = choose(&mut balance, 0, &servers, &need);
-    doubt(&mut balance, &first);
+    add_doubt(&mut balance, &first);
     assert_ne!(choose(&mut balance, 0, &servers, &need), first);
 }
 
@@ -207,37 +220,40 @@
     // Guards against a doubted backend server that stays unused while the queues of the
     // others hold many times their slots.
     let servers = servers(2);
-    let mut balance = Balance::default();
-    doubt(&mut balance, "server-1");
+    let mut balance = LoadBalancer::default();
+    add_doubt(&mut balance, "server-1");
     let full = Load {
         running: 10,
         waiting: 24,
         slots: 10,
     };
-    balance.heard(ms(0), &"server-0".into(), Some(full));
-    let need = Need { once: true, ..NEED };
+    balance.record_response(ms(0), &"server-0".into(), Some(full));
+    let need = ChoiceParams {
+        at_most_once: true,
+        ..NEED
+    };
     assert_eq!(choose(&mut balance, 0, &servers, &need), "server-1");
 }
 
 #[test]
-fn another_after_a_failure() {
+fn tried_servers_are_skipped() {
     let servers = servers(3);
     let tried = ["server-0".into(), "server-1".into()];
-    let need = Need {
+    let need = ChoiceParams {
         tried: &tried,
         ..NEED
     };
     assert_eq!(
-        choose(&mut Balance::default(), 0, &servers, &need),
+        choose(&mut LoadBalancer::default(), 0, &servers, &need),
         "server-2"
     );
 }
 
 /// Returns the failure domains that requests with different prompts go to.
-fn domains(balance: &mut Balance, times: &[u64], servers: &[Known]) -> Vec<String> {
+fn domains(balance: &mut LoadBalancer, times: &[u64], servers: &[Known]) -> Vec<String> {
     let domain = |&now: &u64| {
-        let need = Need {
-            affinity: Some(sharing(now * 7919)),
+        let need = ChoiceParams {
+            affinity: Some(long_prompt(now * 7919)),
             ..NEED
         };
         let chosen = choose(balance, now, servers, &need);
@@ -248,7 +264,7 @@
 }
 
 #[test]
-fn told_by_others_nearby() {
+fn unreachable_reports_are_shared() {
     // Guards against each of hundreds of entries having to detect a network partition by
     // connection timeouts. Reports about two backend servers from entries in the same
     // failure domain are enough.
@@ -256,9 +272,9 @@
     for known in &mut servers[2..] {
         known.said.domain = "hall-2".into();
     }
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     for id in ["server-5", "server-9"] {
-        balance.told_unreached(ms(0), &id.into(), &"hall-2".into(), false);
+        balance.apply_unreached(ms(0), &id.into(), &"hall-2".into(), false);
     }
     let times: Vec<u64> = (10..60).collect();
     let used = domains(&mut balance, &times, &servers);
@@ -266,16 +282,16 @@
 }
 
 #[test]
-fn down_is_not_cut() {
+fn stopped_servers_are_no_partition() {
     // Guards against taking several stopped backend servers for a network partition: the
     // others in their failure domain still get requests.
     let mut servers = servers(20);
     for known in &mut servers[2..] {
         known.said.domain = "hall-2".into();
     }
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     for id in ["server-5", "server-9", "server-11"] {
-        balance.told_unreached(ms(0), &id.into(), &"hall-2".into(), true);
+        balance.apply_unreached(ms(0), &id.into(), &"hall-2".into(), true);
     }
     let times: Vec<u64> = (10..60).collect();
     let used = domains(&mut balance, &times, &servers);
@@ -283,23 +299,23 @@
 }
 
 #[test]
-fn heard_counts_for_more() {
+fn own_response_takes_precedence() {
     // Guards against reports of other entries that override a response just received by
     // this one.
     let servers = servers(2);
-    let mut balance = Balance::default();
-    let need = Need {
-        affinity: Some(sharing(3)),
+    let mut balance = LoadBalancer::default();
+    let need = ChoiceParams {
+        affinity: Some(long_prompt(3)),
         ..NEED
     };
     let first = choose(&mut balance, 1000, &servers, &need);
-    balance.heard(ms(1000), &first.as_str().into(), None);
-    balance.told_unreached(ms(1100), &first.as_str().into(), &"hall-1".into(), false);
+    balance.record_response(ms(1000), &first.as_str().into(), None);
+    balance.apply_unreached(ms(1100), &first.as_str().into(), &"hall-1".into(), false);
     assert_eq!(choose(&mut balance, 1100, &servers, &need), first);
 }
 
 #[test]
-fn way_cut() {
+fn partition_is_probed() {
     // Guards against connection timeouts to every backend server behind a network
     // partition. After two timeouts the rest are avoided; then one request at a time
     // probes the path until one gets a response.
@@ -307,11 +323,13 @@
     for known in &mut servers[2..] {
         known.said.domain = "hall-2".into();
     }
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     let far: Vec<&Known> = servers[2..].iter().collect();
     for _ in 0..2 {
-        let chosen = balance.choose(ms(0), &far, &NEED).expect("there is one");
-        balance.finished(ms(0), &chosen.said.id, Outcome::Unreachable);
+        let chosen = balance
+            .choose(ms(0), &far, &NEED)
+            .expect("a backend server is eligible");
+        balance.record_outcome(ms(0), &chosen.said.id, Outcome::Unreachable);
     }
     let soon: Vec<u64> = (1..240).collect();
     let soon = domains(&mut balance, &soon, &servers);
@@ -321,34 +339,38 @@
     let tries = later.iter().filter(|d| *d == "hall-2").count();
     assert_eq!(tries, 1, "{later:?}");
     let tried = servers.iter().find(|k| k.said.domain == "hall-2");
-    let tried = tried.expect("there is one").said.id.clone();
+    let tried = tried.expect("a backend server is eligible").said.id.clone();
     let only: Vec<&Known> = servers.iter().filter(|k| k.said.id == tried).collect();
-    balance.choose(ms(801), &only, &NEED).expect("there is one");
-    balance.heard(ms(802), &tried, None);
-    let healed: Vec<u64> = (803..900).collect();
-    let healed = domains(&mut balance, &healed, &servers);
-    assert!(healed.iter().any(|d| d == "hall-2"), "{healed:?}");
+    balance
+        .choose(ms(801), &only, &NEED)
+        .expect("a backend server is eligible");
+    balance.record_response(ms(802), &tried, None);
+    let recovered: Vec<u64> = (803..900).collect();
+    let recovered = domains(&mut balance, &recovered, &servers);
+    assert!(recovered.iter().any(|d| d == "hall-2"), "{recovered:?}");
 }
 
 #[test]
-fn one_down() {
+fn stopped_server_is_no_partition() {
     // Guards against taking one stopped backend server for a network partition while
     // others in its failure domain respond.
     let mut servers = servers(8);
     for known in &mut servers[2..] {
         known.said.domain = "hall-2".into();
     }
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     let far: Vec<&Known> = servers[2..].iter().collect();
     for _ in 0..4 {
-        let chosen = balance.choose(ms(0), &far, &NEED).expect("there is one");
+        let chosen = balance
+            .choose(ms(0), &far, &NEED)
+            .expect("a backend server is eligible");
         let id = chosen.said.id.clone();
-        balance.finished(ms(0), &id, Outcome::Unreachable);
+        balance.record_outcome(ms(0), &id, Outcome::Unreachable);
         let other = far.iter().find(|k| k.said.id != id).expect("another");
         balance
             .choose(ms(0), &[other], &NEED)
-            .expect("there is one");
-        balance.heard(ms(1), &other.said.id, None);
+            .expect("a backend server is eligible");
+        balance.record_response(ms(1), &other.said.id, None);
     }
     let soon: Vec<u64> = (2..100).collect();
     let soon = domains(&mut balance, &soon, &servers);
@@ -356,35 +378,35 @@
 }
 
 #[test]
-fn load_heard_by_others() {
+fn load_reported_by_others() {
     // Guards against requests that wait behind a busy engine while others have free
     // slots. With many entries, each hears from an engine once in ten seconds, so that
     // the load bound needs the loads reported by the others.
     let servers = servers(8);
-    let mut balance = Balance::default();
-    let need = Need {
-        affinity: Some(sharing(42)),
+    let mut balance = LoadBalancer::default();
+    let need = ChoiceParams {
+        affinity: Some(long_prompt(42)),
         ..NEED
     };
     let first = choose(&mut balance, 0, &servers, &need);
     let id = first.as_str().into();
-    balance.finished(ms(0), &id, Outcome::Good);
+    balance.record_outcome(ms(0), &id, Outcome::Good);
     let queue = Load {
         running: 8,
         waiting: 6,
         slots: 8,
     };
-    balance.told(ms(10), &id, LoadOf::new(&id, queue));
+    balance.apply_load(ms(10), &id, LoadOf::new(&id, queue));
     assert_ne!(choose(&mut balance, 20, &servers, &need), first);
     assert_eq!(choose(&mut balance, 20_000, &servers, &need), first);
 }
 
 #[test]
-fn told_load_draws_nobody() {
+fn shared_load_does_not_rank() {
     // Guards against a stampede on an idle backend server: a shared load reaches all
     // entries at the same time and must not rank the candidates.
     let servers = servers(2);
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     let busy = Load {
         running: 8,
         waiting: 0,
@@ -392,13 +414,13 @@
     };
     let chosen = choose(&mut balance, 0, &servers, &NEED);
     let id = chosen.as_str().into();
-    balance.finished(ms(0), &id, Outcome::Good);
-    balance.told(ms(0), &id, LoadOf::new(&id, busy));
+    balance.record_outcome(ms(0), &id, Outcome::Good);
+    balance.apply_load(ms(0), &id, LoadOf::new(&id, busy));
     assert_eq!(choose(&mut balance, 1, &servers, &NEED), chosen);
 }
 
 #[test]
-fn short_prompt_stays_near() {
+fn short_prompt_stays_local() {
     // Guards against a short prompt being sent to another failure domain that has it
     // cached. Link faults would affect its callers, while an engine processes it again in
     // a few milliseconds.
@@ -407,12 +429,12 @@
         known.said.domain = "hall-2".into();
     }
     let far = |tokens| {
-        let mut balance = Balance::default();
+        let mut balance = LoadBalancer::default();
         let chosen = (0..40).map(|key| {
             let affinity = Some(Affinity { key, tokens });
-            let need = Need { affinity, ..NEED };
+            let need = ChoiceParams { affinity, ..NEED };
             let chosen = choose(&mut balance, 0, &servers, &need);
-            balance.finished(ms(0), &chosen.as_str().into(), Outcome::Good);
+            balance.record_outcome(ms(0), &chosen.as_str().into(), Outcome::Good);
             chosen
         });
         chosen
@@ -424,35 +446,35 @@
 }
 
 #[test]
-fn long_prompt_on_its_way() {
+fn long_prompt_in_flight() {
     // Guards against short requests that wait behind a prompt of 43,000 tokens. The
     // engine sends nothing while it processes it and looks idle. The backlog is known
     // from the send on, here and at the other entries, and load reports from before do
     // not clear it.
     let servers = servers(8);
-    let need = Need {
-        affinity: Some(sharing(42)),
+    let need = ChoiceParams {
+        affinity: Some(long_prompt(42)),
         ..NEED
     };
-    let long = Need {
-        reading: ms(380),
+    let long = ChoiceParams {
+        prefill_time: ms(380),
         ..need
     };
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     let first = choose(&mut balance, 500, &servers, &long);
     assert_ne!(choose(&mut balance, 510, &servers, &need), first);
-    let told = balance.take_heard(ms(510)).expect("it is time");
-    let mut other = Balance::default();
-    other.told(ms(520), &first.as_str().into(), told[0]);
+    let told = balance.take_loads(ms(510)).expect("it is time");
+    let mut other = LoadBalancer::default();
+    other.apply_load(ms(520), &first.as_str().into(), told[0]);
     assert_ne!(choose(&mut other, 600, &servers, &need), first);
     let idle = Load {
         running: 1,
         waiting: 0,
         slots: 8,
     };
-    other.heard(ms(700), &first.as_str().into(), Some(idle));
+    other.record_response(ms(700), &first.as_str().into(), Some(idle));
     assert_ne!(choose(&mut other, 710, &servers, &need), first);
-    other.heard(ms(900), &first.as_str().into(), Some(idle));
+    other.record_response(ms(900), &first.as_str().into(), Some(idle));
     assert_eq!(choose(&mut other, 910, &servers, &need), first);
 }
 
@@ -462,20 +484,20 @@
     // each go to eight engines, and later short requests to the engine that finishes
     // first.
     let servers = servers(8);
-    let need = Need {
-        affinity: Some(sharing(42)),
+    let need = ChoiceParams {
+        affinity: Some(long_prompt(42)),
         ..NEED
     };
-    let long = Need {
-        reading: ms(2000),
+    let long = ChoiceParams {
+        prefill_time: ms(2000),
         ..need
     };
-    let mut balance = Balance::default();
+    let mut balance = LoadBalancer::default();
     let used: BTreeSet<String> = (0..8)
         .map(|n| choose(&mut balance, 500 + n, &servers, &long))
         .collect();
     assert_eq!(used.len(), 8);
     let done = used.iter().next_back().expect("there are eight");
-    balance.read(ms(1500), &done.as_str().into(), long.reading);
+    balance.record_prefilled(ms(1500), &done.as_str().into(), long.prefill_time);
     assert_eq!(&choose(&mut balance, 1510, &servers, &need), done);
 }
--- a/sesamebeam_core/tests/gateway/choosing.rs
+++ b/sesamebeam_core/tests/gateway/choosing.rs
@@ -14,8 +14,8 @@
         PromptPart, //
     },
     router::{
-        CANDIDATES,
         Choice,
+        MAX_CANDIDATES,
         Router,
         RouterConfig, //
     },
@@ -47,9 +47,9 @@
         ..router_config()
     });
     router.set_config(ms(0), config(1));
-    router.set_current();
+    router.set_config_current();
     for number in 0..servers {
-        router.announced(ms(0), server(number));
+        router.apply_announcement(ms(0), server(number));
     }
     router
 }
@@ -61,16 +61,16 @@
     head.prompt = parts.into_iter().chain(parts).collect();
     let plan = router.admit(ms(1), &head).expect("it is admitted");
     let choice = router.choose(ms(1), &plan, None, &[]);
-    let choice = choice.expect("there is room");
-    router.finished(ms(1), &plan, &choice, Outcome::Good);
+    let choice = choice.expect("a backend server is available");
+    router.record_outcome(ms(1), &plan, &choice, Outcome::Good);
     choice
 }
 
 #[parameterized(
     small = { 100, 100 },
-    large = { 3_000, CANDIDATES },
-    fleet = { 10_000, CANDIDATES },
-    two_fleets = { 20_000, CANDIDATES },
+    large = { 3_000, MAX_CANDIDATES },
+    fleet = { 10_000, MAX_CANDIDATES },
+    two_fleets = { 20_000, MAX_CANDIDATES },
 )]
 fn same_cost_in_a_fleet(servers: u32, most: usize) {
     // Guards against a choice whose cost grows with the number of backend servers.
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn forgets_told_loads() {
+fn shared_loads_are_removed() {
     // Guards against memory that grows with the fleet, from load reports about other
     // backend servers each time.
     let mut router = entry("entry-1", 10_000);
@@ -122,14 +122,18 @@
         };
         let told = (0..100).map(|n| LoadOf::new(&of(n), load)).collect();
         let now = ms(1_000 + tick * 200);
-        router.told_loads(now, told, Vec::new());
-        router.tidy(now);
+        router.apply_loads(now, told, Vec::new());
+        router.remove_expired(now);
     }
-    assert!(router.balanced() <= 3_500, "{}", router.balanced());
+    assert!(
+        router.tracked_servers() <= 3_500,
+        "{}",
+        router.tracked_servers()
+    );
 }
 
 #[test]
-fn looks_further() {
+fn candidate_window_widens() {
     // Guards against a request that fails because its only untried backend server is not
     // among the first candidates.
     let mut router = entry("entry-1", 3_000);
--- a/sesamebeam_core/tests/gateway/cold.rs
+++ b/sesamebeam_core/tests/gateway/cold.rs
@@ -20,8 +20,8 @@
             ServerId, //
         },
         router::{
-            Router,
-            Unserved, //
+            ChooseError,
+            Router, //
         },
         store::Orders,
     },
@@ -52,7 +52,7 @@
     let mut config = config(1);
     config.services[0].cold = Some(LIMITS);
     router.set_config(ms(0), config);
-    router.set_current();
+    router.set_config_current();
     router.set_entries(ms(0), entries);
     router
 }
@@ -64,12 +64,12 @@
     said
 }
 
-fn send(router: &mut Router, now: MonoTime, id: &str) -> Result<ServerId, Unserved> {
+fn send(router: &mut Router, now: MonoTime, id: &str) -> Result<ServerId, ChooseError> {
     let mut head = head(id);
     head.prompt.clear();
     let plan = router.admit(now, &head).expect("it is admitted");
     let choice = router.choose(now, &plan, None, &[])?;
-    router.finished(now, &plan, &choice, Outcome::Good);
+    router.record_outcome(now, &plan, &choice, Outcome::Good);
     Ok(choice.id)
 }
 
@@ -85,7 +85,7 @@
     // best. They get nothing until they are warm.
     let mut router = entry(1, 1);
     for number in 0..4 {
-        router.announced(ms(0), cold_for(number, if number < 2 { 3000 } else { 0 }));
+        router.apply_announcement(ms(0), cold_for(number, if number < 2 { 3000 } else { 0 }));
     }
     for n in 0..300 {
         let to = send(&mut router, ms(n * 9), &format!("r{n}"));
@@ -111,7 +111,7 @@
     for (n, router) in fleet.iter_mut().enumerate() {
         for number in 0..6 {
             let since = ms(1000 * n as u64 % 7919);
-            router.announced(since, cold_for(number, 60_000));
+            router.apply_announcement(since, cold_for(number, 60_000));
         }
     }
     let mut got: BTreeMap<ServerId, Vec<u64>> = BTreeMap::new();
@@ -121,7 +121,7 @@
         let local = ms(10_000 + at + life * 137);
         match send(&mut fleet[life as usize], local, &format!("r{n}")) {
             Ok(id) => got.entry(id).or_default().push(at),
-            Err(why) => assert_eq!(why, Unserved::Cold),
+            Err(why) => assert_eq!(why, ChooseError::Cold),
         }
     }
     assert_eq!(got.len(), 6, "all are used");
@@ -169,7 +169,7 @@
     // An entry that is alone takes its turns one after the other, and no second has
     // more of them than half of what a cold backend server bears.
     let mut router = entry(1, 1);
-    router.announced(ms(0), cold_for(0, 60_000));
+    router.apply_announcement(ms(0), cold_for(0, 60_000));
     let sent = (0..20_000).step_by(3).filter(|&at| {
         let id = format!("r{at}");
         send(&mut router, ms(at), &id).is_ok()
@@ -197,7 +197,7 @@
     for number in 0..2 {
         let mut said = announcement(number);
         said.domain = format!("hall-{}", number + 1).into();
-        router.announced(ms(0), said);
+        router.apply_announcement(ms(0), said);
     }
     let evacuated = Orders {
         evacuated: ["hall-1".into()].into(),
--- a/sesamebeam_core/tests/gateway/evacuations.rs
+++ b/sesamebeam_core/tests/gateway/evacuations.rs
@@ -20,8 +20,8 @@
             Rollout, //
         },
         router::{
-            Router,
-            Unserved, //
+            ChooseError,
+            Router, //
         },
         store::{
             Command,
@@ -287,7 +287,7 @@
     for number in 0..6 {
         let mut said = announcement(number);
         said.domain = format!("hall-{}", 1 + number % 3).into();
-        router.announced(ms(0), said);
+        router.apply_announcement(ms(0), said);
     }
     router
 }
@@ -309,7 +309,7 @@
         let plan = plan.expect("it is admitted");
         let mut tried = Vec::new();
         while let Ok(choice) = router.choose(ms(now), &plan, None, &tried) {
-            router.finished(ms(now), &plan, &choice, Outcome::Good);
+            router.record_outcome(ms(now), &plan, &choice, Outcome::Good);
             reached.insert(choice.id.clone());
             tried.push(choice.id);
         }
@@ -348,10 +348,10 @@
     set_evacuated(&mut router, 5, &["hall-1", "hall-2", "hall-3"]);
     let plan = router.admit(ms(9), &head("a")).expect("it is admitted");
     let chosen = router.choose(ms(9), &plan, None, &[]);
-    assert_eq!(chosen, Err(Unserved::Evacuated));
+    assert_eq!(chosen, Err(ChooseError::Evacuated));
     let plan = empty.admit(ms(9), &head("a")).expect("it is admitted");
     let chosen = empty.choose(ms(9), &plan, None, &[]);
-    assert_eq!(chosen, Err(Unserved::Unknown));
+    assert_eq!(chosen, Err(ChooseError::Unknown));
 }
 
 #[test]
@@ -361,7 +361,7 @@
     let mut router = three_domains();
     let mut said = announcement(9);
     said.version = "v2".into();
-    router.announced(ms(0), said);
+    router.apply_announcement(ms(0), said);
     let rollout = Rollout {
         target: "v2".into(),
         duration: ms(20_000),
--- a/sesamebeam_core/tests/gateway/limits.rs
+++ b/sesamebeam_core/tests/gateway/limits.rs
@@ -17,16 +17,16 @@
         directory::ServerId,
         feed::ToEntry,
         limits::{
+            KnownLimits,
             LimitOf,
-            NamedLimits,
             Pace,
-            allowed, //
+            max_arrivals, //
         },
         loads,
         request::AnswerHead,
         router::{
-            Router,
-            Unserved, //
+            ChooseError,
+            Router, //
         },
     },
     ids::MonoTime,
@@ -47,14 +47,14 @@
 const SPAN: u64 = 4000;
 
 /// Offset of an entry's clock from that of the test, in milliseconds.
-const AHEAD: u64 = 100_000;
+const CLOCK_OFFSET: u64 = 100_000;
 
 fn entry(number: u64, entries: u32, servers: u8) -> Router {
     entry_of(&format!("entry-{number}"), entries, servers)
 }
 
 /// Creates the head of an answer that states a limit, or none.
-fn says(limit: Option<f64>) -> AnswerHead {
+fn answer_head(limit: Option<f64>) -> AnswerHead {
     AnswerHead {
         status: 200,
         sealed: true,
@@ -64,8 +64,8 @@
 }
 
 /// Delivers to an entry an answer that states a limit, or none.
-fn answer(router: &mut Router, now: MonoTime, number: u8, limit: Option<f64>) -> bool {
-    router.limit_heard(now, &choice(number), now, &says(limit))
+fn deliver_limit(router: &mut Router, now: MonoTime, number: u8, limit: Option<f64>) -> bool {
+    router.record_limit(now, &choice(number), now, &answer_head(limit))
 }
 
 /// Returns the maximum number of times within any [`SPAN`].
@@ -92,26 +92,26 @@
     const SECONDS: u64 = 120;
     let mut fleet: Vec<Router> = (0..entries).map(|n| entry(n, entries as u32, 1)).collect();
     for (n, router) in fleet.iter_mut().enumerate() {
-        answer(router, ms(AHEAD + n as u64 * 137), 0, Some(limit));
+        deliver_limit(router, ms(CLOCK_OFFSET + n as u64 * 137), 0, Some(limit));
     }
     let mut rng = StdRng::seed_from_u64(entries);
     let mut times = Vec::new();
     let callers = (SECONDS as f64 * 100.0 * limit.max(3.0)) as u64;
     for n in 0..callers {
         let at = n * SECONDS * 1000 / callers;
-        let life = rng.random_range(0..entries);
-        let local = ms(AHEAD + at + life * 137);
-        match send(&mut fleet[life as usize], local, &format!("r{n}")) {
+        let entry_index = rng.random_range(0..entries);
+        let local = ms(CLOCK_OFFSET + at + entry_index * 137);
+        match send(&mut fleet[entry_index as usize], local, &format!("r{n}")) {
             Ok(_) => times.push(at + rng.random_range(0..500)),
-            Err(why) => assert_eq!(why, Unserved::Limited),
+            Err(why) => assert_eq!(why, ChooseError::Limited),
         }
     }
     times.sort_unstable();
     let most = most_in_span(&times);
     assert!(
-        most as f64 <= allowed(limit),
+        most as f64 <= max_arrivals(limit),
         "{most} of {} in 4 s",
-        allowed(limit)
+        max_arrivals(limit)
     );
     let rate = times.len() as f64 / SECONDS as f64;
     assert!(
@@ -136,14 +136,14 @@
         let mut times = Vec::new();
         for n in 0..entries {
             let mut router = entry(n, entries as u32, 1);
-            let offset = AHEAD + rng.random_range(0..200_000);
-            answer(&mut router, ms(offset), 0, Some(limit));
+            let offset = CLOCK_OFFSET + rng.random_range(0..200_000);
+            deliver_limit(&mut router, ms(offset), 0, Some(limit));
             let plan = plan(&mut router, ms(offset), "caller");
             let mut at = 0;
             while at < 60_000 {
                 match router.choose(ms(offset + at), &plan, None, &[]) {
                     Ok(_) => times.push(at + rng.random_range(0..500)),
-                    Err(why) => assert_eq!(why, Unserved::Limited),
+                    Err(why) => assert_eq!(why, ChooseError::Limited),
                 }
                 let now = ms(offset + at);
                 let pause = router.retry_after(now, &plan, ms(0)).unwrap_or_default();
@@ -153,9 +153,9 @@
         times.sort_unstable();
         let most = most_in_span(&times) as f64;
         assert!(
-            most <= allowed(limit),
+            most <= max_arrivals(limit),
             "{most} of {} with seed {seed}",
-            allowed(limit)
+            max_arrivals(limit)
         );
     }
 }
@@ -170,12 +170,13 @@
     let mut times = Vec::new();
     for n in 0..entries {
         let mut before = entry(n, entries as u32, 1);
-        answer(&mut before, ms(AHEAD), 0, Some(limit));
+        deliver_limit(&mut before, ms(CLOCK_OFFSET), 0, Some(limit));
         let tries = (0..1000).map(|step| step * 10);
-        let sent = tries.filter(|at| send(&mut before, ms(AHEAD + at), &format!("a{at}")).is_ok());
+        let sent =
+            tries.filter(|at| send(&mut before, ms(CLOCK_OFFSET + at), &format!("a{at}")).is_ok());
         times.extend(sent);
         let mut after = entry(n, 0, 1);
-        answer(&mut after, ms(0), 0, Some(limit));
+        deliver_limit(&mut after, ms(0), 0, Some(limit));
         let tries = (0..1000).map(|step| step * 10);
         let sent = tries.filter(|at| {
             after.set_entries(ms(*at), if *at < COUNTED_AT { 0 } else { entries as u32 });
@@ -185,8 +186,11 @@
     }
     times.sort_unstable();
     let most = most_in_span(&times);
-    assert!(most as f64 <= allowed(limit), "{most}");
-    let first = times.iter().find(|at| **at >= 10_000).expect("it goes on");
+    assert!(most as f64 <= max_arrivals(limit), "{most}");
+    let first = times
+        .iter()
+        .find(|at| **at >= 10_000)
+        .expect("sends after the restart");
     assert!(*first >= 10_000 + COUNTED_AT, "{first}");
 }
 
@@ -195,11 +199,12 @@
     // Guards against leaving a limited backend server unused, or overusing it, while two
     // others are not limited.
     let mut router = entry(1, 9, 3);
-    answer(&mut router, ms(AHEAD), 0, Some(3.7));
+    deliver_limit(&mut router, ms(CLOCK_OFFSET), 0, Some(3.7));
     let mut got: BTreeMap<ServerId, usize> = BTreeMap::new();
     for n in 0..2000 {
-        let choice = send(&mut router, ms(AHEAD + n * 10), &format!("r{n}"));
-        *got.entry(choice.expect("others have room").id).or_default() += 1;
+        let choice = send(&mut router, ms(CLOCK_OFFSET + n * 10), &format!("r{n}"));
+        *got.entry(choice.expect("the others accept requests").id)
+            .or_default() += 1;
     }
     let limited = got["server-0"];
     assert!(
@@ -214,23 +219,28 @@
     // retries each use the allowance, and without one left the current answer is kept.
     let mut router = entry(1, 1, 2);
     for number in 0..2 {
-        answer(&mut router, ms(AHEAD), number, Some(1.0));
+        deliver_limit(&mut router, ms(CLOCK_OFFSET), number, Some(1.0));
     }
-    let now = ms(AHEAD + 10);
+    let now = ms(CLOCK_OFFSET + 10);
     let plan = plan(&mut router, now, "caller");
-    let first = router.choose(now, &plan, None, &[]).expect("it takes one");
+    let first = router
+        .choose(now, &plan, None, &[])
+        .expect("the first accepts a request");
     let tried = [first.id.clone()];
-    assert!(router.has_another(now, &plan, &[], &first.id));
+    assert!(router.has_alternative(now, &plan, &[], &first.id));
     let second = router
         .choose(now, &plan, None, &tried)
-        .expect("so does the other");
+        .expect("the second accepts a request");
     assert_ne!(first.id, second.id);
-    assert!(!router.has_room(now, &plan, &[]));
-    assert!(!router.has_another(now, &plan, &tried, &second.id));
-    assert_eq!(router.choose(now, &plan, None, &[]), Err(Unserved::Limited));
+    assert!(!router.has_capacity(now, &plan, &[]));
+    assert!(!router.has_alternative(now, &plan, &tried, &second.id));
+    assert_eq!(
+        router.choose(now, &plan, None, &[]),
+        Err(ChooseError::Limited)
+    );
     assert_eq!(
         router.choose(now, &plan, None, &tried),
-        Err(Unserved::Limited)
+        Err(ChooseError::Limited)
     );
 }
 
@@ -241,29 +251,33 @@
     // and none is served before the first of them.
     let mut router = entry(1, 3, 2);
     for number in 0..2 {
-        answer(&mut router, ms(AHEAD), number, Some(2.0));
+        deliver_limit(&mut router, ms(CLOCK_OFFSET), number, Some(2.0));
     }
-    let now = ms(AHEAD + 10);
+    let now = ms(CLOCK_OFFSET + 10);
     while send(&mut router, now, "first").is_ok() {}
     let plan = plan(&mut router, now, "caller");
-    let told: Vec<MonoTime> = (0..6)
+    let retry_times: Vec<MonoTime> = (0..6)
         .map(|_| {
             now + router
                 .retry_after(now, &plan, ms(20_000))
-                .expect("foreseen")
+                .expect("a retry time")
         })
         .collect();
-    assert!(told.is_sorted(), "{told:?}");
+    assert!(retry_times.is_sorted(), "{retry_times:?}");
     assert!(
-        told.iter()
+        retry_times
+            .iter()
             .all(|at| (at.as_millis() - now.as_millis()).is_multiple_of(10))
     );
-    let early = send(&mut router, told[0] - ms(20), "early");
-    assert_eq!(early.err(), Some(Unserved::Limited));
-    for (n, at) in told.iter().enumerate() {
-        send(&mut router, *at, &format!("back{n}")).expect("it was true");
-        let others = told.iter().filter(|t| *t == at).count();
-        assert!(others <= 2, "two backend servers take one each: {told:?}");
+    let early = send(&mut router, retry_times[0] - ms(20), "early");
+    assert_eq!(early.err(), Some(ChooseError::Limited));
+    for (n, at) in retry_times.iter().enumerate() {
+        send(&mut router, *at, &format!("back{n}")).expect("served at the retry time");
+        let others = retry_times.iter().filter(|t| *t == at).count();
+        assert!(
+            others <= 2,
+            "two backend servers take one each: {retry_times:?}"
+        );
     }
 }
 
@@ -273,34 +287,44 @@
     // it, unless its request was sent before the limit was received, or it is not an
     // answer of the backend server itself, such as a rejection for lack of capacity.
     let mut router = entry(1, 300, 1);
-    answer(&mut router, ms(AHEAD), 0, Some(1.0));
+    deliver_limit(&mut router, ms(CLOCK_OFFSET), 0, Some(1.0));
     let choice = choice(0);
-    let none = says(None);
-    assert!(!router.limit_heard(ms(AHEAD + 50), &choice, ms(AHEAD - 50), &none));
-    let turned_away = AnswerHead {
+    let none = answer_head(None);
+    assert!(!router.record_limit(ms(CLOCK_OFFSET + 50), &choice, ms(CLOCK_OFFSET - 50), &none));
+    let rejection = AnswerHead {
         status: 503,
         not_run: true,
         ..AnswerHead::default()
     };
-    assert!(!router.limit_heard(ms(AHEAD + 500), &choice, ms(AHEAD + 400), &turned_away));
-    assert_eq!(router.limited(), 1);
-    assert!(router.limit_heard(ms(AHEAD + 900), &choice, ms(AHEAD + 800), &none));
-    assert_eq!(router.limited(), 0);
-    assert!(send(&mut router, ms(AHEAD + 901), "caller").is_ok());
+    assert!(!router.record_limit(
+        ms(CLOCK_OFFSET + 500),
+        &choice,
+        ms(CLOCK_OFFSET + 400),
+        &rejection
+    ));
+    assert_eq!(router.limited_count(), 1);
+    assert!(router.record_limit(
+        ms(CLOCK_OFFSET + 900),
+        &choice,
+        ms(CLOCK_OFFSET + 800),
+        &none
+    ));
+    assert_eq!(router.limited_count(), 0);
+    assert!(send(&mut router, ms(CLOCK_OFFSET + 901), "caller").is_ok());
 }
 
 /// Sends an entry's report to a control replica and returns the limits that it publishes.
-fn report(core: &mut Coordinator, now: u64, router: &mut Router) -> Vec<LimitOf> {
+fn report(replica: &mut Coordinator, now: u64, router: &mut Router) -> Vec<LimitOf> {
     let report = router.take_report(ms(now));
-    let mut actions = core.handle(ms(now), Event::Reported(report));
+    let mut actions = replica.handle(ms(now), Event::Reported(report));
     for at in (now..now + 400).step_by(20) {
-        actions.extend(core.handle(ms(at), Event::Tick));
+        actions.extend(replica.handle(ms(at), Event::Tick));
     }
-    let told = actions.into_iter().filter_map(|action| match action {
+    let published = actions.into_iter().filter_map(|action| match action {
         Action::Push(_, ToEntry::Limits(limits)) => Some(limits),
         _ => None,
     });
-    told.last().unwrap_or_default()
+    published.last().unwrap_or_default()
 }
 
 #[test]
@@ -308,37 +332,37 @@
     // Guards against outdated limits at other entries. With 300 entries, each gets an
     // answer once in a hundred seconds. The limit in one entry's answer, its decrease and
     // its end reach the others.
-    let mut core = coordinator();
-    let mut hears = entry(1, 300, 1);
+    let mut replica = coordinator();
+    let mut first = entry(1, 300, 1);
     let mut other = entry(2, 300, 1);
-    core.handle(ms(0), Event::Servers(vec![announcement(0)]));
-    core.handle(ms(0), Event::Subscribed(1));
-    core.handle(ms(0), Event::Follows(1, Default::default()));
+    replica.handle(ms(0), Event::Servers(vec![announcement(0)]));
+    replica.handle(ms(0), Event::Subscribed(1));
+    replica.handle(ms(0), Event::Follows(1, Default::default()));
     for (at, limit) in [(10_000, Some(4.0)), (20_000, Some(2.0)), (30_000, None)] {
-        answer(&mut hears, ms(at), 0, limit);
-        let told = report(&mut core, at + 100, &mut hears);
-        assert_eq!(told.first().map(|l| l.limit), Some(limit));
-        assert_eq!(other.told_limits(ms(at + 200), &told), ["server-0"]);
-        assert_eq!(other.limited(), usize::from(limit.is_some()));
+        deliver_limit(&mut first, ms(at), 0, limit);
+        let published = report(&mut replica, at + 100, &mut first);
+        assert_eq!(published.first().map(|l| l.limit), Some(limit));
+        assert_eq!(other.apply_limits(ms(at + 200), &published), ["server-0"]);
+        assert_eq!(other.limited_count(), usize::from(limit.is_some()));
         assert!(
-            other.told_limits(ms(at + 300), &told).is_empty(),
-            "told once"
+            other.apply_limits(ms(at + 300), &published).is_empty(),
+            "published once"
         );
     }
 }
 
 #[test]
-fn replica_knows_nothing() {
+fn restarted_replica_keeps_limits() {
     // Guards against a restarted control replica, which knows no limits, clearing those
     // of an entry.
     let mut router = entry(1, 9, 1);
-    answer(&mut router, ms(AHEAD), 0, Some(3.0));
-    assert!(router.told_limits(ms(AHEAD + 5000), &[]).is_empty());
-    assert_eq!(router.limited(), 1);
+    deliver_limit(&mut router, ms(CLOCK_OFFSET), 0, Some(3.0));
+    assert!(router.apply_limits(ms(CLOCK_OFFSET + 5000), &[]).is_empty());
+    assert_eq!(router.limited_count(), 1);
 }
 
 #[test]
-fn late_reports() {
+fn reports_out_of_order() {
     // Guards against reports that arrive out of order: taking the report of an answer
     // without a limit for the end of the limit would let all entries send without one.
     let server = loads::key(&"server-0".into());
@@ -350,16 +374,16 @@
         server,
         limit: None,
     };
-    let mut limits = NamedLimits::default();
-    limits.take(ms(0), [ended]);
+    let mut limits = KnownLimits::default();
+    limits.apply(ms(0), [ended]);
     assert!(limits.is_empty());
-    limits.take(ms(1000), [named]);
-    limits.take(ms(1200), [ended]);
-    assert_eq!(limits.tell(ms(1200)), [named]);
-    limits.take(ms(1900), [ended]);
-    assert_eq!(limits.tell(ms(1900)), [ended]);
-    limits.take(ms(2000), [named]);
-    assert_eq!(limits.tell(ms(2000)), [named]);
+    limits.apply(ms(1000), [named]);
+    limits.apply(ms(1200), [ended]);
+    assert_eq!(limits.current(ms(1200)), [named]);
+    limits.apply(ms(1900), [ended]);
+    assert_eq!(limits.current(ms(1900)), [ended]);
+    limits.apply(ms(2000), [named]);
+    assert_eq!(limits.current(ms(2000)), [named]);
     limits.retain(|_| false);
     assert!(limits.is_empty());
 }
@@ -369,7 +393,7 @@
     hardly_any = { 1e-9, 300 },
     beyond_all = { 1e9, 300 },
 )]
-fn odd_limits(limit: f64, entries: u32) {
+fn extreme_limits(limit: f64, entries: u32) {
     // Guards against extreme limits: each gives a valid schedule whose total rate is
     // within the limit.
     let period = Pace::of(limit, entries).period();
@@ -378,23 +402,23 @@
 }
 
 #[test]
-fn nobody_counted() {
+fn unknown_entry_count() {
     // Guards against sends to a limited backend server by an entry that does not know the
     // number of entries, which could be hundreds.
     let mut router = entry(1, 0, 1);
-    answer(&mut router, ms(AHEAD), 0, Some(1000.0));
-    let sent = send(&mut router, ms(AHEAD + 1), "caller");
-    assert_eq!(sent.err(), Some(Unserved::Limited));
+    deliver_limit(&mut router, ms(CLOCK_OFFSET), 0, Some(1000.0));
+    let sent = send(&mut router, ms(CLOCK_OFFSET + 1), "caller");
+    assert_eq!(sent.err(), Some(ChooseError::Limited));
 }
 
 #[test]
-fn new_life() {
+fn restart_ends_limit() {
     // Guards against a restarted backend server that inherits the limit of its earlier
     // incarnation.
     let mut router = entry(1, 300, 1);
-    answer(&mut router, ms(AHEAD), 0, Some(0.1));
-    let mut reborn = announcement(0);
-    (reborn.born, reborn.sequence) = (5, 2);
-    router.announced(ms(AHEAD + 10), reborn);
-    assert_eq!(router.limited(), 0);
+    deliver_limit(&mut router, ms(CLOCK_OFFSET), 0, Some(0.1));
+    let mut restarted = announcement(0);
+    (restarted.born, restarted.sequence) = (5, 2);
+    router.apply_announcement(ms(CLOCK_OFFSET + 10), restarted);
+    assert_eq!(router.limited_count(), 0);
 }
--- a/sesamebeam_core/tests/gateway/make.rs
+++ b/sesamebeam_core/tests/gateway/make.rs
@@ -32,10 +32,10 @@
         },
         router::{
             Choice,
+            ChooseError,
             Plan,
             Router,
-            RouterConfig,
-            Unserved, //
+            RouterConfig, //
         },
     },
     ids::MonoTime,
@@ -165,10 +165,10 @@
 pub(crate) fn router(servers: u8) -> Router {
     let mut router = Router::new(router_config());
     router.set_config(ms(0), config(1));
-    router.set_current();
+    router.set_config_current();
     router.set_entries(ms(0), 1);
     for number in 0..servers {
-        router.announced(ms(0), announcement(number));
+        router.apply_announcement(ms(0), announcement(number));
     }
     router
 }
@@ -193,10 +193,10 @@
     settings.name = name.into();
     let mut router = Router::new(settings);
     router.set_config(ms(0), config(1));
-    router.set_current();
+    router.set_config_current();
     router.set_entries(ms(0), entries);
     for number in 0..servers {
-        router.announced(ms(0), announcement(number));
+        router.apply_announcement(ms(0), announcement(number));
     }
     router
 }
@@ -209,10 +209,10 @@
 }
 
 /// Sends such a request, which is answered at once.
-pub(crate) fn send(router: &mut Router, now: MonoTime, id: &str) -> Result<Choice, Unserved> {
+pub(crate) fn send(router: &mut Router, now: MonoTime, id: &str) -> Result<Choice, ChooseError> {
     let plan = plan(router, now, id);
     let choice = router.choose(now, &plan, None, &[])?;
-    router.finished(now, &plan, &choice, Outcome::Good);
+    router.record_outcome(now, &plan, &choice, Outcome::Good);
     Ok(choice)
 }
 
@@ -224,7 +224,7 @@
         born: said.born,
         addr: said.addr,
         version: said.version,
-        reading: ms(0),
+        prefill_time: ms(0),
         candidates: 1,
     }
 }
--- a/sesamebeam_core/tests/gateway/pool.rs
+++ b/sesamebeam_core/tests/gateway/outliers.rs
@@ -8,9 +8,9 @@
 use sesamebeam_core::gateway::{
     directory::Directory,
     loads,
-    pool::{
-        Outcomes,
-        Pool, //
+    outliers::{
+        AnswerCounts,
+        OutlierDetector, //
     },
 };
 use yare::parameterized;
@@ -21,7 +21,7 @@
 };
 
 /// Time between two evaluations, in milliseconds.
-const STEP: u64 = 100;
+const STEP_MS: u64 = 100;
 
 /// Simulated service whose requests are distributed at random over its backend servers.
 struct Service {
@@ -30,14 +30,14 @@
     /// Answers per second of each backend server.
     rate: f64,
     /// Baseline failure rate.
-    usual: f64,
+    baseline: f64,
     rng: StdRng,
-    pool: Pool,
+    detector: OutlierDetector,
     now: u64,
 }
 
 impl Service {
-    fn new(servers: u8, rate: f64, usual: f64, seed: u64) -> Self {
+    fn new(servers: u8, rate: f64, baseline: f64, seed: u64) -> Self {
         let mut directory = Directory::default();
         for number in 0..servers {
             directory.take(ms(0), announcement(number), true);
@@ -46,9 +46,9 @@
             directory,
             servers,
             rate,
-            usual,
+            baseline,
             rng: StdRng::seed_from_u64(seed),
-            pool: Pool::default(),
+            detector: OutlierDetector::default(),
             now: 0,
         }
     }
@@ -60,25 +60,25 @@
     /// Advances the simulation by a tenth of a second, in which the first `bad` backend
     /// servers fail at the rate `failing`.
     fn step(&mut self, bad: u8, failing: f64) {
-        self.now += STEP;
+        self.now += STEP_MS;
         for number in 0..self.servers {
-            let share = if number < bad { failing } else { self.usual };
-            let mean = self.rate * STEP as f64 / 1000.0;
+            let share = if number < bad { failing } else { self.baseline };
+            let mean = self.rate * STEP_MS as f64 / 1000.0;
             let whole = mean.floor() as u32;
             let answers = whole + u32::from(self.rng.random_bool(mean.fract()));
             let failed = (0..answers).filter(|_| self.rng.random_bool(share)).count() as u32;
-            self.pool.take([Outcomes {
+            self.detector.record([AnswerCounts {
                 server: Self::key(number),
                 good: answers - failed,
                 bad: failed,
             }]);
         }
-        self.pool.judge(ms(self.now), &self.directory);
+        self.detector.evaluate(ms(self.now), &self.directory);
     }
 
     fn is_doubted(&self, number: u8) -> bool {
         let key = Self::key(number);
-        self.pool.doubts().iter().any(|d| d.server == key)
+        self.detector.doubts().iter().any(|d| d.server == key)
     }
 }
 
@@ -88,20 +88,20 @@
     engines = { 10.0, 0.01, 14 },
     failing_service = { 70.0, 0.2, 14 },
 )]
-fn bad_one_found(rate: f64, usual: f64, within: u64) {
+fn faulty_server_is_detected(rate: f64, baseline: f64, within: u64) {
     // Guards against slow detection. Three of five backend servers start to cut off two
     // in five answers; each is detected within the given tenths of a second on average
     // over 100 runs. Measured: 2.6, 10.2, 7.6, 9.7.
     let mut took = 0;
     for seed in 0..100 {
-        let mut service = Service::new(5, rate, usual, seed);
+        let mut service = Service::new(5, rate, baseline, seed);
         (0..200).for_each(|_| service.step(0, 0.0));
         let from = service.now;
         while !service.is_doubted(0) {
             service.step(3, 0.4);
             assert!(service.now < from + 20_000, "seed {seed}");
         }
-        took += (service.now - from) / STEP;
+        took += (service.now - from) / STEP_MS;
     }
     assert!(took <= within * 100, "{}", took as f64 / 100.0);
 }
@@ -112,16 +112,16 @@
     engines = { 10.0, 0.01 },
     failing_service = { 70.0, 0.2 },
 )]
-fn good_one_doubted(rate: f64, usual: f64) {
+fn false_positives_are_rare(rate: f64, baseline: f64) {
     // Guards against false positives. In 20 runs of a minute, with five backend servers
     // at the baseline failure rate, the doubted share of the time is at most 2 in 1,000,
     // and others are available then. Measured: 0.2, 1.9, 0.7, 1.1 in 1,000.
     let (mut doubted, mut all) = (0, 0);
     for seed in 0..20 {
-        let mut service = Service::new(5, rate, usual, seed);
+        let mut service = Service::new(5, rate, baseline, seed);
         for _ in 0..600 {
             service.step(0, 0.0);
-            doubted += service.pool.doubts().len();
+            doubted += service.detector.doubts().len();
             all += 5;
         }
     }
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn tried_again() {
+fn doubt_expires() {
     // Guards against a doubt that never ends: a doubted backend server gets no requests
     // that would show its recovery. The doubt expires after some seconds.
     let mut service = Service::new(5, 70.0, 0.04, 1);
@@ -137,14 +137,16 @@
     (0..10).for_each(|_| service.step(1, 0.4));
     assert!(service.is_doubted(0));
     for _ in 0..100 {
-        service.now += STEP;
-        service.pool.judge(ms(service.now), &service.directory);
+        service.now += STEP_MS;
+        service
+            .detector
+            .evaluate(ms(service.now), &service.directory);
     }
     assert!(!service.is_doubted(0));
 }
 
 #[test]
-fn well_again() {
+fn recovered_server_is_cleared() {
     let mut service = Service::new(5, 70.0, 0.04, 1);
     (0..100).for_each(|_| service.step(0, 0.0));
     (0..10).for_each(|_| service.step(1, 0.4));
--- a/sesamebeam_core/tests/gateway/plays.rs
+++ b/sesamebeam_core/tests/gateway/plays.rs
@@ -64,10 +64,10 @@
         for life in 1..=entries {
             let mut router = Router::new(router_config());
             router.set_config(ms(0), bookings());
-            router.set_current();
+            router.set_config_current();
             router.set_entries(ms(0), entries as u32);
             for said in all.clone() {
-                router.announced(ms(0), said);
+                router.apply_announcement(ms(0), said);
             }
             fleet.entries.insert(life, router);
             fleet.event(Event::Subscribed(life));
@@ -135,7 +135,7 @@
         } else {
             Outcome::Good
         };
-        router.finished(at, &plan, &choice, outcome);
+        router.record_outcome(at, &plan, &choice, outcome);
         !broke
     }
 }
