--- a/sesamebeam_core/tests/gateway/router.rs
+++ b/sesamebeam_core/tests/gateway/router.rs
@@ -43,7 +43,7 @@
     for number in 100..103 {
         let mut said = announcement(number);
         said.version = "v2".into();
-        router.announced(ms(0), said);
+        router.apply_announcement(ms(0), said);
     }
 }
 
@@ -53,7 +53,10 @@
     head.session = session.map(Into::into);
     let plan = router.admit(ms(now), &head).expect("it is admitted");
     let choice = router.choose(ms(now), &plan, plan.model.as_deref(), &[]);
-    choice.expect("there is room").version.to_string()
+    choice
+        .expect("a backend server is available")
+        .version
+        .to_string()
 }
 
 #[test]
@@ -113,7 +116,7 @@
     };
     let asked = (1000..1200).filter(|n| {
         let plan = router.admit(ms(*n), &head("a")).expect("it is admitted");
-        let step = router.judge(ms(*n), &plan, "small", &unsure, true);
+        let step = router.judge_confidence(ms(*n), &plan, "small", &unsure, true);
         matches!(step, Step::Ask(_))
     });
     let asked = asked.count();
@@ -209,7 +212,7 @@
     roll_out(&mut first, Phase::Canary, 1);
     roll_out(&mut second, Phase::Canary, 1);
     for kept in first.take_report(ms(300)).kept {
-        second.keep_sessions(ms(300), &kept, false);
+        second.pin_sessions(ms(300), &kept, false);
     }
     for n in 0..400 {
         let version = send(&mut second, 4000, &format!("b{n}"), Some(&format!("s{n}")));
@@ -222,7 +225,7 @@
 }
 
 #[test]
-fn convicted() {
+fn quarantined_request_is_refused() {
     let mut router = router(2);
     assert!(router.check_fingerprint(5).is_ok());
     router.set_quarantined([5]);
@@ -234,10 +237,10 @@
     // Guards against a quarantine of a frequent request that runs whenever a backend
     // server crashes, but also completes every time.
     let mut router = router(2);
-    router.completed(5);
+    router.record_completion(5);
     let plan = router.admit(ms(0), &head("r")).expect("it is admitted");
     let choice = router.choose(ms(0), &plan, None, &[]);
-    router.crashed(5, &choice.expect("there is room"));
+    router.record_crash(5, &choice.expect("a backend server is available"));
     assert!(router.take_report(ms(0)).crashes.is_empty());
     router.set_quarantined([5]);
     assert!(router.check_fingerprint(5).is_ok());
@@ -257,7 +260,7 @@
             .expect("it is admitted");
         let choice = router
             .choose(ms(n), &plan, None, &[])
-            .expect("there is room");
+            .expect("a backend server is available");
         if choice.version == "v2" {
             used.insert(choice.id.clone());
         }
@@ -266,18 +269,18 @@
 }
 
 #[test]
-fn reborn_is_tried() {
+fn restarted_server_is_tried() {
     // Guards against a restarted backend server that inherits the pause of its earlier
     // incarnation, also if a send to the latter ends late.
     let mut router = router(1);
     let plan = router.admit(ms(0), &head("r")).expect("it is admitted");
     let choice = router
         .choose(ms(0), &plan, None, &[])
-        .expect("there is room");
-    router.finished(ms(1), &plan, &choice, balance::Outcome::Unreachable);
+        .expect("a backend server is available");
+    router.record_outcome(ms(1), &plan, &choice, balance::Outcome::Unreachable);
     let mut other = announcement(9);
     other.sequence = 1;
-    router.announced(ms(2), other);
+    router.apply_announcement(ms(2), other);
     let mut again = router
         .directory()
         .get(&choice.id)
@@ -286,15 +289,15 @@
         .clone();
     again.born += 5000;
     again.sequence = 1;
-    router.announced(ms(3), again);
-    router.finished(ms(4), &plan, &choice, balance::Outcome::Unreachable);
+    router.apply_announcement(ms(3), again);
+    router.record_outcome(ms(4), &plan, &choice, balance::Outcome::Unreachable);
     let tried = ["server-9".into()];
     let next = router.choose(ms(5), &plan, None, &tried);
     assert_eq!(next.map(|c| c.born), Ok(5000));
 }
 
 #[test]
-fn old_config_denies_nothing() {
+fn old_config_gives_no_permanent_errors() {
     // Guards against permanent errors from an outdated configuration. After a restart of
     // all processes, an entry may get an old one first, in which a route or key is
     // missing, and callers would not retry.
@@ -304,12 +307,12 @@
     other.path = "/nowhere/".into();
     assert_eq!(router.admit(ms(0), &other).err(), Some(Refusal::NoConfig));
     assert!(router.admit(ms(0), &head("s")).is_ok());
-    router.set_current();
+    router.set_config_current();
     assert_eq!(router.admit(ms(0), &other).err(), Some(Refusal::NoRoute));
 }
 
 #[test]
-fn trial_in_pulses() {
+fn canary_in_pulses() {
     // Guards against a canary without load in a small service without sessions. Spread
     // over time, the canary of a service with three backend servers gets a fifth of the
     // load of a stable one. In pulses it gets as much, within the same total share.
@@ -322,8 +325,8 @@
         let plan = router.admit(ms(n), &head).expect("it is admitted");
         let choice = router
             .choose(ms(n), &plan, None, &[])
-            .expect("there is room");
-        router.finished(ms(n), &plan, &choice, balance::Outcome::Good);
+            .expect("a backend server is available");
+        router.record_outcome(ms(n), &plan, &choice, balance::Outcome::Good);
         new[(n % 2000 / 200) as usize] += u32::from(choice.version == "v2");
     }
     let all: u32 = new.iter().sum();
