--- a/sesamebeam_core/src/gateway/balance.rs
+++ b/sesamebeam_core/src/gateway/balance.rs
@@ -62,8 +62,8 @@
 /// hundred tokens in a millisecond, so this costs about twenty milliseconds once, while a
 /// remote prefix exposes all requests with it to faults of the link between the domains.
 /// Measured with all prompts kept local, on days with such faults, one deployment gained
-/// a score of 0.02 and another lost 0.015, as its long shared prompts were processed
-/// three times.
+/// 0.02 of the value of all its requests and another lost 0.015, as its long shared
+/// prompts were processed three times.
 const LOCAL_PROMPT_TOKENS: u32 = 2_000;
 
 /// Prefill backlog up to which an engine is preferred for a cached prompt: processing
--- a/sesamebeam_core/src/gateway/router/retry_after.rs
+++ b/sesamebeam_core/src/gateway/router/retry_after.rs
@@ -32,7 +32,8 @@
     /// Under rate limits, each caller gets a time of its own. With a common time, all but
     /// the first would be rejected again. As all entries do the same, the rate of
     /// returning callers stays within the limits. After a requested pause, callers are
-    /// spread at random (see [`RequestedPause::spread`]).
+    /// spread at random (see
+    /// [`RequestedPause::spread`](crate::policy::backoff::RequestedPause::spread)).
     pub fn retry_after(
         &mut self,
         now: MonoTime,
