--- a/sesamebeam_core/src/entry.rs
+++ b/sesamebeam_core/src/entry.rs
@@ -1,19 +1,19 @@
-//! The core of an entry: routes requests, keeps what it promises, explains.
+//! State machine of an entry, the process that accepts and routes requests.
 //!
-//! [`EntryCore::handle`] takes one event and gives the actions that follow from
-//! it. It opens no socket and reads no clock; the edges do, and a harness can.
+//! [`EntryCore::handle`] processes one event and returns the resulting actions.
+//! Sockets and clocks belong to the caller: the runtime or a test harness.
 
 mod arrive;
-mod ask;
 mod attempts;
 mod choose;
 mod claims;
+mod control_requests;
 pub mod event;
 pub mod explain;
 mod finish;
 mod hedge;
 mod lease;
-mod members;
+mod membership;
 pub mod refusal;
 mod request;
 pub mod view;
@@ -32,9 +32,9 @@
 };
 
 use self::{
-    ask::{
-        AskFor,
-        PendingEnds, //
+    control_requests::{
+        ControlPurpose,
+        PendingCompletions, //
     },
     event::{
         AskId,
@@ -93,103 +93,107 @@
     },
 };
 
-/// Broken attempts and dead lives that are remembered.
-const MAX_LOST: usize = 1024;
+/// Maximum number of recorded broken attempts, and of recorded dead
+/// incarnations of backend servers.
+const MAX_CRASH_RECORDS: usize = 1024;
 
-/// Pins that are remembered.
+/// Maximum number of cached session pins.
 const MAX_PINS: usize = 65_536;
 
-/// Time before the rating service was distrusted from which its holds are let
-/// go: what it said then is not believed either.
-const RATER_DOUBT: Duration = Duration::from_secs(60);
+/// How far back holds based on ratings are released when the rating service
+/// becomes distrusted. Its recent ratings are considered unreliable too.
+const RATER_DISTRUST_LOOKBACK: Duration = Duration::from_secs(60);
 
-/// Time for which a broken attempt can still explain a death.
-const LOST_FOR: Duration = Duration::from_secs(10);
+/// Time for which a broken attempt is considered a possible cause of a backend
+/// server crash.
+const BROKEN_ATTEMPT_RETENTION: Duration = Duration::from_secs(10);
 
-/// Settings of an entry's core.
+/// Configuration of an [`EntryCore`].
 #[derive(Clone, Debug)]
 pub struct EntryConfig {
-    /// Name of the instance.
+    /// Name of this instance.
     pub instance: InstanceId,
-    /// Failure domain that it runs in.
+    /// Failure domain of this instance.
     pub domain: DomainId,
-    /// This life of the process, drawn at random.
+    /// Random number that identifies this run of the process.
     pub incarnation: Incarnation,
-    /// Seed of random choices.
+    /// Seed for pseudo-random choices.
     pub seed: u64,
-    /// Time after asking for a claim within which the request is sent.
+    /// Time after requesting a claim within which the request must be sent.
     pub dispatch_window: Duration,
-    /// Time after which a question to the control group is given up.
+    /// Timeout of requests to the control group, except lease renewals.
     pub claim_timeout: Duration,
-    /// Time after which a renewal of the lease is given up; longer than the
-    /// control group lets one wait.
+    /// Timeout of lease renewals. Must exceed the time for which the control
+    /// group delays the response of a renewal.
     pub renew_timeout: Duration,
-    /// Pause between failed renewals.
+    /// Delay before a failed renewal is retried.
     pub renew_pause: Duration,
-    /// Longest time without any byte of an answer.
+    /// Maximum time without receiving any byte of a response.
     pub progress_timeout: Duration,
-    /// Requests under way; more are refused at once, so that a flood of callers
-    /// cannot fill the memory.
+    /// Maximum number of requests in flight. Further requests are refused
+    /// immediately to bound memory use under overload.
     pub max_in_flight: usize,
-    /// Attempts at one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: Attempt,
-    /// Resumes of one stream without progress in between.
+    /// Maximum number of consecutive resumes of a stream without progress.
     pub max_resumes: u32,
-    /// Pause before the second of them; the later ones grow by it.
+    /// Delay before the second resume; it increases by the same amount for each
+    /// further one.
     pub resume_pause: Duration,
-    /// Time after which callers are told to come back.
+    /// Default `Retry-After` of refusals.
     pub retry_after: Duration,
-    /// Longest wait for the score of a held answer.
+    /// Maximum wait for the score of a held response.
     pub rate_timeout: Duration,
-    /// Time without cascades after the rating service did not answer.
+    /// Time for which cascades are disabled after the rating service timed out.
     pub rater_rest: Duration,
-    /// Whether there is a rating service.
+    /// Whether a rating service is configured.
     pub has_rater: bool,
-    /// Time between two messages of backend servers that are alive.
+    /// Interval between heartbeat messages about backend servers to other entries.
     pub alive_every: Duration,
-    /// Time between two reports of evidence.
+    /// Interval between evidence reports to the control group.
     pub evidence_every: Duration,
-    /// Time between two reports of backend servers to the control group.
+    /// Interval between backend server reports to the control group.
     pub servers_every: Duration,
-    /// Requests whose decisions can be explained.
+    /// Number of recent requests for which explanations are kept.
     pub explained: usize,
-    /// Settings of the decisions.
+    /// Configuration of the routing and admission policies.
     pub policy: PolicyConfig,
-    /// Safeguards that tests switch off to see them missed.
+    /// Safeguards disabled by tests.
     #[doc(hidden)]
     pub faults: Faults,
 }
 
-/// Safeguards that tests switch off to see them missed.
+/// Safeguards that tests disable to verify that their absence is detected.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Sends before the claim is committed.
+    /// Sends a request before its claim is committed.
     pub send_unclaimed: bool,
-    /// Skips the checks between the queue and the wire.
+    /// Skips the checks when a request leaves the queue.
     pub no_last_check: bool,
-    /// Sends second attempts without the checks of new work.
+    /// Sends hedges without the checks that apply to new work.
     pub hedge_unchecked: bool,
-    /// Takes a claim over without waiting for window and lease.
+    /// Takes over a claim of this entry although it may still be used.
     pub retake_early: bool,
-    /// Says "not run" without looking at the claim.
+    /// Reports "not run" without looking up the claim.
     pub claim_not_run: bool,
-    /// Takes an older configuration over a newer one.
+    /// Replaces a configuration by an older one.
     pub revert_config: bool,
-    /// Takes a lease although the answer's difference does not apply here.
+    /// Renews the lease although the delta in the reply does not apply to the
+    /// configuration in force.
     pub lease_unfitting: bool,
-    /// Lets every organisation use every version.
+    /// Allows every organisation to use every version.
     pub any_version: bool,
-    /// Pins a bare session name locally while cut off.
+    /// Pins a session name locally while the lease is not held.
     pub pin_when_cut: bool,
-    /// Reruns a broken non-idempotent request elsewhere.
+    /// Reruns a broken non-idempotent request on another backend server.
     pub rerun_once: bool,
-    /// Sends new work to backend servers that are leaving.
+    /// Sends new work to backend servers that have announced a shutdown.
     pub ignore_leaving: bool,
 }
 
 impl EntryConfig {
-    /// Makes settings with defaults for an instance.
+    /// Creates the default configuration of an instance.
     pub fn new(instance: InstanceId, domain: DomainId, incarnation: Incarnation) -> Self {
         Self {
             instance,
@@ -219,7 +223,7 @@
     }
 }
 
-/// The core of an entry.
+/// State machine of an entry.
 #[derive(Debug)]
 pub struct EntryCore {
     cfg: EntryConfig,
@@ -237,43 +241,45 @@
     explain: Explain,
     requests: IndexMap<RequestId, Request>,
     pins: IndexMap<PinKey, PinView>,
-    asks: BTreeMap<AskId, AskFor>,
-    pending: PendingEnds,
-    /// Organisation and class of answers that are being rated.
+    control_requests: BTreeMap<AskId, ControlPurpose>,
+    pending: PendingCompletions,
+    /// Organisation and class of responses sampled for rating.
     sampled: IndexMap<RequestId, (OrgId, ClassId)>,
-    /// Attempts that broke off lately, with the request's fingerprint.
-    lost: VecDeque<(MonoTime, ServerLife, Digest)>,
-    /// Lives whose death was taken.
-    dead: VecDeque<ServerLife>,
-    /// Backend servers that refreshed their lease here, to be told to others.
-    alive: IndexMap<ServerAddr, Alive>,
-    /// Backend servers that announced themselves here since the last report.
+    /// Recently broken attempts: time, backend server, request digest.
+    broken_attempts: VecDeque<(MonoTime, ServerLife, Digest)>,
+    /// Backend server incarnations whose crash was already handled.
+    dead_incarnations: VecDeque<ServerLife>,
+    /// Backend servers that refreshed their lease here since the last heartbeat
+    /// message to other entries.
+    refreshed: IndexMap<ServerAddr, Alive>,
+    /// Backend servers that announced themselves here since the last report to
+    /// the control group.
     unreported: IndexSet<ServerAddr>,
-    next_ask: AskId,
+    next_control_request: AskId,
     next_renew: MonoTime,
-    next_ask_peers: MonoTime,
+    next_config_query: MonoTime,
     next_alive: MonoTime,
-    next_want: MonoTime,
+    next_server_query: MonoTime,
     next_evidence: MonoTime,
     next_servers: MonoTime,
-    rater_silent_until: MonoTime,
+    rater_disabled_until: MonoTime,
     renewing: bool,
-    /// Length of the lease that was granted last.
+    /// Duration of the last granted lease.
     last_lease: Option<Duration>,
     rater_distrusted: bool,
     lease_was_held: bool,
-    pump_wanted: bool,
+    queue_check_due: bool,
     stopping: bool,
-    /// Whether the lease was given back, after the last request ended.
-    leaving: bool,
+    /// Whether the lease is being released after the last request ended.
+    releasing_lease: bool,
     drained: bool,
-    /// Wall-clock time of the present event, for records.
+    /// Wall-clock time of the current event, for records.
     unix: UnixMillis,
-    out: Vec<EntryAction>,
+    actions: Vec<EntryAction>,
 }
 
 impl EntryCore {
-    /// Makes the core of an entry that knows nothing yet.
+    /// Creates an entry without configuration or known backend servers.
     pub fn new(cfg: EntryConfig) -> Self {
         let policy = &cfg.policy;
         Self {
@@ -291,38 +297,38 @@
             explain: Explain::new(cfg.explained),
             requests: IndexMap::new(),
             pins: IndexMap::new(),
-            asks: BTreeMap::new(),
-            pending: PendingEnds::default(),
+            control_requests: BTreeMap::new(),
+            pending: PendingCompletions::default(),
             sampled: IndexMap::new(),
-            lost: VecDeque::new(),
-            dead: VecDeque::new(),
-            alive: IndexMap::new(),
+            broken_attempts: VecDeque::new(),
+            dead_incarnations: VecDeque::new(),
+            refreshed: IndexMap::new(),
             unreported: IndexSet::new(),
-            next_ask: 0,
+            next_control_request: 0,
             next_renew: MonoTime::ZERO,
-            next_ask_peers: MonoTime::ZERO,
+            next_config_query: MonoTime::ZERO,
             next_alive: MonoTime::ZERO,
-            next_want: MonoTime::ZERO,
+            next_server_query: MonoTime::ZERO,
             next_evidence: MonoTime::ZERO,
             next_servers: MonoTime::ZERO,
-            rater_silent_until: MonoTime::ZERO,
+            rater_disabled_until: MonoTime::ZERO,
             renewing: false,
             last_lease: None,
             rater_distrusted: false,
             lease_was_held: false,
-            pump_wanted: false,
+            queue_check_due: false,
             stopping: false,
-            leaving: false,
+            releasing_lease: false,
             drained: false,
             unix: 0,
-            out: Vec::new(),
+            actions: Vec::new(),
             cfg,
         }
     }
 
-    /// Handles one event and gives the actions that follow, in order.
+    /// Handles one event and returns the resulting actions in order.
     ///
-    /// `now` never goes back; `unix` is for records that people read.
+    /// `now` must be monotonic; `unix` is used only in human-readable records.
     pub fn handle(
         &mut self,
         now: MonoTime,
@@ -333,61 +339,65 @@
         self.explain.at(now);
         match event {
             EntryEvent::Tick => self.tick(now),
-            EntryEvent::Arrived(arrival) => self.arrive(now, *arrival),
-            EntryEvent::CallerGone { request } => self.caller_gone(now, request),
+            EntryEvent::Arrived(arrival) => self.handle_arrival(now, *arrival),
+            EntryEvent::CallerGone { request } => self.handle_hang_up(now, request),
             EntryEvent::Attempt {
                 request,
                 attempt,
                 report,
-            } => self.reported(now, request, attempt, report),
-            EntryEvent::Cancelled { request, known } => self.cancelled(now, request, known),
-            EntryEvent::Answered { ask, reply } => self.answered(now, ask, reply),
-            EntryEvent::Announced(announcement) => self.announced(now, &announcement, true),
-            EntryEvent::Peer { from, message } => self.peer(now, from, message),
-            EntryEvent::Rated(rating) => self.rated(now, &rating),
-            EntryEvent::RatedNow { request, score } => self.rated_now(now, request, score),
-            EntryEvent::Stop => self.stop(now),
+            } => self.handle_report(now, request, attempt, report),
+            EntryEvent::Cancelled { request, known } => {
+                self.handle_cancel_reply(now, request, known)
+            }
+            EntryEvent::Answered { ask, reply } => self.handle_control_reply(now, ask, reply),
+            EntryEvent::Announced(announcement) => {
+                self.handle_announcement(now, &announcement, true)
+            }
+            EntryEvent::Peer { from, message } => self.handle_peer_message(now, from, message),
+            EntryEvent::Rated(rating) => self.handle_rating(now, &rating),
+            EntryEvent::RatedNow { request, score } => self.handle_score(now, request, score),
+            EntryEvent::Stop => self.begin_stop(now),
         }
-        self.pump(now);
-        std::mem::take(&mut self.out)
+        self.start_queued(now);
+        std::mem::take(&mut self.actions)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn view(&self) -> &ConfigView {
         &self.view
     }
 
-    /// What was decided on recent requests.
+    /// Returns the explanations of recent requests.
     pub fn explanations(&self) -> &Explain {
         &self.explain
     }
 
-    /// Burn of the objectives, of all organisations or of one.
+    /// Returns the error budget burn of all organisations or of one.
     pub fn burn(&self, now: MonoTime, only: Option<&str>) -> BurnReport {
         self.burn.report(now, only)
     }
 
-    /// Backend servers known here.
+    /// Returns the known backend servers.
     pub fn servers(&self) -> &Servers {
         &self.servers
     }
 
-    /// Requests under way.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests that hold a slot of a pool.
+    /// Returns the number of requests that hold a pool slot.
     pub fn slots_held(&self) -> usize {
         self.admission.total_running()
     }
 
-    /// Whether a request is under way.
+    /// Returns whether a request is in flight.
     pub fn has(&self, request: RequestId) -> bool {
         self.requests.contains_key(&request)
     }
 
-    /// Whether a stop has begun.
+    /// Returns whether a planned stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping
     }
@@ -395,13 +405,13 @@
     fn tick(&mut self, now: MonoTime) {
         self.tick_lease(now);
         self.tick_servers(now);
-        self.resume_paused(now);
+        self.start_due_resumes(now);
         self.tick_hedges(now);
         self.quality.tick(now);
-        self.judge_rater(now);
+        self.check_rater(now);
         self.suspects.tick(now);
-        self.retry_ends(now);
-        self.retry_lost();
+        self.retry_completions(now);
+        self.repeat_lost_claims();
         for given_up in self.admission.expired(now) {
             let after = Some(given_up.retry_after);
             self.give_up(now, given_up.request, refusal::Reason::Overloaded, after);
@@ -412,33 +422,34 @@
         if now >= self.next_servers {
             self.report_servers(now);
         }
-        self.lost
-            .retain(|(at, _, _)| now.saturating_sub(*at) < LOST_FOR);
+        self.broken_attempts
+            .retain(|(at, _, _)| now.saturating_sub(*at) < BROKEN_ATTEMPT_RETENTION);
         while self.pins.len() > MAX_PINS {
             self.pins.swap_remove_index(0);
         }
-        self.pump_wanted = true;
+        self.queue_check_due = true;
         self.check_drained();
     }
 
-    /// Lets go of holds by ratings when the rating service turns out to be
-    /// wrong: good versions would else stay held on its word.
-    fn judge_rater(&mut self, now: MonoTime) {
+    /// Releases holds based on recent ratings when the rating service becomes
+    /// distrusted. Otherwise good versions would stay held because of wrong
+    /// ratings.
+    fn check_rater(&mut self, now: MonoTime) {
         let distrusted = self.quality.rater_distrusted();
         if distrusted && !self.rater_distrusted {
-            let since = now.saturating_sub(RATER_DOUBT);
+            let since = now.saturating_sub(RATER_DISTRUST_LOOKBACK);
             self.exposure.release_ratings_since(since);
         }
         self.rater_distrusted = distrusted;
     }
 
-    /// Begins a planned stop: requests under way go on to their end.
-    fn stop(&mut self, now: MonoTime) {
+    /// Begins a planned stop; requests in flight are completed.
+    fn begin_stop(&mut self, now: MonoTime) {
         if self.stopping {
             return;
         }
         self.stopping = true;
-        self.tell(
+        self.send_to_entries(
             Audience::All,
             PeerMessage::Leaving {
                 instance: self.cfg.instance.clone(),
@@ -453,16 +464,16 @@
         self.next_evidence = now + self.cfg.evidence_every;
         let evidence = self.exposure.take_evidence(&self.cfg.instance);
         if !evidence.is_empty() {
-            self.ask(
-                AskFor::Report,
+            self.send_control(
+                ControlPurpose::Report,
                 ControlRequest::Evidence(evidence),
                 self.cfg.claim_timeout,
             );
         }
     }
 
-    /// This entry in its present life.
-    fn me(&self) -> Claimant {
+    /// Identifies this run of the entry as a claimant.
+    fn claimant(&self) -> Claimant {
         Claimant {
             instance: self.cfg.instance.clone(),
             incarnation: self.cfg.incarnation,
@@ -470,7 +481,7 @@
     }
 }
 
-/// Drops the oldest of a queue until at most `most` are left.
+/// Removes the oldest elements until at most `most` are left.
 fn keep_newest<T>(queue: &mut VecDeque<T>, most: usize) {
     while queue.len() > most {
         queue.pop_front();
--- a/sesamebeam_core/src/entry/arrive.rs
+++ b/sesamebeam_core/src/entry/arrive.rs
@@ -1,8 +1,8 @@
-//! From arrival to the queue: checks, session, plan.
+//! Handling of new requests up to the queue: validation, session and plan.
 
 use super::{
     EntryCore,
-    ask::AskFor,
+    control_requests::ControlPurpose,
     event::{
         Arrival,
         EntryAction,
@@ -42,8 +42,8 @@
 };
 
 impl EntryCore {
-    /// Takes a caller's request.
-    pub(super) fn arrive(&mut self, now: MonoTime, arrival: Arrival) {
+    /// Handles a new request.
+    pub(super) fn handle_arrival(&mut self, now: MonoTime, arrival: Arrival) {
         let id = arrival.request;
         match self.admit(now, arrival) {
             Ok(req) => {
@@ -51,9 +51,9 @@
                 self.explain.arrived(now, id, &self.requests[&id].arrival);
                 self.plan(now, id);
             }
-            // Nothing was claimed or sent under this id, and for a key that
-            // may be in use the refusals of `admit` say nothing of the key.
-            Err(refusal) => self.out.push(EntryAction::Refuse {
+            // Nothing was claimed or sent under this id. If the request has a
+            // key, the refusals of `admit` do not claim that it did not run.
+            Err(refusal) => self.actions.push(EntryAction::Refuse {
                 request: id,
                 refusal,
             }),
@@ -63,83 +63,91 @@
     fn admit(&mut self, now: MonoTime, arrival: Arrival) -> Result<Request, Refusal> {
         let keyed = arrival.key.is_some();
         if self.stopping {
-            return Err(early(Reason::Stopping, keyed, Some(self.cfg.retry_after)));
+            return Err(refusal_on_arrival(
+                Reason::Stopping,
+                keyed,
+                Some(self.cfg.retry_after),
+            ));
         }
         if self.requests.len() >= self.cfg.max_in_flight {
-            return Err(early(Reason::Overloaded, keyed, Some(self.cfg.retry_after)));
+            return Err(refusal_on_arrival(
+                Reason::Overloaded,
+                keyed,
+                Some(self.cfg.retry_after),
+            ));
         }
         if self.view.revision() == 0 {
             let after = Some(self.cfg.retry_after);
-            return Err(early(Reason::NoConfiguration, keyed, after));
+            return Err(refusal_on_arrival(Reason::NoConfiguration, keyed, after));
         }
         if self.view.organisation(&arrival.org).is_none() {
-            return Err(early(Reason::UnknownOrganisation, keyed, None));
+            return Err(refusal_on_arrival(Reason::UnknownOrganisation, keyed, None));
         }
         let service = match &arrival.wanted {
             Wanted::Service(pool) => Some(pool.as_str()),
             _ => None,
         };
         let Some(class) = self.view.class(arrival.class.as_deref(), service) else {
-            return Err(early(Reason::UnknownClass, keyed, None));
+            return Err(refusal_on_arrival(Reason::UnknownClass, keyed, None));
         };
         if class.service.as_deref() != service {
-            return Err(early(Reason::UnknownClass, keyed, None));
+            return Err(refusal_on_arrival(Reason::UnknownClass, keyed, None));
         }
         let safe = service.is_some() && arrival.safe_method;
-        let once = !class.idempotent && !safe;
-        if once && !keyed {
-            return Err(early(Reason::KeyMissing, false, None));
+        let at_most_once = !class.idempotent && !safe;
+        if at_most_once && !keyed {
+            return Err(refusal_on_arrival(Reason::KeyMissing, false, None));
         }
         if service.is_some_and(|pool| self.view.service(pool).is_none()) {
-            return Err(early(Reason::UnknownService, keyed, None));
+            return Err(refusal_on_arrival(Reason::UnknownService, keyed, None));
         }
         self.retries.request(&arrival.org);
         self.hedges.request(class);
-        let mut req = Request::new(now, arrival, class, once);
+        let mut req = Request::new(now, arrival, class, at_most_once);
         if let Wanted::Service(pool) = &req.arrival.wanted {
             req.pool = pool.clone();
         }
         Ok(req)
     }
 
-    /// Chooses the versions of a request, with the session's own first.
+    /// Chooses the versions of a request; a session's pinned version has priority.
     pub(super) fn plan(&mut self, now: MonoTime, id: RequestId) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
-        if self.fingerprint_blocked(req.arrival.digest) {
+        if self.is_quarantined(req.arrival.digest) {
             return self.give_up(now, id, Reason::Quarantined, None);
         }
         if matches!(req.arrival.wanted, Wanted::Service(_)) {
             return self.enqueue(now, id);
         }
-        match self.session_version(now, id) {
-            Session::Pinned(version) => self.take_plan(now, id, Plan::Single(version)),
-            Session::None => match self.choose(now, id) {
-                Ok(plan) => self.take_plan(now, id, plan),
+        match self.resolve_session(now, id) {
+            SessionState::Pinned(version) => self.set_plan(now, id, Plan::Single(version)),
+            SessionState::None => match self.choose_plan(now, id) {
+                Ok(plan) => self.set_plan(now, id, plan),
                 Err(reason) => self.give_up(now, id, reason, None),
             },
-            Session::Fresh(name) => self.begin_session(now, id, name),
-            Session::Wanted(key, replaces) => self.propose_pin(now, id, key, replaces),
-            Session::Unreachable => {
+            SessionState::New(name) => self.start_session(now, id, name),
+            SessionState::NeedsPin(key, replaces) => self.request_pin(now, id, key, replaces),
+            SessionState::Unreachable => {
                 let after = Some(self.cfg.retry_after);
                 self.give_up(now, id, Reason::SessionUnreachable, after);
             }
         }
     }
 
-    /// Takes a plan and waits for a slot.
-    pub(super) fn take_plan(&mut self, now: MonoTime, id: RequestId, plan: Plan) {
+    /// Sets the plan and starts its first step.
+    pub(super) fn set_plan(&mut self, now: MonoTime, id: RequestId, plan: Plan) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
         req.plan = Some(plan);
-        req.second = false;
-        self.enter_step(now, id);
+        req.second_step = false;
+        self.start_step(now, id);
     }
 
-    /// Enters the present step of the plan.
-    pub(super) fn enter_step(&mut self, now: MonoTime, id: RequestId) {
+    /// Starts the current step of the plan.
+    pub(super) fn start_step(&mut self, now: MonoTime, id: RequestId) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
@@ -157,12 +165,12 @@
         self.enqueue(now, id);
     }
 
-    /// Answer to a pin.
-    pub(super) fn pinned(&mut self, now: MonoTime, id: RequestId, pin: Option<PinView>) {
+    /// Handles the reply to a pin request; `None` if there was none.
+    pub(super) fn handle_pin_reply(&mut self, now: MonoTime, id: RequestId, pin: Option<PinView>) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
-        let Some(SessionRef::Name(session)) = req.arrival.session.clone().map(as_name) else {
+        let Some(SessionRef::Name(session)) = req.arrival.session.clone().map(session_name) else {
             return;
         };
         let Some(pin) = pin else {
@@ -178,15 +186,15 @@
             };
             self.pins.insert(key, pin.clone());
         }
-        // The record may name a version that was withdrawn since; the planner
-        // then asks for the next generation.
-        match self.keeps(now, &org, &pin.version) {
-            Keeps::Yes => {}
-            Keeps::NotNow => {
+        // The pinned version may have been withdrawn since; planning again
+        // then requests the next generation.
+        match self.pin_status(now, &org, &pin.version) {
+            PinStatus::Valid => {}
+            PinStatus::Unavailable => {
                 let after = Some(self.cfg.retry_after);
                 return self.give_up(now, id, Reason::SessionUnreachable, after);
             }
-            Keeps::Ended => return self.plan(now, id),
+            PinStatus::Ended => return self.plan(now, id),
         }
         if let Some(req) = self.requests.get_mut(&id) {
             req.session = Some(SessionToken {
@@ -196,38 +204,38 @@
                 generation: pin.generation,
             });
         }
-        self.take_plan(now, id, Plan::Single(pin.version));
+        self.set_plan(now, id, Plan::Single(pin.version));
     }
 
-    fn session_version(&mut self, now: MonoTime, id: RequestId) -> Session {
+    fn resolve_session(&mut self, now: MonoTime, id: RequestId) -> SessionState {
         let req = &self.requests[&id];
         let org = req.arrival.org.clone();
         let (token, session) = match &req.arrival.session {
-            None => return Session::None,
+            None => return SessionState::None,
             Some(SessionRef::Token(token)) if token.org == org => {
                 (Some(token.clone()), token.session.clone())
             }
-            // A token of another organisation says nothing here.
+            // The version in a token of another organisation is ignored.
             Some(SessionRef::Token(token)) => (None, token.session.clone()),
             Some(SessionRef::Name(name)) => (None, name.clone()),
-            Some(SessionRef::New(name)) => return Session::Fresh(name.clone()),
+            Some(SessionRef::New(name)) => return SessionState::New(name.clone()),
         };
         let wanted_model = self.wanted_model(&req.arrival.wanted);
         if let Some(token) = token
-            && self.fits(&req.arrival.wanted, &token.version)
+            && self.version_matches(&req.arrival.wanted, &token.version)
         {
-            return match self.keeps(now, &org, &token.version) {
-                Keeps::Yes => {
+            return match self.pin_status(now, &org, &token.version) {
+                PinStatus::Valid => {
                     let version = token.version.clone();
                     self.set_session(id, token);
-                    Session::Pinned(version)
+                    SessionState::Pinned(version)
                 }
-                Keeps::NotNow => Session::Unreachable,
-                Keeps::Ended => self.renewal(id, token, wanted_model),
+                PinStatus::Unavailable => SessionState::Unreachable,
+                PinStatus::Ended => self.renew_pin(id, token, wanted_model),
             };
         }
         let Some(model) = wanted_model else {
-            return Session::None;
+            return SessionState::None;
         };
         let key = PinKey {
             org: org.clone(),
@@ -235,22 +243,22 @@
             model,
         };
         if self.cfg.faults.pin_when_cut && !self.view.lease_held(now) {
-            self.pin_here(now, id, &key);
+            self.pin_locally(now, id, &key);
         }
         let Some(pin) = self.pins.get(&key).cloned() else {
             return if self.view.lease_held(now) {
-                Session::Wanted(key, 0)
+                SessionState::NeedsPin(key, 0)
             } else {
-                // Another entry may have pinned this name while it was cut off
-                // from here: a pin of our own could give the session a second
-                // version. Callers with a token are served.
-                Session::Unreachable
+                // Another entry may have pinned this name without this one
+                // knowing, so pinning it here could give the session a second
+                // version. Requests with a token are still served.
+                SessionState::Unreachable
             };
         };
-        match self.keeps(now, &org, &pin.version) {
-            Keeps::Yes => {}
-            Keeps::NotNow => return Session::Unreachable,
-            Keeps::Ended => return Session::Wanted(key, pin.generation),
+        match self.pin_status(now, &org, &pin.version) {
+            PinStatus::Valid => {}
+            PinStatus::Unavailable => return SessionState::Unreachable,
+            PinStatus::Ended => return SessionState::NeedsPin(key, pin.generation),
         }
         let token = SessionToken {
             org,
@@ -259,14 +267,14 @@
             generation: pin.generation,
         };
         self.set_session(id, token);
-        Session::Pinned(pin.version)
+        SessionState::Pinned(pin.version)
     }
 
-    /// Pins a name that is not known here by this entry's own choice: what
-    /// tests see go wrong with `pin_when_cut`.
-    fn pin_here(&mut self, now: MonoTime, id: RequestId, key: &PinKey) {
+    /// Pins an unknown session name without the control group. Only used by
+    /// tests, with `pin_when_cut`.
+    fn pin_locally(&mut self, now: MonoTime, id: RequestId, key: &PinKey) {
         if !self.pins.contains_key(key)
-            && let Ok(version) = self.choose_pin(now, id, &key.model)
+            && let Ok(version) = self.choose_pinned_version(now, id, &key.model)
         {
             let generation = 1;
             let pin = PinView {
@@ -277,12 +285,17 @@
         }
     }
 
-    /// A withdrawn version ends its pins. The next generation is written to
-    /// the same record, so that every entry agrees on it.
-    fn renewal(&mut self, id: RequestId, token: SessionToken, model: Option<ModelId>) -> Session {
+    /// Requests a new pin after the pinned version was withdrawn. The next
+    /// generation is written to the same record, so that all entries agree.
+    fn renew_pin(
+        &mut self,
+        id: RequestId,
+        token: SessionToken,
+        model: Option<ModelId>,
+    ) -> SessionState {
         let old = crate::ids::split_version(&token.version).map(|(m, _)| m.into());
         let Some(model) = model.or(old) else {
-            return Session::None;
+            return SessionState::None;
         };
         if let Some(req) = self.requests.get_mut(&id) {
             req.pin_renewed = true;
@@ -293,11 +306,11 @@
             model,
         };
         let known = self.pins.get(&key).map_or(0, |pin| pin.generation);
-        Session::Wanted(key, token.generation.max(known))
+        SessionState::NeedsPin(key, token.generation.max(known))
     }
 
-    fn propose_pin(&mut self, now: MonoTime, id: RequestId, key: PinKey, replaces: u32) {
-        let version = match self.choose_pin(now, id, &key.model) {
+    fn request_pin(&mut self, now: MonoTime, id: RequestId, key: PinKey, replaces: u32) {
+        let version = match self.choose_pinned_version(now, id, &key.model) {
             Ok(version) => version,
             Err(reason) => return self.give_up(now, id, reason, None),
         };
@@ -311,14 +324,14 @@
             version,
             replaces,
         });
-        self.ask(AskFor::Pin(id), ask, self.cfg.claim_timeout);
+        self.send_control(ControlPurpose::Pin(id), ask, self.cfg.claim_timeout);
     }
 
-    /// Starts a session under a name that was drawn here. Its token is the only
-    /// record of its version, so that it needs no quorum.
-    fn begin_session(&mut self, now: MonoTime, id: RequestId, session: SessionId) {
+    /// Starts a session under a system-generated name. Its token is the only
+    /// record of its version, so no quorum is required.
+    fn start_session(&mut self, now: MonoTime, id: RequestId, session: SessionId) {
         let auto = ModelId::new_static(ANY_MODEL);
-        let version = match self.choose_pin(now, id, &auto) {
+        let version = match self.choose_pinned_version(now, id, &auto) {
             Ok(version) => version,
             Err(reason) => return self.give_up(now, id, reason, None),
         };
@@ -331,7 +344,7 @@
             version: version.clone(),
             generation: 0,
         });
-        self.take_plan(now, id, Plan::Single(version));
+        self.set_plan(now, id, Plan::Single(version));
     }
 
     fn set_session(&mut self, id: RequestId, token: SessionToken) {
@@ -340,19 +353,19 @@
         }
     }
 
-    /// Model whose pin a request needs; `auto` takes the first allowed one.
+    /// Returns the model whose pin a request needs; `auto` has a pin of its own.
     fn wanted_model(&self, wanted: &Wanted) -> Option<ModelId> {
         match wanted {
             Wanted::Model(model) => Some(model.clone()),
             Wanted::Version(full) => crate::ids::split_version(full).map(|(m, _)| m.into()),
-            // A session names one version whatever its model, so that `auto`
-            // can choose among models. Its pin is kept under this name.
+            // With `auto` the version may be of any model, so its pin is stored
+            // under this reserved name.
             Wanted::Auto => Some(ModelId::new_static(ANY_MODEL)),
             Wanted::Service(_) => None,
         }
     }
 
-    fn fits(&self, wanted: &Wanted, version: &VersionId) -> bool {
+    fn version_matches(&self, wanted: &Wanted, version: &VersionId) -> bool {
         match wanted {
             Wanted::Auto => true,
             Wanted::Model(model) => {
@@ -363,55 +376,62 @@
         }
     }
 
-    /// Whether a session stays on its version. A held one keeps its sessions,
-    /// a withdrawn one and one that is no longer allowed do not. One that is
-    /// still rolling out is neither run nor left while cut off.
-    pub(super) fn keeps(&self, now: MonoTime, org: &str, version: &str) -> Keeps {
+    /// Returns whether a session stays on its version.
+    ///
+    /// Sessions stay on a held version, but not on one that is withdrawn or no
+    /// longer allowed. While the lease is not held, a version that is still
+    /// rolling out is not run, but the session is not moved off it either.
+    pub(super) fn pin_status(&self, now: MonoTime, org: &str, version: &str) -> PinStatus {
         match self.view.usable(now, org, version) {
-            Usable::Settled | Usable::Rolling(_) | Usable::Held => Keeps::Yes,
-            Usable::CutOff => Keeps::NotNow,
-            Usable::Withdrawn | Usable::NotAllowed => Keeps::Ended,
+            Usable::Settled | Usable::Rolling(_) | Usable::Held => PinStatus::Valid,
+            Usable::CutOff => PinStatus::Unavailable,
+            Usable::Withdrawn | Usable::NotAllowed => PinStatus::Ended,
         }
     }
 }
 
-/// Whether a session stays on its version.
+/// Validity of a session's pin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Keeps {
-    /// It does.
-    Yes,
-    /// It does, but the version may not be run now.
-    NotNow,
-    /// The version's withdrawal ended the pin.
+pub(super) enum PinStatus {
+    /// The session stays on its version.
+    Valid,
+    /// The session stays on its version, which cannot be run at the moment.
+    Unavailable,
+    /// The version was withdrawn or is no longer allowed.
     Ended,
 }
 
-/// What is known of a request's session.
-enum Session {
-    /// The request has none.
+/// State of a request's session.
+enum SessionState {
+    /// The request has no session.
     None,
-    /// Its version is known.
+    /// The version of the session is known.
     Pinned(VersionId),
-    /// The system names it; nobody else can have pinned it.
-    Fresh(SessionId),
-    /// Its version is asked of the control group, replacing a generation.
-    Wanted(PinKey, u32),
-    /// Its version cannot be learned now.
+    /// The system generated the name, so no other entry can have pinned it.
+    New(SessionId),
+    /// A pin must be requested from the control group, replacing this
+    /// generation.
+    NeedsPin(PinKey, u32),
+    /// The version of the session cannot be determined at the moment.
     Unreachable,
 }
 
-fn as_name(session: SessionRef) -> SessionRef {
+fn session_name(session: SessionRef) -> SessionRef {
     match session {
         SessionRef::Token(token) => SessionRef::Name(token.session),
         name => name,
     }
 }
 
-/// A refusal before anything was asked or sent.
+/// Creates a refusal of a request that was not admitted.
 ///
-/// For a request with a key, another entry may have run it under that key: so
-/// this entry cannot say that it did not run.
-fn early(reason: Reason, keyed: bool, retry_after: Option<std::time::Duration>) -> Refusal {
+/// Another entry may have run a request under the same key, so the outcome of a
+/// request with a key is unknown.
+fn refusal_on_arrival(
+    reason: Reason,
+    keyed: bool,
+    retry_after: Option<std::time::Duration>,
+) -> Refusal {
     let outcome = if keyed {
         RunOutcome::Unknown
     } else {
--- a/sesamebeam_core/src/entry/attempts.rs
+++ b/sesamebeam_core/src/entry/attempts.rs
@@ -1,4 +1,5 @@
-//! What happens to attempts: progress, breaks, resumes, retries, the end.
+//! Life cycle of attempts: progress, broken connections, resumes, retries and
+//! completion.
 
 use super::{
     EntryCore,
@@ -18,7 +19,7 @@
     request::{
         AttemptEnd,
         Phase,
-        Running, //
+        RunningAttempt, //
     },
 };
 use crate::{
@@ -33,8 +34,8 @@
 };
 
 impl EntryCore {
-    /// Takes a report on an attempt.
-    pub(super) fn reported(
+    /// Handles a report on an attempt.
+    pub(super) fn handle_report(
         &mut self,
         now: MonoTime,
         id: RequestId,
@@ -45,65 +46,77 @@
             return;
         };
         let Some(at) = req.running.iter().position(|r| r.attempt == attempt) else {
-            // A late report on an attempt that was dropped.
+            // A late report on an attempt that was already dropped.
             return;
         };
         if report == AttemptReport::Started {
-            return self.started(now, id, at);
+            return self.attempt_started(now, id, at);
         }
         let run = req.running.remove(at);
         self.explain.reported(id, &run, &report);
         match report {
             AttemptReport::Started => {}
-            AttemptReport::Finished(finished) => self.finished(now, id, run, finished),
+            AttemptReport::Finished(finished) => self.attempt_finished(now, id, run, finished),
             AttemptReport::ConnectFailed { refused } => {
                 self.connect_failed(now, id, run, refused);
             }
-            AttemptReport::Late => self.late(now, id, run),
-            AttemptReport::Refused(why) => self.refused_there(now, id, run, why),
-            AttemptReport::Broken { events } => self.broken(now, id, run, events, false),
-            AttemptReport::Stalled { events } => self.broken(now, id, run, events, true),
-            AttemptReport::NotThere(known) => self.not_there(now, id, run, known),
+            AttemptReport::Late => self.dispatch_expired(now, id, run),
+            AttemptReport::Refused(why) => self.refused_by_server(now, id, run, why),
+            AttemptReport::Broken { events } => self.attempt_broken(now, id, run, events, false),
+            AttemptReport::Stalled { events } => self.attempt_broken(now, id, run, events, true),
+            AttemptReport::NotThere(known) => self.stream_missing(now, id, run, known),
         }
     }
 
-    fn started(&mut self, now: MonoTime, id: RequestId, at: usize) {
+    fn attempt_started(&mut self, now: MonoTime, id: RequestId, at: usize) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
         let run = &mut req.running[at];
-        run.first = true;
+        run.responded = true;
         let run = run.clone();
         req.resumes = 0;
         if !run.held && req.arrival.streamed {
-            req.started = true;
+            req.response_started = true;
         }
-        self.first_event(now, &run);
-        self.drop_others(now, id, run.attempt);
+        self.server_responded(now, &run);
+        self.drop_other_attempts(now, id, run.attempt);
     }
 
-    fn finished(&mut self, now: MonoTime, id: RequestId, run: Running, finished: Finished) {
-        self.leave_server(now, id, &run, AttemptEnd::Whole);
+    fn attempt_finished(
+        &mut self,
+        now: MonoTime,
+        id: RequestId,
+        run: RunningAttempt,
+        finished: Finished,
+    ) {
+        self.record_end(now, id, &run, AttemptEnd::Whole);
         self.balance.pause(now, run.server, finished.retry_after);
-        self.drop_others(now, id, run.attempt);
+        self.drop_other_attempts(now, id, run.attempt);
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
         if run.held && finished.answer.status == 200 {
             return self.rate_held(now, id, &run, &finished);
         }
-        if req.once {
-            self.complete(now, id, &run, &finished);
+        if req.at_most_once {
+            self.record_response(now, id, &run, &finished);
         }
-        self.out.push(EntryAction::Finish { request: id });
-        self.answered_well(now, id, &run, &finished);
-        self.end(now, id, true, Some(&finished));
+        self.actions.push(EntryAction::Finish { request: id });
+        self.observe_response(now, id, &run, &finished);
+        self.end_answered(now, id, true, Some(&finished));
     }
 
-    /// Commits the answer with its billing entry. The caller does not wait for
-    /// the record: the claim already keeps the request from running twice, and
-    /// the record is repeated until it is written.
-    fn complete(&mut self, now: MonoTime, id: RequestId, run: &Running, finished: &Finished) {
+    /// Records the response with its billing record. The caller does not wait
+    /// for it: the claim already prevents a second run, and the completion is
+    /// retried until it is recorded.
+    fn record_response(
+        &mut self,
+        now: MonoTime,
+        id: RequestId,
+        run: &RunningAttempt,
+        finished: &Finished,
+    ) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
@@ -123,16 +136,17 @@
             usage: finished.usage,
             at: finished.at,
         };
-        self.end_claim(now, end, None);
+        self.complete_claim(now, end, None);
     }
 
-    /// Nothing was sent: the backend server is suspect, the request is safe.
-    fn connect_failed(&mut self, now: MonoTime, id: RequestId, run: Running, refused: bool) {
+    /// Handles a failed connection. Nothing was sent, so a run can be retried
+    /// safely; the backend server may be down.
+    fn connect_failed(&mut self, now: MonoTime, id: RequestId, run: RunningAttempt, refused: bool) {
         let end = match run.kind {
             DispatchKind::Run | DispatchKind::Hedge => AttemptEnd::Unsent,
             DispatchKind::Resume { .. } | DispatchKind::LookUp => AttemptEnd::Lost,
         };
-        self.leave_server(now, id, &run, end);
+        self.record_end(now, id, &run, end);
         self.server_unreachable(now, &run.server, refused);
         let Some(req) = self.requests.get_mut(&id) else {
             return;
@@ -140,37 +154,44 @@
         match (run.kind, req.phase.clone()) {
             (_, Phase::Attached(view)) => self.attach_failed(now, id, view),
             (DispatchKind::Resume { .. }, _) => self.resume_failed(now, id, run),
-            (DispatchKind::LookUp, _) => self.lose_own(now, id),
+            (DispatchKind::LookUp, _) => self.refuse_outcome_unknown(now, id),
             (DispatchKind::Run | DispatchKind::Hedge, _) => {
                 req.avoid.push(run.server);
-                self.try_again(now, id, Reason::NoServer);
+                self.retry(now, id, Reason::NoServer);
             }
         }
     }
 
-    /// The time to send was over before anything was sent.
+    /// Handles an attempt whose dispatch window ended before it was sent.
     ///
-    /// Of a resume or look-up that says nothing of the request, which went out
-    /// before: taken for unsent, its claim would be abandoned and the request
-    /// run a second time.
-    fn late(&mut self, now: MonoTime, id: RequestId, run: Running) {
-        self.leave_server(now, id, &run, AttemptEnd::Alive);
+    /// For a resume or look-up, the request itself was sent before. If it were
+    /// considered unsent, its claim would be abandoned and the request run a
+    /// second time.
+    fn dispatch_expired(&mut self, now: MonoTime, id: RequestId, run: RunningAttempt) {
+        self.record_end(now, id, &run, AttemptEnd::Alive);
         let Some(req) = self.requests.get(&id) else {
             return;
         };
         match (run.kind, req.phase.clone()) {
             (_, Phase::Attached(view)) => self.attach_failed(now, id, view),
             (DispatchKind::Run | DispatchKind::Hedge, _) => {
-                self.try_again(now, id, Reason::DeadlinePassed);
+                self.retry(now, id, Reason::DeadlinePassed);
             }
             (DispatchKind::Resume { .. }, _) => self.resume(now, id, run),
-            (DispatchKind::LookUp, _) => self.service_broken(now, id, run),
+            (DispatchKind::LookUp, _) => self.service_call_broken(now, id, run),
         }
     }
 
-    /// The backend server refused, so it proved that it did not run it.
-    fn refused_there(&mut self, now: MonoTime, id: RequestId, run: Running, why: ServerRefusal) {
-        self.leave_server(now, id, &run, AttemptEnd::Alive);
+    /// Handles a refusal by the backend server, which proves that it did not run
+    /// the request.
+    fn refused_by_server(
+        &mut self,
+        now: MonoTime,
+        id: RequestId,
+        run: RunningAttempt,
+        why: ServerRefusal,
+    ) {
+        self.record_end(now, id, &run, AttemptEnd::Alive);
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
@@ -178,9 +199,9 @@
             return self.attach_failed(now, id, view);
         }
         match why {
-            ServerRefusal::Invalid if req.once => {
+            ServerRefusal::Invalid if req.at_most_once => {
                 req.deadline = now;
-                self.end_rejected(now, id);
+                self.refuse_invalid(now, id);
             }
             ServerRefusal::Invalid => {
                 let outcome = req.outcome();
@@ -192,33 +213,40 @@
                     self.balance.refused(now, run.server.addr);
                     self.balance.pause(now, run.server, retry_after);
                 }
-                self.try_again(now, id, Reason::Overloaded);
+                self.retry(now, id, Reason::Overloaded);
             }
         }
     }
 
-    fn end_rejected(&mut self, now: MonoTime, id: RequestId) {
+    fn refuse_invalid(&mut self, now: MonoTime, id: RequestId) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
         if let (Some(claim), Some(key)) = (req.claim.take(), req.claim_key()) {
-            let end = self.end_of(&key, claim.generation, claim.id);
-            self.end_claim(now, end, None);
+            let end = self.abandonment(&key, claim.generation, claim.id);
+            self.complete_claim(now, end, None);
         }
         self.refuse(now, id, Reason::Rejected, RunOutcome::NotRun, None);
     }
 
-    /// The connection broke or went silent in the middle.
+    /// Handles a connection that broke or stalled after the request was sent.
     ///
-    /// Something between the two ends may have lost track of old connections
-    /// while new ones work. So a silent one retires every older connection to
-    /// that backend server, and the stream is resumed on a new one after the
-    /// events that arrived. Only if that fails too is the backend server at
-    /// fault.
-    fn broken(&mut self, now: MonoTime, id: RequestId, run: Running, events: u64, silent: bool) {
-        self.leave_server(now, id, &run, AttemptEnd::Lost);
+    /// A middlebox may have lost the state of old connections while new ones
+    /// work. A stalled connection therefore closes all older connections to that
+    /// backend server, and the stream is resumed on a new one after the events
+    /// already received. Only if that fails too is the backend server considered
+    /// faulty.
+    fn attempt_broken(
+        &mut self,
+        now: MonoTime,
+        id: RequestId,
+        run: RunningAttempt,
+        events: u64,
+        silent: bool,
+    ) {
+        self.record_end(now, id, &run, AttemptEnd::Lost);
         if silent {
-            self.out.push(EntryAction::Retire {
+            self.actions.push(EntryAction::Retire {
                 server: run.server.addr,
             });
         }
@@ -230,17 +258,17 @@
         }
         req.events = events;
         if run.version.is_none() {
-            return self.service_broken(now, id, run);
+            return self.service_call_broken(now, id, run);
         }
         let known = self.servers.get(run.server.addr).map(|s| s.incarnation);
         if known.is_some_and(|incarnation| incarnation != run.server.incarnation) {
-            // It restarted and has forgotten the stream.
+            // The backend server restarted and lost the stream.
             return self.stream_lost(now, id, run);
         }
         self.resume(now, id, run);
     }
 
-    fn resume(&mut self, now: MonoTime, id: RequestId, run: Running) {
+    fn resume(&mut self, now: MonoTime, id: RequestId, run: RunningAttempt) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
@@ -249,7 +277,7 @@
         }
         req.resumes += 1;
         let events = if run.held { 0 } else { req.events };
-        self.dispatch_as(
+        self.dispatch(
             now,
             id,
             run.server,
@@ -259,10 +287,9 @@
         );
     }
 
-    /// A resume found no connection: it is tried a few times, a short pause
-    /// apart, since a restart of the network's path takes longer than that of
-    /// a connection.
-    fn resume_failed(&mut self, now: MonoTime, id: RequestId, run: Running) {
+    /// Handles a resume that could not connect. Further resumes are delayed,
+    /// since the recovery of a network path takes longer than a reconnect.
+    fn resume_failed(&mut self, now: MonoTime, id: RequestId, run: RunningAttempt) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
@@ -270,16 +297,16 @@
             return self.stream_lost(now, id, run);
         }
         let pause = self.cfg.resume_pause * req.resumes.max(1);
-        req.phase = Phase::Pausing(now + pause);
-        req.paused = Some(run);
+        req.phase = Phase::ResumeDelayed(now + pause);
+        req.delayed_resume = Some(run);
     }
 
-    /// Resumes after a pause.
-    pub(super) fn resume_paused(&mut self, now: MonoTime) {
+    /// Starts the resumes whose delay is over.
+    pub(super) fn start_due_resumes(&mut self, now: MonoTime) {
         let due: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, req)| matches!(req.phase, Phase::Pausing(at) if at <= now))
+            .filter(|(_, req)| matches!(req.phase, Phase::ResumeDelayed(at) if at <= now))
             .map(|(id, _)| *id)
             .collect();
         for id in due {
@@ -287,22 +314,28 @@
                 continue;
             };
             req.phase = Phase::Running;
-            if let Some(run) = req.paused.take() {
+            if let Some(run) = req.delayed_resume.take() {
                 self.resume(now, id, run);
             }
         }
     }
 
-    /// A resume reached the backend server, which does not have the stream.
-    fn not_there(&mut self, now: MonoTime, id: RequestId, run: Running, known: ServerKnows) {
-        self.leave_server(now, id, &run, AttemptEnd::Alive);
+    /// Handles a resume for which the backend server has no stream.
+    fn stream_missing(
+        &mut self,
+        now: MonoTime,
+        id: RequestId,
+        run: RunningAttempt,
+        known: ServerKnows,
+    ) {
+        self.record_end(now, id, &run, AttemptEnd::Alive);
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
         if let Phase::Attached(view) = req.phase.clone() {
-            // The request may still be on its way there. A cancel is of use only
-            // if the claim may be taken over; sooner, it would meet the request
-            // as it arrives and cost another caller its answer.
+            // The request may still be in transit. A cancel only helps if the
+            // claim may be taken over. Before that, it could cancel the request
+            // on arrival, and another caller would lose its response.
             let over = view.window_over && view.claimant_gone;
             if known != (ServerKnows::Never { life: view.target }) || !over {
                 return self.attach_failed(now, id, view);
@@ -313,13 +346,13 @@
                 server: view.target.addr,
             };
             req.phase = Phase::CancellingOther(view);
-            return self.out.push(action);
+            return self.actions.push(action);
         }
-        if known == (ServerKnows::Never { life: run.server }) && req.once {
-            // It never came through, or is still in the network. The cancel
-            // sees to it that it is not run when it arrives late.
+        if known == (ServerKnows::Never { life: run.server }) && req.at_most_once {
+            // The request was lost or is still in transit. The cancel prevents
+            // a run if it arrives late.
             req.phase = Phase::CancellingOwn(run.server);
-            return self.out.push(EntryAction::Cancel {
+            return self.actions.push(EntryAction::Cancel {
                 request: id,
                 id: run.id,
                 server: run.server.addr,
@@ -328,70 +361,71 @@
         self.stream_lost(now, id, run);
     }
 
-    /// The stream cannot be had any more.
-    fn stream_lost(&mut self, now: MonoTime, id: RequestId, run: Running) {
-        self.failed(now, id, &run);
+    /// Handles a stream that can no longer be resumed.
+    fn stream_lost(&mut self, now: MonoTime, id: RequestId, run: RunningAttempt) {
+        self.observe_failure(now, id, &run);
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
         if let Phase::Attached(view) = req.phase.clone() {
             return self.attach_failed(now, id, view);
         }
-        if req.once && !self.cfg.faults.rerun_once {
-            return self.lose_own(now, id);
+        if req.at_most_once && !self.cfg.faults.rerun_once {
+            return self.refuse_outcome_unknown(now, id);
         }
-        if req.started {
-            // The caller has a part that another run would not continue.
+        if req.response_started {
+            // The caller already has a part, which another run would not
+            // continue.
             let after = Some(self.cfg.retry_after);
             return self.refuse(now, id, Reason::ServerLost, RunOutcome::Unknown, after);
         }
         req.maybe_ran = true;
         req.avoid.push(run.server);
-        self.try_again(now, id, Reason::ServerLost);
+        self.retry(now, id, Reason::ServerLost);
     }
 
-    fn service_broken(&mut self, now: MonoTime, id: RequestId, run: Running) {
+    fn service_call_broken(&mut self, now: MonoTime, id: RequestId, run: RunningAttempt) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
         if let Phase::Attached(view) = req.phase.clone() {
             return self.attach_failed(now, id, view);
         }
-        if !req.once {
+        if !req.at_most_once {
             return self.stream_lost(now, id, run);
         }
         let lookup = self.view.pool(&req.pool).is_some_and(|pool| pool.lookup);
         if !lookup || run.kind == DispatchKind::LookUp {
-            return self.lose_own(now, id);
+            return self.refuse_outcome_unknown(now, id);
         }
-        self.dispatch_as(now, id, run.server, run.id, None, DispatchKind::LookUp);
+        self.dispatch(now, id, run.server, run.id, None, DispatchKind::LookUp);
     }
 
-    /// Nobody can tell whether this entry's own claim ran: the caller gets that
-    /// answer at once.
-    pub(super) fn lose_own(&mut self, now: MonoTime, id: RequestId) {
+    /// Ends a request whose claim may or may not have run, with an unknown
+    /// outcome.
+    pub(super) fn refuse_outcome_unknown(&mut self, now: MonoTime, id: RequestId) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
         if let (Some(claim), Some(key)) = (req.claim.take(), req.claim_key()) {
-            self.end_unknown(now, key, claim.generation, claim.id);
+            self.complete_unknown(now, key, claim.generation, claim.id);
         }
         self.refuse(now, id, Reason::ServerLost, RunOutcome::Unknown, None);
     }
 
-    /// Tries again where that is safe, under the budget and the deadline.
-    fn try_again(&mut self, now: MonoTime, id: RequestId, reason: Reason) {
+    /// Retries a request within the attempt limit, retry budget and deadline.
+    fn retry(&mut self, now: MonoTime, id: RequestId, reason: Reason) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
         if !req.running.is_empty() {
-            // Another attempt is still under way.
+            // Another attempt is still running.
             return;
         }
         if req.claim.is_some() {
-            return self.abandon(now, id);
+            return self.abandon_claim(now, id);
         }
-        if req.attempts >= self.cfg.max_attempts || req.left(now).is_zero() {
+        if req.attempts >= self.cfg.max_attempts || req.time_left(now).is_zero() {
             let after = self.retry_after(now, id);
             return self.give_up(now, id, reason, after);
         }
@@ -403,31 +437,37 @@
         self.replan(now, id);
     }
 
-    /// Plans anew after a failed attempt, keeping to a cascade's step.
+    /// Plans a retry; a cascade in its second step stays there.
     fn replan(&mut self, now: MonoTime, id: RequestId) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
-        if req.second {
+        if req.second_step {
             return self.enqueue(now, id);
         }
         self.plan(now, id);
     }
 
-    fn rate_held(&mut self, now: MonoTime, id: RequestId, run: &Running, finished: &Finished) {
+    fn rate_held(
+        &mut self,
+        now: MonoTime,
+        id: RequestId,
+        run: &RunningAttempt,
+        finished: &Finished,
+    ) {
         let timeout = self.cfg.rate_timeout;
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
         req.phase = Phase::Rating;
-        req.held = Some(finished.clone());
+        req.held_response = Some(finished.clone());
         req.held_run = Some(run.clone());
         let class = req.class.clone();
         let Some(version) = run.version.clone() else {
             return;
         };
-        let timeout = timeout.min(req.left(now));
-        self.out.push(EntryAction::RateNow {
+        let timeout = timeout.min(req.time_left(now));
+        self.actions.push(EntryAction::RateNow {
             request: id,
             class,
             version,
@@ -435,41 +475,41 @@
         });
     }
 
-    /// Takes the score of a held answer. Without one the stronger version runs:
-    /// a silent rater must not let weak answers through.
-    pub(super) fn rated_now(&mut self, now: MonoTime, id: RequestId, score: Option<f64>) {
+    /// Handles the score of a held response. Without a score the stronger version
+    /// runs, so that an unavailable rating service lets no poor response through.
+    pub(super) fn handle_score(&mut self, now: MonoTime, id: RequestId, score: Option<f64>) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
         if !matches!(req.phase, Phase::Rating) {
             return;
         }
-        let (Some(finished), Some(run)) = (req.held.take(), req.held_run.take()) else {
+        let (Some(finished), Some(run)) = (req.held_response.take(), req.held_run.take()) else {
             return;
         };
         let good = match &run.version {
-            Some(version) => self.good_enough(now, id, score, version),
+            Some(version) => self.score_held(now, id, score, version),
             None => false,
         };
         if good {
-            self.out.push(EntryAction::Release { request: id });
-            self.out.push(EntryAction::Finish { request: id });
-            return self.end(now, id, true, Some(&finished));
+            self.actions.push(EntryAction::Release { request: id });
+            self.actions.push(EntryAction::Finish { request: id });
+            return self.end_answered(now, id, true, Some(&finished));
         }
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
-        req.second = true;
-        req.spent = Some(run);
-        self.enter_step(now, id);
+        req.second_step = true;
+        req.rejected_first = Some(run);
+        self.start_step(now, id);
     }
 
-    /// Drops every other attempt at a request.
-    pub(super) fn drop_others(&mut self, now: MonoTime, id: RequestId, keep: Attempt) {
+    /// Drops all attempts at a request except `keep`.
+    pub(super) fn drop_other_attempts(&mut self, now: MonoTime, id: RequestId, keep: Attempt) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
-        let others: Vec<Running> = req
+        let others: Vec<RunningAttempt> = req
             .running
             .iter()
             .filter(|run| run.attempt != keep)
@@ -477,10 +517,11 @@
             .collect();
         req.running.retain(|run| run.attempt == keep);
         for run in others {
-            self.leave_server(now, id, &run, AttemptEnd::Alive);
-            // A stream that another claim started is only read here.
+            self.record_end(now, id, &run, AttemptEnd::Alive);
+            // A resume or look-up only reads a run that another attempt
+            // started, so dropping it does not cancel that run.
             let cancel = matches!(run.kind, DispatchKind::Run | DispatchKind::Hedge);
-            self.out.push(EntryAction::Drop {
+            self.actions.push(EntryAction::Drop {
                 request: id,
                 attempt: run.attempt,
                 cancel,
--- a/sesamebeam_core/src/entry/choose.rs
+++ b/sesamebeam_core/src/entry/choose.rs
@@ -1,4 +1,4 @@
-//! Plan, queue and backend server of a request, by the policy.
+//! Selection of the plan, queue slot and backend server of a request.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     request::{
         AttemptEnd,
         Phase,
-        Running, //
+        RunningAttempt, //
     },
     view::Usable, //
 };
@@ -52,29 +52,28 @@
     },
 };
 
-/// Tokens a second that a stream is expected to give before any was seen.
-const EXPECTED_SPEED: f64 = 40.0;
+/// Assumed generation speed of a stream, in tokens per second.
+const EXPECTED_TOKENS_PER_SECOND: f64 = 40.0;
 
-/// Time that a call of a plain service is expected to run.
-const SERVICE_TAKES: Duration = Duration::from_millis(50);
+/// Assumed duration of a call to a plain service.
+const SERVICE_DURATION: Duration = Duration::from_millis(50);
 
 impl EntryCore {
     /// Chooses the plan of a request without a session.
-    pub(super) fn choose(&mut self, now: MonoTime, id: RequestId) -> Result<Plan, Reason> {
-        let planned = self.planned(now, id, None)?;
+    pub(super) fn choose_plan(&mut self, now: MonoTime, id: RequestId) -> Result<Plan, Reason> {
+        let planned = self.plan_versions(now, id, None)?;
         self.explain.planned(id, &planned);
         Ok(planned.plan)
     }
 
-    /// Chooses the version to pin a session to. A cascade has two versions, so
-    /// a session gets the stronger one of it.
-    pub(super) fn choose_pin(
+    /// Chooses the version to pin a session to; of a cascade, the stronger one.
+    pub(super) fn choose_pinned_version(
         &mut self,
         now: MonoTime,
         id: RequestId,
         model: &ModelId,
     ) -> Result<VersionId, Reason> {
-        let planned = self.planned(now, id, Some(model))?;
+        let planned = self.plan_versions(now, id, Some(model))?;
         self.explain.planned(id, &planned);
         Ok(match planned.plan {
             Plan::Single(version) => version,
@@ -82,7 +81,7 @@
         })
     }
 
-    fn planned(
+    fn plan_versions(
         &mut self,
         now: MonoTime,
         id: RequestId,
@@ -107,15 +106,16 @@
             class,
             target,
             candidates: &candidates,
-            left: req.left(now),
-            rater_answers: self.rater_answers(now),
+            left: req.time_left(now),
+            rater_answers: self.rater_available(now),
             draw: hash::unit(&id.to_le_bytes(), "plan"),
         };
         self.planner.plan(&self.quality, &input).ok_or(none)
     }
 
-    /// Versions that a request may use and that are loaded somewhere, and
-    /// whether its organisation is allowed any that was asked for.
+    /// Returns the versions that a request may use and that are loaded on some
+    /// backend server, and whether any requested version is on the
+    /// organisation's list.
     fn candidates(
         &mut self,
         now: MonoTime,
@@ -128,11 +128,11 @@
         let Some(class) = self.view.class(Some(&req.class), None) else {
             return (Vec::new(), false);
         };
-        let draw_key = draw_key(req);
+        let rollout_key = rollout_key(req);
         let mut any = false;
         let mut out = Vec::new();
         for full in self.view.allowed(&req.arrival.org) {
-            if !wants(&req.arrival.wanted, full, session_model) {
+            if !is_candidate(&req.arrival.wanted, full, session_model) {
                 continue;
             }
             any = true;
@@ -140,7 +140,7 @@
             if !matches!(usable, Usable::Settled | Usable::Rolling(_)) {
                 continue;
             }
-            let permit = self.exposure.permit(full, class, &draw_key, false);
+            let permit = self.exposure.permit(full, class, &rollout_key, false);
             if !permit.allows() || !self.balance.serves(Route::Version(full)) {
                 self.explain.passed_over(id, full, usable, permit);
                 continue;
@@ -151,18 +151,19 @@
             out.push(Candidate {
                 version: full.clone(),
                 cost: version.cost,
-                takes: self.takes(req.arrival.max_tokens),
+                takes: self.expected_duration(req.arrival.max_tokens),
             });
         }
         (out, any)
     }
 
-    /// Whether a fingerprint crashes backend servers.
-    pub(super) fn fingerprint_blocked(&self, fingerprint: Digest) -> bool {
-        self.suspects.standing(fingerprint) == Standing::Quarantined
+    /// Returns whether a request digest is quarantined for crashing backend
+    /// servers.
+    pub(super) fn is_quarantined(&self, digest: Digest) -> bool {
+        self.suspects.standing(digest) == Standing::Quarantined
     }
 
-    /// Asks for a slot.
+    /// Requests a slot in the pool.
     pub(super) fn enqueue(&mut self, now: MonoTime, id: RequestId) {
         self.release_slot(now, id);
         let Some(req) = self.requests.get(&id) else {
@@ -171,7 +172,7 @@
         if let Wanted::Service(pool) = &req.arrival.wanted
             && !self.balance.serves(Route::Service(pool))
         {
-            // Nothing would come of waiting: the caller is told at once.
+            // No backend server would become available by waiting.
             let after = Some(self.cfg.retry_after);
             return self.give_up(now, id, Reason::NoServer, after);
         }
@@ -182,12 +183,12 @@
             priority: req.priority,
             deadline: req.deadline,
             takes: match req.arrival.wanted {
-                Wanted::Service(_) => SERVICE_TAKES,
-                _ => self.takes(req.arrival.max_tokens),
+                Wanted::Service(_) => SERVICE_DURATION,
+                _ => self.expected_duration(req.arrival.max_tokens),
             },
         };
         match self.admission.offer(now, ticket) {
-            Offered::Run => self.start(now, id),
+            Offered::Run => self.start_request(now, id),
             Offered::Queued => {
                 if let Some(req) = self.requests.get_mut(&id) {
                     req.phase = Phase::Queued;
@@ -199,39 +200,44 @@
         }
     }
 
-    /// Starts a request that got a slot, after every check once more: while it
-    /// waited, its version may have been withdrawn or held.
-    pub(super) fn start(&mut self, now: MonoTime, id: RequestId) {
+    /// Starts a request that got a slot. All checks are repeated, since its
+    /// version may have been withdrawn or held while it was queued.
+    pub(super) fn start_request(&mut self, now: MonoTime, id: RequestId) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
         req.slot = Some((req.pool.clone(), now));
-        if self.fingerprint_blocked(self.requests[&id].arrival.digest) {
+        if self.is_quarantined(self.requests[&id].arrival.digest) {
             return self.give_up(now, id, Reason::Quarantined, None);
         }
         if !self.step_allowed(now, id) && !self.cfg.faults.no_last_check {
             self.release_slot(now, id);
             return self.plan(now, id);
         }
-        let Some(server) = self.pick(now, id) else {
+        let Some(server) = self.pick_server(now, id) else {
             let after = self.retry_after(now, id);
             return self.give_up(now, id, Reason::NoServer, after);
         };
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
-        if req.once {
+        if req.at_most_once {
             return self.claim(now, id, server);
         }
         req.attempts += 1;
         req.phase = Phase::Running;
-        let at = req.next_id();
+        let at = req.attempt_id();
         let version = req.version().cloned();
-        self.dispatch_as(now, id, server, at, version, DispatchKind::Run);
+        self.dispatch(now, id, server, at, version, DispatchKind::Run);
     }
 
-    /// Whether a claimed request may still go to its backend server.
-    pub(super) fn still_allowed(&self, now: MonoTime, id: RequestId, target: &ServerLife) -> bool {
+    /// Returns whether a claimed request may still be sent to its backend server.
+    pub(super) fn dispatch_allowed(
+        &self,
+        now: MonoTime,
+        id: RequestId,
+        target: &ServerLife,
+    ) -> bool {
         self.step_allowed(now, id) && self.balance.takes_work(now, *target)
     }
 
@@ -247,13 +253,13 @@
             Usable::Settled | Usable::Rolling(_) => {
                 req.session.is_some() || self.exposure.held(version).is_none()
             }
-            // A session stays on a version that is merely held.
+            // Existing sessions stay on a held version.
             Usable::Held => req.session.is_some(),
             Usable::CutOff | Usable::Withdrawn | Usable::NotAllowed => false,
         }
     }
 
-    pub(super) fn pick(&mut self, now: MonoTime, id: RequestId) -> Option<ServerLife> {
+    pub(super) fn pick_server(&mut self, now: MonoTime, id: RequestId) -> Option<ServerLife> {
         let req = self.requests.get(&id)?;
         let digest = req.arrival.digest;
         let exclude: Vec<ServerAddr> = req
@@ -283,8 +289,8 @@
         Some(pick.server)
     }
 
-    /// Returns when a caller whom no backend server took is to come back: when the first
-    /// pause is over, if all asked for one.
+    /// Returns the `Retry-After` for a request that no backend server accepted:
+    /// the end of the earliest pause if all backend servers asked for one.
     pub(super) fn retry_after(&self, now: MonoTime, id: RequestId) -> Option<Duration> {
         let req = self.requests.get(&id)?;
         let route = match req.version() {
@@ -298,8 +304,8 @@
         Some(pause.until().saturating_sub(now) + pause.spread(draw))
     }
 
-    /// Counts an attempt on its backend server.
-    pub(super) fn enter_server(&mut self, id: RequestId, server: ServerLife, alone: bool) {
+    /// Records the start of an attempt on its backend server.
+    pub(super) fn record_start(&mut self, id: RequestId, server: ServerLife, alone: bool) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
@@ -309,23 +315,23 @@
         self.suspects.started(digest, server);
     }
 
-    /// Counts the end of an attempt on its backend server.
-    pub(super) fn leave_server(
+    /// Records the end of an attempt on its backend server.
+    pub(super) fn record_end(
         &mut self,
         now: MonoTime,
         id: RequestId,
-        run: &Running,
+        run: &RunningAttempt,
         end: AttemptEnd,
     ) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
         let digest = req.arrival.digest;
-        // Only a run from its start tells how long one takes.
+        // Only runs observed from their start give a duration.
         let whole = end == AttemptEnd::Whole && run.kind == DispatchKind::Run;
         let took = whole.then(|| now.saturating_sub(run.since));
-        // As it was when it started: a suspect that was cleared meanwhile would
-        // else leave its backend server marked as kept for it.
+        // Uses `alone` as of the start: if the digest was cleared meanwhile, the
+        // backend server would otherwise stay reserved for it.
         self.balance.finished(run.server.addr, run.alone, took);
         match end {
             AttemptEnd::Whole | AttemptEnd::Alive => {
@@ -333,17 +339,17 @@
                 self.balance.answered(run.server.addr);
                 self.servers.heard(now, run.server.addr);
             }
-            // A request that was never there is not suspected of the death:
-            // two backend servers that are down would quarantine it.
+            // A request that was not sent is no possible cause of a crash;
+            // otherwise two unreachable backend servers would quarantine it.
             AttemptEnd::Unsent => self.suspects.finished(digest, run.server, false),
             AttemptEnd::Lost => {
-                self.lost.push_back((now, run.server, digest));
-                super::keep_newest(&mut self.lost, super::MAX_LOST);
+                self.broken_attempts.push_back((now, run.server, digest));
+                super::keep_newest(&mut self.broken_attempts, super::MAX_CRASH_RECORDS);
             }
         }
     }
 
-    /// Gives the slot of a request back and lets others start.
+    /// Releases the slot of a request.
     pub(super) fn release_slot(&mut self, now: MonoTime, id: RequestId) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
@@ -353,23 +359,23 @@
         };
         self.admission
             .finished(&pool, id, now.saturating_sub(since));
-        self.pump_wanted = true;
+        self.queue_check_due = true;
     }
 
-    /// Lets waiting requests start.
-    pub(super) fn pump(&mut self, now: MonoTime) {
-        while std::mem::take(&mut self.pump_wanted) {
+    /// Starts queued requests while slots are free.
+    pub(super) fn start_queued(&mut self, now: MonoTime) {
+        while std::mem::take(&mut self.queue_check_due) {
             for id in self.admission.next(now) {
-                self.start(now, id);
+                self.start_request(now, id);
             }
         }
     }
 
-    /// Ends a request that cannot be served, once it is known whether it ran.
+    /// Refuses a request that cannot be served, with its correct outcome.
     ///
-    /// The final answer goes out at once. Only a request with a key waits for
-    /// one look at its claim: another entry may have run it, and "not run"
-    /// must be true.
+    /// A request that must run at most once first has its claim looked up:
+    /// another entry may have run it, and "not run" must be true. All others are
+    /// refused immediately.
     pub(super) fn give_up(
         &mut self,
         now: MonoTime,
@@ -382,14 +388,14 @@
         let Some(req) = self.requests.get(&id) else {
             return;
         };
-        if req.once && !self.cfg.faults.claim_not_run {
-            return self.look(now, id, refusal);
+        if req.at_most_once && !self.cfg.faults.claim_not_run {
+            return self.look_up_claim(now, id, refusal);
         }
         let outcome = req.outcome();
-        self.refuse_as(now, id, refusal, outcome);
+        self.refuse_with(now, id, refusal, outcome);
     }
 
-    /// Ends a request by a refusal.
+    /// Refuses a request with a known outcome.
     pub(super) fn refuse(
         &mut self,
         now: MonoTime,
@@ -399,11 +405,11 @@
         retry_after: Option<Duration>,
     ) {
         let refusal = self.refusal(reason, retry_after);
-        self.refuse_as(now, id, refusal, outcome);
+        self.refuse_with(now, id, refusal, outcome);
     }
 
-    /// Ends a request by a refusal with this outcome.
-    pub(super) fn refuse_as(
+    /// Sends a refusal with this outcome and ends the request.
+    pub(super) fn refuse_with(
         &mut self,
         now: MonoTime,
         id: RequestId,
@@ -411,15 +417,15 @@
         outcome: RunOutcome,
     ) {
         refusal.outcome = outcome;
-        self.out.push(EntryAction::Refuse {
+        self.actions.push(EntryAction::Refuse {
             request: id,
             refusal: refusal.clone(),
         });
-        self.drop_others(now, id, 0);
+        self.drop_other_attempts(now, id, 0);
         self.end_refused(now, id, refusal);
     }
 
-    /// Makes a refusal; its outcome is set when it is known.
+    /// Creates a refusal whose outcome is not known yet.
     pub(super) fn refusal(&self, reason: Reason, retry_after: Option<Duration>) -> Refusal {
         Refusal {
             reason,
@@ -429,18 +435,18 @@
         }
     }
 
-    fn takes(&self, max_tokens: u32) -> Duration {
-        Duration::from_secs_f64(f64::from(max_tokens) / EXPECTED_SPEED)
+    fn expected_duration(&self, max_tokens: u32) -> Duration {
+        Duration::from_secs_f64(f64::from(max_tokens) / EXPECTED_TOKENS_PER_SECOND)
     }
 
-    fn rater_answers(&self, now: MonoTime) -> bool {
-        self.cfg.has_rater && now >= self.rater_silent_until && !self.quality.rater_distrusted()
+    fn rater_available(&self, now: MonoTime) -> bool {
+        self.cfg.has_rater && now >= self.rater_disabled_until && !self.quality.rater_distrusted()
     }
 }
 
-/// What decides on which side of a roll-out's share a request falls: a session
-/// stays on its side.
-fn draw_key(req: &super::request::Request) -> Vec<u8> {
+/// Returns the hash key that decides whether a request falls into the share of a
+/// roll-out. All requests of a session have the same key.
+fn rollout_key(req: &super::request::Request) -> Vec<u8> {
     use super::event::SessionRef;
 
     match &req.arrival.session {
@@ -450,7 +456,7 @@
     }
 }
 
-fn wants(wanted: &Wanted, full: &VersionId, session_model: Option<&ModelId>) -> bool {
+fn is_candidate(wanted: &Wanted, full: &VersionId, session_model: Option<&ModelId>) -> bool {
     let model = crate::ids::split_version(full).map(|(model, _)| model);
     match (wanted, session_model) {
         (Wanted::Service(_), _) => false,
--- a/sesamebeam_core/src/entry/claims.rs
+++ b/sesamebeam_core/src/entry/claims.rs
@@ -1,8 +1,8 @@
-//! Requests that must run at most once: claim, send, end.
+//! Claims on idempotency keys, for requests that must run at most once.
 
 use super::{
     EntryCore,
-    ask::AskFor,
+    control_requests::ControlPurpose,
     event::{
         Dispatch,
         DispatchKind,
@@ -44,9 +44,9 @@
 };
 
 impl EntryCore {
-    /// Claims a request for a backend server. Nothing is sent before the claim
-    /// is committed: two entries that hold the same resend would otherwise
-    /// both run it, and the caller would be billed twice.
+    /// Claims the key of a request for a backend server. Nothing is sent before
+    /// the claim is committed. Otherwise two entries that receive the same
+    /// request could both run it, and the caller would be billed twice.
     pub(super) fn claim(&mut self, now: MonoTime, id: RequestId, target: ServerLife) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
@@ -57,21 +57,21 @@
         req.attempts += 1;
         if self.cfg.faults.send_unclaimed {
             req.phase = Phase::Running;
-            let (at, version) = (req.next_id(), req.version().cloned());
-            return self.dispatch_as(now, id, target, at, version, DispatchKind::Run);
+            let (at, version) = (req.attempt_id(), req.version().cloned());
+            return self.dispatch(now, id, target, at, version, DispatchKind::Run);
         }
         req.phase = Phase::Claiming(target, now);
         if let Some(claim) = self.claim_request(id, target) {
-            self.ask(
-                AskFor::Claim(id),
+            self.send_control(
+                ControlPurpose::Claim(id),
                 ControlRequest::Claim(claim),
                 self.cfg.claim_timeout,
             );
         }
     }
 
-    /// Answer to a claim.
-    pub(super) fn claimed(&mut self, now: MonoTime, id: RequestId, reply: ClaimReply) {
+    /// Handles the reply to a claim.
+    pub(super) fn handle_claim_reply(&mut self, now: MonoTime, id: RequestId, reply: ClaimReply) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
@@ -82,16 +82,16 @@
             ClaimReply::Granted(generation) => {
                 req.claim = Some(HeldClaim {
                     generation,
-                    id: req.next_id(),
+                    id: req.attempt_id(),
                     target,
                     send_by: asked + self.cfg.dispatch_window,
                 });
                 req.replaces = generation;
-                self.send_claimed(now, id, target);
+                self.dispatch_claimed(now, id, target);
             }
             ClaimReply::Existing(view) => {
                 self.release_slot(now, id);
-                self.existing(now, id, view);
+                self.handle_existing_claim(now, id, view);
             }
             ClaimReply::Conflict => {
                 self.release_slot(now, id);
@@ -100,8 +100,8 @@
         }
     }
 
-    /// The answer to a claim was lost. It may have been written, and another
-    /// entry may hold the key: nothing can be said of it now.
+    /// Handles a claim whose reply was lost. It may have been committed, or
+    /// another entry may hold the key, so the outcome is unknown.
     pub(super) fn claim_lost(&mut self, now: MonoTime, id: RequestId) {
         let Some(req) = self.requests.get(&id) else {
             return;
@@ -110,7 +110,7 @@
             return;
         };
         if let Some(lost) = self.claim_request(id, target) {
-            self.remember_lost(lost);
+            self.resolve_lost_claim(lost);
         }
         self.release_slot(now, id);
         let after = Some(self.cfg.retry_after);
@@ -123,15 +123,16 @@
         );
     }
 
-    /// Makes the claim of a request's present attempt. Made again after a lost
-    /// answer it is the same, so that the control group takes both as one.
+    /// Creates the claim for the current attempt of a request. It is identical
+    /// when created again after a lost reply, so the control group deduplicates
+    /// it.
     fn claim_request(&self, id: RequestId, target: ServerLife) -> Option<ClaimRequest> {
         let req = self.requests.get(&id)?;
         Some(ClaimRequest {
             key: req.claim_key()?,
             digest: req.arrival.digest,
-            request: req.next_id(),
-            claimant: self.me(),
+            request: req.attempt_id(),
+            claimant: self.claimant(),
             target,
             version: req.version().cloned(),
             class: req.class.clone(),
@@ -140,8 +141,8 @@
         })
     }
 
-    /// Acts on a claim that was there before.
-    pub(super) fn existing(&mut self, now: MonoTime, id: RequestId, view: ClaimView) {
+    /// Handles a claim that already exists for the key.
+    pub(super) fn handle_existing_claim(&mut self, now: MonoTime, id: RequestId, view: ClaimView) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
@@ -154,31 +155,39 @@
                 req.replaces = view.generation;
                 self.plan(now, id);
             }
-            ClaimState::Open if view.claimant == self.me() => self.existing_own(now, id, view),
+            ClaimState::Open if view.claimant == self.claimant() => {
+                self.handle_own_claim(now, id, view)
+            }
             ClaimState::Open | ClaimState::Unknown => self.attach(now, id, view),
         }
     }
 
-    /// Answer to a look-up of a claim before a refusal.
-    pub(super) fn looked(&mut self, now: MonoTime, id: RequestId, view: Option<Option<ClaimView>>) {
+    /// Handles the reply to a claim look-up before a refusal; the outer `None` if
+    /// there was none, the inner one if the key has no claim.
+    pub(super) fn handle_claim_view(
+        &mut self,
+        now: MonoTime,
+        id: RequestId,
+        view: Option<Option<ClaimView>>,
+    ) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
-        let Phase::Looking(refusal) = req.phase.clone() else {
+        let Phase::LookingUpClaim(refusal) = req.phase.clone() else {
             return;
         };
         match view {
-            None => self.refuse_as(now, id, refusal, RunOutcome::Unknown),
-            Some(None) => self.refuse_as(now, id, refusal, RunOutcome::NotRun),
+            None => self.refuse_with(now, id, refusal, RunOutcome::Unknown),
+            Some(None) => self.refuse_with(now, id, refusal, RunOutcome::NotRun),
             Some(Some(view)) => match view.state {
-                ClaimState::Abandoned => self.refuse_as(now, id, refusal, RunOutcome::NotRun),
-                _ => self.existing(now, id, view),
+                ClaimState::Abandoned => self.refuse_with(now, id, refusal, RunOutcome::NotRun),
+                _ => self.handle_existing_claim(now, id, view),
             },
         }
     }
 
-    /// The record that this entry's own claim is abandoned.
-    pub(super) fn abandoned(&mut self, now: MonoTime, id: RequestId, recorded: bool) {
+    /// Continues after the abandonment of this entry's own claim was answered.
+    pub(super) fn handle_abandonment(&mut self, now: MonoTime, id: RequestId, recorded: bool) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
@@ -188,18 +197,18 @@
         req.claim = None;
         req.maybe_ran = false;
         if !recorded {
-            // Another entry took the claim over, so its state decides.
-            return self.look(now, id, self.refusal(Reason::InProgress, None));
+            // Another entry took over the claim, so its state decides.
+            return self.look_up_claim(now, id, self.refusal(Reason::InProgress, None));
         }
-        if req.left(now).is_zero() || req.attempts >= self.cfg.max_attempts {
+        if req.time_left(now).is_zero() || req.attempts >= self.cfg.max_attempts {
             let after = Some(self.cfg.retry_after);
             return self.refuse(now, id, Reason::NoServer, RunOutcome::NotRun, after);
         }
         self.plan(now, id);
     }
 
-    /// Gives a claim up of which it is proved that nothing ran, to try anew.
-    pub(super) fn abandon(&mut self, now: MonoTime, id: RequestId) {
+    /// Abandons a claim under which provably nothing ran, to plan again.
+    pub(super) fn abandon_claim(&mut self, now: MonoTime, id: RequestId) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
@@ -207,25 +216,25 @@
             return;
         };
         req.phase = Phase::Abandoning;
-        let end = self.end_of(&key, claim.generation, claim.id);
-        self.end_claim(now, end, Some(id));
+        let end = self.abandonment(&key, claim.generation, claim.id);
+        self.complete_claim(now, end, Some(id));
     }
 
-    /// Ends a claim whose fate nobody can tell any more.
-    pub(super) fn end_unknown(
+    /// Completes a claim with an unknown outcome.
+    pub(super) fn complete_unknown(
         &mut self,
         now: MonoTime,
         key: ClaimKey,
         generation: Generation,
         id: RequestId,
     ) {
-        let mut end = self.end_of(&key, generation, id);
+        let mut end = self.abandonment(&key, generation, id);
         end.end = ClaimEnd::Unknown;
-        self.end_claim(now, end, None);
+        self.complete_claim(now, end, None);
     }
 
-    /// Makes the end of a claim under which nothing ran.
-    pub(super) fn end_of(
+    /// Creates the completion of a claim under which nothing ran.
+    pub(super) fn abandonment(
         &self,
         key: &ClaimKey,
         generation: Generation,
@@ -241,30 +250,33 @@
         }
     }
 
-    /// A backend server told what it knows of a cancelled id.
-    pub(super) fn cancelled(&mut self, now: MonoTime, id: RequestId, known: ServerKnows) {
+    /// Handles the reply of a backend server to a cancel.
+    pub(super) fn handle_cancel_reply(&mut self, now: MonoTime, id: RequestId, known: ServerKnows) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
         match req.phase.clone() {
             Phase::CancellingOwn(target) => {
                 if known == (ServerKnows::Never { life: target }) {
-                    self.abandon(now, id);
+                    self.abandon_claim(now, id);
                 } else {
-                    self.lose_own(now, id);
+                    self.refuse_outcome_unknown(now, id);
                 }
             }
-            Phase::CancellingOther(view) => self.cancelled_other(now, id, view, known),
+            Phase::CancellingOther(view) => self.handle_other_cancelled(now, id, view, known),
             _ => {}
         }
     }
 
-    /// "Never had it" counts only from the life that the claim names, after a
-    /// cancel there, after the window with its network bound, and after the
-    /// claimant's lease. A restarted backend server has forgotten what it ran,
-    /// and a request sent in the window may still be in the network: taking
-    /// the claim over sooner would run it twice.
-    fn cancelled_other(
+    /// Takes over another claim if its request provably never ran and never will.
+    ///
+    /// That requires all of: the backend server never had the id, in the
+    /// incarnation that the claim names; it was cancelled there; the dispatch
+    /// window and the network bound have passed; the claimant's lease has ended.
+    /// A restarted backend server no longer knows what it ran, and a request sent
+    /// within the window may still be in transit, so an earlier takeover could
+    /// run it twice.
+    fn handle_other_cancelled(
         &mut self,
         now: MonoTime,
         id: RequestId,
@@ -282,10 +294,10 @@
         self.attach_failed(now, id, view);
     }
 
-    /// Reads the stream that another entry's claim, or an earlier one, started.
+    /// Attaches to the stream started under an existing claim.
     fn attach(&mut self, now: MonoTime, id: RequestId, view: ClaimView) {
         let known = self.servers.get(view.target.addr).map(|s| s.incarnation);
-        // A backend server that this entry has not heard of may be alive.
+        // A backend server unknown to this entry may still be alive.
         if known.is_some_and(|incarnation| incarnation != view.target.incarnation) {
             return self.attach_failed(now, id, view);
         }
@@ -300,10 +312,10 @@
         let at = view.request;
         let version = view.version.clone();
         req.phase = Phase::Attached(view);
-        self.dispatch_as(now, id, target, at, version, kind);
+        self.dispatch(now, id, target, at, version, kind);
     }
 
-    /// A claim's stream is not to be had.
+    /// Refuses a request because the stream of its claim is not available.
     pub(super) fn attach_failed(&mut self, now: MonoTime, id: RequestId, view: ClaimView) {
         match &view.state {
             ClaimState::Completed(_) => {
@@ -314,11 +326,11 @@
             }
             _ if view.window_over && view.claimant_gone => {
                 if let Some(key) = self.requests.get(&id).and_then(|req| req.claim_key()) {
-                    self.end_unknown(now, key, view.generation, view.request);
+                    self.complete_unknown(now, key, view.generation, view.request);
                 }
                 self.refuse(now, id, Reason::ServerLost, RunOutcome::Unknown, None);
             }
-            // Its claimant may yet end it: the caller is told when to ask again.
+            // Its claimant may still complete it, so the caller may retry later.
             _ => {
                 let after = Some(self.cfg.retry_after);
                 self.refuse(now, id, Reason::InProgress, RunOutcome::Unknown, after);
@@ -326,17 +338,17 @@
         }
     }
 
-    /// Looks a claim up before a refusal can say whether the request ran.
-    pub(super) fn look(&mut self, now: MonoTime, id: RequestId, refusal: Refusal) {
+    /// Looks up a claim to determine the outcome of a refusal.
+    pub(super) fn look_up_claim(&mut self, now: MonoTime, id: RequestId, refusal: Refusal) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
         let Some(key) = req.claim_key() else {
-            return self.refuse_as(now, id, refusal, RunOutcome::NotRun);
+            return self.refuse_with(now, id, refusal, RunOutcome::NotRun);
         };
-        req.phase = Phase::Looking(refusal);
-        self.ask(
-            AskFor::Look(id),
+        req.phase = Phase::LookingUpClaim(refusal);
+        self.send_control(
+            ControlPurpose::LookUpClaim(id),
             ControlRequest::Look(key),
             self.cfg.claim_timeout,
         );
@@ -349,38 +361,38 @@
         let Some(req) = self.requests.get(&id) else {
             return;
         };
-        let mut headers = req.headers();
+        let mut headers = req.response_headers();
         headers.version = view.version;
-        self.out.push(EntryAction::Replay {
+        self.actions.push(EntryAction::Replay {
             request: id,
             answer,
             headers,
         });
-        self.end(now, id, true, None);
+        self.end_answered(now, id, true, None);
     }
 
-    /// Sends a claimed request, after every check once more: the wait for the
-    /// claim is where a withdrawal or a stop of the backend server slips in.
-    fn send_claimed(&mut self, now: MonoTime, id: RequestId, target: ServerLife) {
+    /// Sends a claimed request. All checks are repeated, since its version may
+    /// have been withdrawn or its backend server stopped during the claim.
+    fn dispatch_claimed(&mut self, now: MonoTime, id: RequestId, target: ServerLife) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
         let send_by = req.claim.as_ref().map_or(now, |claim| claim.send_by);
-        if now >= send_by || !self.still_allowed(now, id, &target) {
+        if now >= send_by || !self.dispatch_allowed(now, id, &target) {
             self.release_slot(now, id);
-            return self.abandon(now, id);
+            return self.abandon_claim(now, id);
         }
-        let at = req.next_id();
+        let at = req.attempt_id();
         let version = req.version().cloned();
         if let Some(req) = self.requests.get_mut(&id) {
             req.phase = Phase::Running;
             req.maybe_ran = true;
         }
-        self.dispatch_as(now, id, target, at, version, DispatchKind::Run);
+        self.dispatch(now, id, target, at, version, DispatchKind::Run);
     }
 
-    /// Sends one attempt.
-    pub(super) fn dispatch_as(
+    /// Sends one attempt under the backend server id `at`.
+    pub(super) fn dispatch(
         &mut self,
         now: MonoTime,
         id: RequestId,
@@ -390,19 +402,19 @@
         kind: DispatchKind,
     ) {
         let progress = self.cfg.progress_timeout;
-        let keep_sample = self.samples(id);
+        let keep_sample = self.is_sampled(id);
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
-        req.sent += 1;
-        let attempt = req.sent;
-        let hold = req.holds();
+        req.dispatches += 1;
+        let attempt = req.dispatches;
+        let hold = req.holds_response();
         let alone = self.suspects.standing(req.arrival.digest) == Standing::Suspect;
         let send_by = match (&kind, &req.claim) {
             (DispatchKind::Run, Some(claim)) => claim.send_by,
             _ => now + self.cfg.dispatch_window,
         };
-        req.running.push(super::request::Running {
+        req.running.push(super::request::RunningAttempt {
             attempt,
             id: at,
             server,
@@ -411,9 +423,9 @@
             since: now,
             held: hold,
             alone,
-            first: false,
+            responded: false,
         });
-        let mut headers = req.headers();
+        let mut headers = req.response_headers();
         headers.version = version.clone();
         let dispatch = Dispatch {
             request: id,
@@ -425,25 +437,25 @@
             prefix: req.arrival.prefix,
             kind,
             hold,
-            keep: req.once || hold || keep_sample,
+            keep: req.at_most_once || hold || keep_sample,
             progress,
             send_by,
             headers,
         };
         self.explain.dispatched(&dispatch);
-        self.enter_server(id, server, alone);
-        self.out.push(EntryAction::Dispatch(dispatch));
+        self.record_start(id, server, alone);
+        self.actions.push(EntryAction::Dispatch(dispatch));
     }
 
-    /// Acts on an open claim of this entry's own, found by another request with
-    /// the same key.
+    /// Handles an open claim of this entry, found by another request with the
+    /// same key.
     ///
-    /// The view may be older than what happened here since: the claim's request
-    /// may just get its grant, or have ended. Abandoned on the strength of such
-    /// a view, it runs a second time under the next generation. So a claim is
-    /// taken back only if its answer was lost here, after which it is never
-    /// sent under.
-    fn existing_own(&mut self, now: MonoTime, id: RequestId, view: ClaimView) {
+    /// The view may be stale: the request that holds the claim may just receive
+    /// its grant, or have ended. Abandoning the claim because of a stale view
+    /// would run the request a second time under the next generation. A claim is
+    /// therefore abandoned only if its reply was lost, since nothing is ever sent
+    /// under such a claim.
+    fn handle_own_claim(&mut self, now: MonoTime, id: RequestId, view: ClaimView) {
         let Some(key) = self.requests.get(&id).and_then(|req| req.claim_key()) else {
             return;
         };
@@ -454,7 +466,7 @@
             let after = Some(self.cfg.retry_after);
             return self.refuse(now, id, Reason::InProgress, RunOutcome::Unknown, after);
         }
-        if !self.pending.is_lost(view.request) && !self.cfg.faults.retake_early {
+        if !self.pending.is_claim_lost(view.request) && !self.cfg.faults.retake_early {
             return self.attach(now, id, view);
         }
         let Some(req) = self.requests.get_mut(&id) else {
@@ -462,7 +474,7 @@
         };
         req.replaces = view.generation;
         req.phase = Phase::Abandoning;
-        let end = self.end_of(&key, view.generation, view.request);
-        self.end_claim(now, end, Some(id));
+        let end = self.abandonment(&key, view.generation, view.request);
+        self.complete_claim(now, end, Some(id));
     }
 }
--- a/sesamebeam_core/src/entry/event.rs
+++ b/sesamebeam_core/src/entry/event.rs
@@ -1,4 +1,4 @@
-//! Events that an entry handles and actions that it asks for.
+//! Events handled by an entry and the actions it requests.
 
 use std::time::Duration;
 
@@ -45,283 +45,284 @@
     },
 };
 
-/// Number of one attempt at a request, from 1.
+/// Number of an attempt at one request, from 1.
 pub type Attempt = u32;
 
-/// Number of one question to the control group.
+/// Number of a request to the control group.
 pub type AskId = u64;
 
-/// Everything that can happen to an entry.
+/// Input of an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryEvent {
     /// Time has passed.
     Tick,
-    /// A caller's request is complete and its key is valid.
+    /// A request was received completely and its API key is valid.
     Arrived(Box<Arrival>),
     /// The caller hung up.
     CallerGone {
-        /// Its request.
+        /// Request of the caller.
         request: RequestId,
     },
-    /// Something happened to an attempt.
+    /// An attempt made progress or ended.
     Attempt {
         /// Request.
         request: RequestId,
-        /// Attempt at it.
+        /// Attempt at the request.
         attempt: Attempt,
         /// What happened.
         report: AttemptReport,
     },
-    /// A cancel of a request id at a backend server was answered.
+    /// A backend server answered a cancel, or could not be reached.
     Cancelled {
-        /// Request on whose behalf it was asked.
+        /// Request on whose behalf the cancel was sent.
         request: RequestId,
-        /// What the backend server knows.
+        /// What the backend server knows of the cancelled id.
         known: ServerKnows,
     },
-    /// A question to the control group was answered.
+    /// The control group replied to a request, or it timed out.
     Answered {
-        /// The question.
+        /// Number of the request.
         ask: AskId,
-        /// The answer, or none if no replica could be reached or led in time.
+        /// The reply; `None` if no leader could be reached in time.
         reply: Option<ControlReply>,
     },
-    /// A backend server announced itself here.
+    /// A backend server announced itself to this entry.
     Announced(Box<Announcement>),
-    /// Another entry sent a message.
+    /// A message arrived from another entry.
     Peer {
-        /// The other entry.
+        /// Sender.
         from: InstanceId,
         /// The message.
         message: PeerMessage,
     },
-    /// The rating service rated an answer.
+    /// The rating service rated a sampled response.
     Rated(Rating),
-    /// The rating service rated a held answer at once, or could not.
+    /// The rating service rated a held response, or timed out.
     RatedNow {
-        /// Request whose answer is held.
+        /// Request whose response is held.
         request: RequestId,
-        /// Quality from 0 to 1; none if the service did not answer in time.
+        /// Quality from 0 to 1; `None` if the service did not reply in time.
         score: Option<f64>,
     },
-    /// A planned stop begins.
+    /// A planned stop was requested.
     Stop,
 }
 
-/// Which model or version a caller asked for.
+/// Model, version or service requested by a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Wanted {
     /// The system chooses.
     Auto,
-    /// Any allowed version of a model.
+    /// Any allowed version of this model.
     Model(ModelId),
-    /// One version.
+    /// Exactly this version.
     Version(VersionId),
-    /// A plain service.
+    /// A plain service, by its pool.
     Service(PoolId),
 }
 
-/// How a caller named its session.
+/// How a request identifies its session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SessionRef {
-    /// By a name of its own.
+    /// By a name chosen by the caller.
     Name(SessionId),
-    /// By a token that the system signed.
+    /// By a token signed by the system.
     Token(SessionToken),
-    /// Not yet: the edge drew this name, which nobody else has.
+    /// A new session under this unique, system-generated name.
     New(SessionId),
 }
 
-/// What a signed session token carries.
+/// Content of a signed session token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionToken {
-    /// Organisation that it was issued to.
+    /// Organisation to which it was issued.
     pub org: OrgId,
     /// Name of the session.
     pub session: SessionId,
-    /// Version that the session keeps.
+    /// Version to which the session is pinned.
     pub version: VersionId,
-    /// Generation of the pin; 0 if the token itself is the only record.
+    /// Generation of the pin; 0 if the token is its only record.
     pub generation: Generation,
 }
 
 /// A caller's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// Number drawn for it.
+    /// Id of the request.
     pub request: RequestId,
     /// Organisation of the caller.
     pub org: OrgId,
-    /// Class of the request; none for the first class of the fleet file.
+    /// Class of the request; `None` for the first suitable class of the fleet
+    /// file.
     pub class: Option<ClassId>,
-    /// Which model, version or service was asked for.
+    /// Requested model, version or service.
     pub wanted: Wanted,
     /// Session, if any.
     pub session: Option<SessionRef>,
-    /// The caller's `Idempotency-Key`.
+    /// Value of the `Idempotency-Key` header.
     pub key: Option<IdempotencyKey>,
-    /// Digest of the body, and of method and path for a service.
+    /// Digest of the body; for a plain service, also of method and path.
     pub digest: Digest,
-    /// Whether the HTTP method of a service call may be repeated.
+    /// Whether the HTTP method of a service call is safe to repeat.
     pub safe_method: bool,
-    /// Whether the caller reads the answer as it is generated.
+    /// Whether the response is streamed to the caller.
     pub streamed: bool,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
-    /// Tokens of the prompt, estimated.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Most tokens that may be generated.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
 }
 
-/// What happened to an attempt.
+/// Progress or end of an attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AttemptReport {
-    /// The first event of the answer arrived.
+    /// The first event of the response arrived.
     Started,
     /// No connection could be made, so nothing was sent.
     ConnectFailed {
-        /// Whether it was refused: no process listens there.
+        /// Whether the connection was refused because no process listens.
         refused: bool,
     },
-    /// The time to send was over, so nothing was sent.
+    /// The dispatch window had ended, so nothing was sent.
     Late,
-    /// The backend server refused without running it.
+    /// The backend server refused the request without running it.
     Refused(ServerRefusal),
     /// The connection broke after the request was sent.
     Broken {
         /// Events that had arrived whole.
         events: u64,
     },
-    /// Nothing arrived for the progress timeout.
+    /// No bytes arrived within the progress timeout.
     Stalled {
         /// Events that had arrived whole.
         events: u64,
     },
-    /// A resume was answered: the backend server does not have the stream.
+    /// The backend server does not have the stream to resume.
     NotThere(ServerKnows),
-    /// The whole answer arrived.
+    /// The complete response arrived.
     Finished(Finished),
 }
 
-/// How a backend server refuses without running a request.
+/// Reason for which a backend server refused a request without running it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerRefusal {
     /// Its queue is full.
     Busy {
-        /// Time for which it asks to be sent nothing.
+        /// Time for which it asks to receive no requests.
         retry_after: Option<Duration>,
     },
-    /// It does not have the version loaded.
+    /// The version is not loaded.
     NotLoaded,
-    /// The id was cancelled there before.
+    /// The id was cancelled before.
     Cancelled,
-    /// The request itself is faulty; another backend server would say the same.
+    /// The request is invalid and would be refused by any backend server.
     Invalid,
 }
 
 /// What a backend server knows of a request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerKnows {
-    /// It never had the id, and after a cancel never will run it.
+    /// It never received the id, and will not run it after a cancel.
     Never {
-        /// Life in which it says so.
+        /// Incarnation that gave this reply.
         life: ServerLife,
     },
-    /// It had the id, but no longer has the answer.
+    /// It received the id, but no longer has the response.
     Gone,
     /// It has the id, running or finished.
     Has,
-    /// It could not be asked.
+    /// It could not be reached.
     Unreachable,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Finished {
-    /// What is kept of it; the body only if the attempt asked to keep it.
+    /// Record of the response; it has a body only if the attempt requested it.
     pub answer: Completed,
-    /// Usage that the backend server reported.
+    /// Usage reported by the backend server.
     pub usage: Usage,
-    /// Time from sending to the first event.
+    /// Time from dispatch to the first event.
     pub first: Duration,
-    /// Time for which a plain service that turns the request away asks to be sent nothing.
+    /// Time for which an overloaded plain service asks to receive no requests.
     pub retry_after: Option<Duration>,
-    /// Wall-clock time, for people.
+    /// Wall-clock time, for human-readable records.
     pub at: UnixMillis,
 }
 
-/// Everything that an entry asks its edges to do.
+/// Output of an entry, executed by the runtime.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryAction {
     /// Send a request to a backend server.
     Dispatch(Dispatch),
-    /// Stop reading an attempt that is no longer wanted.
+    /// Stop reading an attempt.
     Drop {
         /// Request.
         request: RequestId,
-        /// Attempt that is no longer wanted.
+        /// Attempt to drop.
         attempt: Attempt,
-        /// Whether it is cancelled at the backend server too.
+        /// Whether to cancel it at the backend server too.
         cancel: bool,
     },
-    /// Cancel a request id at a backend server and tell what it knows.
+    /// Cancel a request id at a backend server and report what it knows.
     Cancel {
-        /// Request on whose behalf it is asked.
+        /// Request on whose behalf the cancel is sent.
         request: RequestId,
         /// Id at the backend server.
         id: RequestId,
         /// Backend server.
         server: ServerAddr,
     },
-    /// Close every connection to a backend server that is older than now.
+    /// Close all existing connections to a backend server.
     Retire {
         /// Backend server.
         server: ServerAddr,
     },
-    /// Ask the control group.
+    /// Send a request to the control group.
     Ask {
-        /// Number of the question.
+        /// Number of the request.
         ask: AskId,
-        /// The question.
+        /// The request.
         req: Box<ControlRequest>,
-        /// Time after which the answer is of no use.
+        /// Time after which the reply is no longer needed.
         timeout: Duration,
     },
-    /// Tell other entries.
+    /// Send a message to other entries.
     Tell {
-        /// Which of them.
+        /// Recipients.
         to: Audience,
         /// The message.
         message: PeerMessage,
     },
-    /// End a request with a kept answer.
+    /// End a request with a recorded response.
     Replay {
         /// Request.
         request: RequestId,
-        /// The answer; its body is there.
+        /// The response, with its body.
         answer: Completed,
         /// Header values.
         headers: AnswerHeaders,
     },
-    /// End a request by a refusal.
+    /// End a request with a refusal.
     Refuse {
         /// Request.
         request: RequestId,
         /// The refusal.
         refusal: Refusal,
     },
-    /// Release a held answer to its caller.
+    /// Send a held response to the caller.
     Release {
         /// Request.
         request: RequestId,
     },
-    /// The answer is whole: end the caller's stream.
+    /// End the caller's stream after a complete response.
     Finish {
         /// Request.
         request: RequestId,
     },
-    /// Have a held answer rated at once.
+    /// Request an immediate rating of a held response.
     RateNow {
         /// Request.
         request: RequestId,
@@ -329,10 +330,10 @@
         class: ClassId,
         /// Version that answered.
         version: VersionId,
-        /// Time after which the score is of no use.
+        /// Time after which the score is no longer needed.
         timeout: Duration,
     },
-    /// Send an answer to the rating service, for a late rating.
+    /// Send a response to the rating service for an asynchronous rating.
     Sample {
         /// Request.
         request: RequestId,
@@ -341,31 +342,32 @@
         /// Version that answered.
         version: VersionId,
     },
-    /// Every request has ended after a stop: the process may exit.
+    /// All requests have ended after a planned stop; the process may exit.
     Drained,
-    /// Something to log or count.
+    /// Log or count something.
     Notice(Notice),
 }
 
-/// Which other entries are told.
+/// Recipients of a message to other entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// Those of the same failure domain.
+    /// All entries of the same failure domain.
     Domain,
-    /// All.
+    /// All entries.
     All,
-    /// One.
+    /// One entry.
     One(InstanceId),
 }
 
-/// Values of the headers of an answer.
+/// Values of response headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerHeaders {
     /// Version that answered.
     pub version: Option<VersionId>,
     /// Session token to sign and return.
     pub session: Option<SessionToken>,
-    /// Whether the session had to change version because its own is withdrawn.
+    /// Whether the session changed its version because the pinned one was
+    /// withdrawn.
     pub pin_renewed: bool,
 }
 
@@ -380,23 +382,23 @@
     pub id: RequestId,
     /// Backend server.
     pub server: ServerLife,
-    /// Version to run; none for a plain service.
+    /// Version to run; `None` for a plain service.
     pub version: Option<VersionId>,
-    /// How urgent it is.
+    /// Priority of the request.
     pub priority: Priority,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
     /// What to send.
     pub kind: DispatchKind,
-    /// Whether the answer is held back until it is released.
+    /// Whether the response is held back until it is released.
     pub hold: bool,
-    /// Whether the body is kept, up to the cap.
+    /// Whether the body is kept, up to the size limit.
     pub keep: bool,
-    /// Longest time without any byte.
+    /// Maximum time without receiving any byte.
     pub progress: Duration,
-    /// Time after which it must not be sent any more. The edge reads its clock
-    /// after its last wait: a process frozen in between would otherwise send
-    /// into a claim that others have taken over.
+    /// Time after which it must not be sent. The runtime checks the clock after
+    /// its last wait; otherwise a process suspended in between could send under
+    /// a claim that was taken over meanwhile.
     pub send_by: MonoTime,
     /// Header values.
     pub headers: AnswerHeaders,
@@ -407,37 +409,37 @@
 pub enum DispatchKind {
     /// The request itself.
     Run,
-    /// The request itself, beside an attempt that is still running.
+    /// The request itself, in parallel to a running attempt.
     Hedge,
     /// A resume after this many events, on a new connection.
     Resume {
         /// Events that the caller already has.
         events: u64,
     },
-    /// A look-up of a plain service's call.
+    /// A look-up of the response to an earlier call of a plain service.
     LookUp,
 }
 
-/// Something to log or count.
+/// Occurrence to log or count.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
     /// A request ended.
     Ended(Ended),
-    /// A configuration is in force here.
+    /// A configuration came into force.
     InForce {
         /// Revision.
         revision: u64,
     },
-    /// The configuration lease ended.
+    /// The configuration lease expired.
     LeaseLost,
     /// The configuration lease is held again.
     LeaseHeld,
-    /// A version is held here by this entry's own test.
+    /// This entry holds a version because of its own evidence.
     Held {
         /// Version.
         version: VersionId,
     },
-    /// A backend server is known now.
+    /// A backend server became available.
     ServerUp {
         /// Backend server.
         server: ServerLife,
@@ -448,22 +450,22 @@
     ServerDown {
         /// Backend server.
         server: ServerAddr,
-        /// Why.
+        /// Reason.
         why: SmolStr,
     },
-    /// A fingerprint is quarantined fleet-wide.
+    /// A request digest is quarantined fleet-wide.
     Quarantined {
-        /// Fingerprint.
+        /// Request digest.
         fingerprint: Digest,
     },
-    /// Bad input was ignored.
+    /// Invalid input was ignored.
     Ignored {
-        /// What was wrong.
+        /// Description of the fault.
         why: SmolStr,
     },
 }
 
-/// How a request ended, for logs and the burn report.
+/// Summary of an ended request, for logs and the burn report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ended {
     /// Request.
@@ -476,11 +478,11 @@
     pub version: Option<VersionId>,
     /// Backend server of the last attempt.
     pub server: Option<ServerAddr>,
-    /// Whether the caller has the whole answer.
+    /// Whether the caller received the complete response.
     pub whole: bool,
-    /// Refusal, if it was refused.
+    /// Refusal, if any.
     pub refusal: Option<Refusal>,
-    /// Attempts made.
+    /// Number of attempts.
     pub attempts: Attempt,
     /// Time from arrival to the end.
     pub took: Duration,
--- a/sesamebeam_core/src/entry/explain.rs
+++ b/sesamebeam_core/src/entry/explain.rs
@@ -1,4 +1,4 @@
-//! What was decided on recent requests, in bounded memory.
+//! Explanations of the decisions on recent requests, in bounded memory.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
         Dispatch,
         Ended, //
     },
-    request::Running,
+    request::RunningAttempt,
     view::Usable, //
 };
 use crate::{
@@ -36,61 +36,61 @@
     },
 };
 
-/// Most steps kept of one request.
+/// Maximum number of recorded steps per request.
 const MAX_STEPS: usize = 32;
 
-/// One thing that was decided or happened.
+/// A decision or event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
     /// Time since the request arrived.
     pub at: Duration,
-    /// What it was.
+    /// Description.
     pub what: SmolStr,
     /// Details, one line each.
     pub details: Vec<SmolStr>,
 }
 
-/// What was decided on one request.
+/// Decisions and events of one request.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
     /// Organisation of the caller.
     pub org: OrgId,
-    /// When it arrived, on the entry's clock.
+    /// Arrival time on the entry's monotonic clock.
     pub arrived: MonoTime,
     /// Steps in order.
     pub steps: Vec<Step>,
-    /// Versions that were passed over, with the reason.
+    /// Versions that were not considered, with the reason.
     pub passed_over: Vec<SmolStr>,
     /// Backend server of the last attempt.
     pub server: Option<ServerAddr>,
 }
 
-/// Explanations of recent requests; the oldest is forgotten first.
+/// Explanations of recent requests, in a ring buffer.
 #[derive(Clone, Debug)]
 pub struct Explain {
-    kept: IndexMap<RequestId, Explanation>,
+    ring: IndexMap<RequestId, Explanation>,
     cursor: usize,
-    most: usize,
+    capacity: usize,
     now: MonoTime,
 }
 
 impl Explain {
-    /// Keeps this many requests.
-    pub fn new(most: usize) -> Self {
+    /// Creates a buffer for this number of requests.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            kept: IndexMap::with_capacity(most),
+            ring: IndexMap::with_capacity(capacity),
             cursor: 0,
-            most: most.max(1),
+            capacity: capacity.max(1),
             now: MonoTime::ZERO,
         }
     }
 
-    /// Finds what was decided on a request.
+    /// Finds the explanation of a request.
     pub fn find(&self, id: RequestId) -> Option<&Explanation> {
-        self.kept.get(&id)
+        self.ring.get(&id)
     }
 
-    /// Sets the time of the steps that follow.
+    /// Sets the time for subsequent steps.
     pub(super) fn at(&mut self, now: MonoTime) {
         self.now = now;
     }
@@ -101,16 +101,15 @@
             arrived: now,
             ..Explanation::default()
         };
-        if self.kept.len() < self.most {
-            self.kept.insert(id, explanation);
+        if self.ring.len() < self.capacity {
+            self.ring.insert(id, explanation);
             return;
         }
-        // The slot of the oldest takes the newest: a ring without moving the
-        // others.
-        self.kept.swap_remove_index(self.cursor);
-        let (at, _) = self.kept.insert_full(id, explanation);
-        self.kept.swap_indices(self.cursor, at);
-        self.cursor = (self.cursor + 1) % self.most;
+        // Puts the newest into the slot of the oldest, without moving the others.
+        self.ring.swap_remove_index(self.cursor);
+        let (at, _) = self.ring.insert_full(id, explanation);
+        self.ring.swap_indices(self.cursor, at);
+        self.cursor = (self.cursor + 1) % self.capacity;
     }
 
     pub(super) fn planned(&mut self, id: RequestId, planned: &Planned) {
@@ -142,7 +141,7 @@
         usable: Usable,
         permit: Permit,
     ) {
-        if let Some(explanation) = self.kept.get_mut(&id)
+        if let Some(explanation) = self.ring.get_mut(&id)
             && explanation.passed_over.len() < MAX_STEPS
         {
             let why = if permit.allows() {
@@ -188,12 +187,12 @@
             );
             (what, Vec::new())
         });
-        if let Some(explanation) = self.kept.get_mut(&id) {
+        if let Some(explanation) = self.ring.get_mut(&id) {
             explanation.server = Some(dispatch.server.addr);
         }
     }
 
-    pub(super) fn reported(&mut self, id: RequestId, run: &Running, report: &AttemptReport) {
+    pub(super) fn reported(&mut self, id: RequestId, run: &RunningAttempt, report: &AttemptReport) {
         self.step(id, || {
             let what = match report {
                 AttemptReport::Finished(f) => format_smolstr!(
@@ -228,12 +227,12 @@
     }
 
     pub(super) fn last_server(&self, id: RequestId) -> Option<ServerAddr> {
-        self.kept.get(&id)?.server
+        self.ring.get(&id)?.server
     }
 
     fn step(&mut self, id: RequestId, make: impl FnOnce() -> (SmolStr, Vec<SmolStr>)) {
         let now = self.now;
-        let Some(explanation) = self.kept.get_mut(&id) else {
+        let Some(explanation) = self.ring.get_mut(&id) else {
             return;
         };
         if explanation.steps.len() >= MAX_STEPS {
--- a/sesamebeam_core/src/entry/finish.rs
+++ b/sesamebeam_core/src/entry/finish.rs
@@ -1,8 +1,8 @@
-//! Ends of requests, and what is learnt from them.
+//! Completion of requests, and the observations derived from them.
 
 use super::{
     EntryCore,
-    ask::AskFor,
+    control_requests::ControlPurpose,
     event::{
         DispatchKind,
         Ended,
@@ -13,7 +13,7 @@
     refusal::Refusal,
     request::{
         Phase,
-        Running, //
+        RunningAttempt, //
     }, //
 };
 use crate::{
@@ -35,15 +35,16 @@
     },
 };
 
-/// Score from which a held answer is passed on.
-const GOOD_SCORE: f64 = 0.5;
+/// Minimum score at which a held response is released, if its rating is not
+/// counted.
+const MIN_RELEASE_SCORE: f64 = 0.5;
 
-/// Answers sent for rating that are remembered with their organisation.
-const MAX_SAMPLED: usize = 8192;
+/// Maximum number of responses with a pending rating.
+const MAX_PENDING_RATINGS: usize = 8192;
 
 impl EntryCore {
-    /// Whether the answer of a request goes to the rating service.
-    pub(super) fn samples(&self, id: RequestId) -> bool {
+    /// Returns whether the response of a request is sampled for rating.
+    pub(super) fn is_sampled(&self, id: RequestId) -> bool {
         let Some(req) = self.requests.get(&id) else {
             return false;
         };
@@ -55,18 +56,18 @@
         self.cfg.has_rater && hash::unit(&id.to_le_bytes(), "sample") < share
     }
 
-    /// The first event of an attempt arrived.
-    pub(super) fn first_event(&mut self, now: MonoTime, run: &Running) {
+    /// Records that the backend server of an attempt is responsive.
+    pub(super) fn server_responded(&mut self, now: MonoTime, run: &RunningAttempt) {
         self.balance.answered(run.server.addr);
         self.servers.heard(now, run.server.addr);
     }
 
-    /// Learns from a whole answer.
-    pub(super) fn answered_well(
+    /// Records the observations from a complete response.
+    pub(super) fn observe_response(
         &mut self,
         now: MonoTime,
         id: RequestId,
-        run: &Running,
+        run: &RunningAttempt,
         finished: &Finished,
     ) {
         let Some(req) = self.requests.get(&id) else {
@@ -77,8 +78,8 @@
         let suspected = self.suspects.standing(digest) != Standing::Clear;
         self.suspects.finished(digest, run.server, true);
         if suspected {
-            self.ask(
-                AskFor::Report,
+            self.send_control(
+                ControlPurpose::Report,
                 ControlRequest::Cleared(vec![digest]),
                 self.cfg.claim_timeout,
             );
@@ -91,17 +92,17 @@
             let tokens = finished.usage.completion_tokens;
             self.observe(now, &version, &class, Observation::Whole { took, tokens });
         }
-        if self.samples(id) && finished.answer.body.is_some() {
-            if self.requests[&id].second {
+        if self.is_sampled(id) && finished.answer.body.is_some() {
+            if self.requests[&id].second_step {
                 self.quality.sampled_redo(now, id, &class, &version);
             } else {
                 self.quality.sampled(now, id, &class, &version);
             }
-            if self.sampled.len() >= MAX_SAMPLED {
+            if self.sampled.len() >= MAX_PENDING_RATINGS {
                 self.sampled.shift_remove_index(0);
             }
             self.sampled.insert(id, (org, class.clone()));
-            self.out.push(EntryAction::Sample {
+            self.actions.push(EntryAction::Sample {
                 request: id,
                 class,
                 version,
@@ -109,15 +110,15 @@
         }
     }
 
-    /// Learns from a late rating.
-    pub(super) fn rated(&mut self, now: MonoTime, rating: &Rating) {
+    /// Handles the rating of a sampled response.
+    pub(super) fn handle_rating(&mut self, now: MonoTime, rating: &Rating) {
         match self.quality.rate(now, rating) {
             Rated::Counted { good, redo } => {
                 if let Some((org, class)) = self.sampled.swap_remove(&rating.request) {
                     self.burn.rated(now, &org, &class, good);
                 }
-                // Second answers are of hard requests only and are measured by
-                // a level of their own.
+                // The second step of a cascade only gets hard requests, so it is
+                // compared with a baseline of its own.
                 let seen = if redo {
                     Observation::Redone { good }
                 } else {
@@ -127,13 +128,14 @@
             }
             Rated::Ignored(why) => {
                 let why = smol_str::format_smolstr!("rating: {why:?}");
-                self.out.push(EntryAction::Notice(Notice::Ignored { why }));
+                self.actions
+                    .push(EntryAction::Notice(Notice::Ignored { why }));
             }
         }
     }
 
-    /// Whether a held answer is good enough; learns from its score.
-    pub(super) fn good_enough(
+    /// Records the score of a held response and returns whether to release it.
+    pub(super) fn score_held(
         &mut self,
         now: MonoTime,
         id: RequestId,
@@ -141,7 +143,7 @@
         version: &VersionId,
     ) -> bool {
         let Some(score) = score else {
-            self.rater_silent_until = now + self.cfg.rater_rest;
+            self.rater_disabled_until = now + self.cfg.rater_rest;
             return false;
         };
         let Some(req) = self.requests.get(&id) else {
@@ -152,11 +154,11 @@
             self.observe(now, version, &class, Observation::Rated { good });
             return good;
         }
-        score.is_finite() && score >= GOOD_SCORE
+        score.is_finite() && score >= MIN_RELEASE_SCORE
     }
 
-    /// Learns that an attempt failed by the fault of its version or server.
-    pub(super) fn failed(&mut self, now: MonoTime, id: RequestId, run: &Running) {
+    /// Records an attempt that failed because of its version or backend server.
+    pub(super) fn observe_failure(&mut self, now: MonoTime, id: RequestId, run: &RunningAttempt) {
         let Some(class) = self.requests.get(&id).map(|req| req.class.clone()) else {
             return;
         };
@@ -165,8 +167,8 @@
         }
     }
 
-    /// Ends a request whose caller has the whole answer.
-    pub(super) fn end(
+    /// Ends a request whose response is complete.
+    pub(super) fn end_answered(
         &mut self,
         now: MonoTime,
         id: RequestId,
@@ -174,34 +176,35 @@
         finished: Option<&Finished>,
     ) {
         let usage = finished.map_or_else(Usage::default, |f| f.usage);
-        self.close(now, id, whole, None, usage);
+        self.end_request(now, id, whole, None, usage);
     }
 
     /// Ends a request that was refused.
     pub(super) fn end_refused(&mut self, now: MonoTime, id: RequestId, refusal: Refusal) {
-        self.close(now, id, false, Some(refusal), Usage::default());
+        self.end_request(now, id, false, Some(refusal), Usage::default());
     }
 
-    /// The caller hung up. A request that runs at most once goes on: its
-    /// caller will ask for the answer again.
-    pub(super) fn caller_gone(&mut self, now: MonoTime, id: RequestId) {
+    /// Handles a caller that hung up. A request that must run at most once
+    /// continues unless it is still queued, since its caller may ask for the
+    /// response again.
+    pub(super) fn handle_hang_up(&mut self, now: MonoTime, id: RequestId) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
         let queued = matches!(req.phase, Phase::Queued);
-        if req.once && !queued {
+        if req.at_most_once && !queued {
             return;
         }
         let pool = req.pool.clone();
         self.admission.cancel(&pool, id);
-        self.drop_others(now, id, 0);
+        self.drop_other_attempts(now, id, 0);
         self.release_slot(now, id);
         self.requests.swap_remove(&id);
         self.explain.hung_up(id);
         self.check_drained();
     }
 
-    fn close(
+    fn end_request(
         &mut self,
         now: MonoTime,
         id: RequestId,
@@ -234,16 +237,20 @@
             usage,
         };
         self.explain.ended(&ended);
-        self.out.push(EntryAction::Notice(Notice::Ended(ended)));
+        self.actions.push(EntryAction::Notice(Notice::Ended(ended)));
         self.check_drained();
     }
 
-    /// Gives the lease back, once, when nothing is left after a stop began; the
-    /// answer to that, or its absence, ends the stop.
+    /// Releases the lease once all requests have ended after a planned stop. The
+    /// reply, or its timeout, ends the stop.
     pub(super) fn check_drained(&mut self) {
-        if self.stopping && !self.leaving && self.requests.is_empty() && self.pending.is_empty() {
-            self.leaving = true;
-            self.leave_lease();
+        if self.stopping
+            && !self.releasing_lease
+            && self.requests.is_empty()
+            && self.pending.is_empty()
+        {
+            self.releasing_lease = true;
+            self.release_lease();
         }
     }
 
@@ -260,12 +267,12 @@
         if held.is_none() {
             return;
         }
-        self.out.push(EntryAction::Notice(Notice::Held {
+        self.actions.push(EntryAction::Notice(Notice::Held {
             version: version.clone(),
         }));
-        // The control group holds it fleet-wide; the other entries hear of it
-        // at once, since they may be cut off from it.
-        self.tell(
+        // The control group holds the version fleet-wide. The other entries are
+        // informed directly, since they may be cut off from the control group.
+        self.send_to_entries(
             super::event::Audience::All,
             crate::message::peer::PeerMessage::Alarm {
                 held: vec![version.clone()],
--- a/sesamebeam_core/src/entry/hedge.rs
+++ b/sesamebeam_core/src/entry/hedge.rs
@@ -1,4 +1,4 @@
-//! Hedges: a second attempt at an urgent idempotent request that is late.
+//! Hedging: a second attempt at an urgent idempotent request that is late.
 
 use super::{
     EntryCore,
@@ -11,13 +11,14 @@
 };
 
 impl EntryCore {
-    /// Sends second attempts where the first gave nothing in the usual time.
+    /// Hedges requests whose first attempt has not responded within the hedge
+    /// delay.
     pub(super) fn tick_hedges(&mut self, now: MonoTime) {
         let late: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, req)| matches!(req.phase, Phase::Running) && !req.once)
-            .filter(|(_, req)| req.running.len() == 1 && !req.running[0].first)
+            .filter(|(_, req)| matches!(req.phase, Phase::Running) && !req.at_most_once)
+            .filter(|(_, req)| req.running.len() == 1 && !req.running[0].responded)
             .filter(|(_, req)| req.running[0].kind == DispatchKind::Run)
             .filter(|(_, req)| {
                 let delay = self
@@ -34,8 +35,8 @@
     }
 
     fn hedge(&mut self, now: MonoTime, id: RequestId) {
-        // The first attempt may have started before its version was withdrawn
-        // or held; a second one would be new work for it.
+        // The version may have been withdrawn or held since the first attempt
+        // started, and a hedge would be new work for it.
         if !self.step_allowed(now, id) && !self.cfg.faults.hedge_unchecked {
             return;
         }
@@ -52,10 +53,10 @@
         }
         req.avoid.push(first);
         req.attempts += 1;
-        let at = req.next_id();
+        let at = req.attempt_id();
         let version = req.version().cloned();
-        if let Some(server) = self.pick(now, id) {
-            self.dispatch_as(now, id, server, at, version, DispatchKind::Hedge);
+        if let Some(server) = self.pick_server(now, id) {
+            self.dispatch(now, id, server, at, version, DispatchKind::Hedge);
         }
     }
 }
--- a/sesamebeam_core/src/entry/lease.rs
+++ b/sesamebeam_core/src/entry/lease.rs
@@ -1,10 +1,10 @@
-//! The configuration lease: renewals, updates, what a cut-off entry does.
+//! The configuration lease: renewals, updates and operation without it.
 
 use std::time::Duration;
 
 use super::{
     EntryCore,
-    ask::AskFor,
+    control_requests::ControlPurpose,
     event::{
         Audience,
         EntryAction,
@@ -25,10 +25,10 @@
 };
 
 impl EntryCore {
-    /// Renews the lease when it is time, and asks other entries for their
-    /// configuration while the control group cannot be reached.
+    /// Renews the lease when it is due, and requests the configuration from other
+    /// entries while the lease is not held.
     pub(super) fn tick_lease(&mut self, now: MonoTime) {
-        if !self.renewing && !self.leaving && now >= self.next_renew {
+        if !self.renewing && !self.releasing_lease && now >= self.next_renew {
             self.renew(now);
         }
         let held = self.view.lease_held(now);
@@ -39,16 +39,21 @@
             } else {
                 Notice::LeaseLost
             };
-            self.out.push(EntryAction::Notice(notice));
+            self.actions.push(EntryAction::Notice(notice));
         }
-        if !held && now >= self.next_ask_peers {
-            self.next_ask_peers = now + self.cfg.renew_pause * 5;
-            self.tell(Audience::Domain, PeerMessage::WantConfig);
+        if !held && now >= self.next_config_query {
+            self.next_config_query = now + self.cfg.renew_pause * 5;
+            self.send_to_entries(Audience::Domain, PeerMessage::WantConfig);
         }
     }
 
-    /// Takes the answer to a renewal.
-    pub(super) fn renewed(&mut self, now: MonoTime, asked: MonoTime, reply: Option<ControlReply>) {
+    /// Handles the reply to a renewal.
+    pub(super) fn handle_renewal(
+        &mut self,
+        now: MonoTime,
+        asked: MonoTime,
+        reply: Option<ControlReply>,
+    ) {
         self.renewing = false;
         let Some(ControlReply::Renewed(renewed)) = reply else {
             self.next_renew = now + self.cfg.renew_pause;
@@ -56,49 +61,51 @@
         };
         let newest = renewed.update.as_ref().map_or(0, |update| update.revision);
         if let Some(update) = renewed.update {
-            self.take_update(now, update);
+            self.apply_update(now, update);
         }
-        // While it asked, this entry may have taken a configuration from a
-        // neighbour that the answer's difference does not apply to. A lease with
-        // that older one would let a withdrawn version run where the withdrawal
-        // is in force: the next renewal, at once, names what is here now.
+        // During the renewal this entry may have applied a configuration from
+        // another entry, to which the delta in the reply does not apply. A lease
+        // on that older configuration would let a withdrawn version run although
+        // its withdrawal is in force. The next renewal follows immediately and
+        // names the current revision.
         if self.view.revision() >= newest || self.cfg.faults.lease_unfitting {
-            // The lease counts from before the question: the control group
-            // counts it from after, so it never ends here later than there.
+            // The lease starts when the renewal was sent. The control group
+            // starts it later, so it never expires later here than there.
             self.view.renew(asked + renewed.lease);
         }
         self.last_lease = Some(renewed.lease);
         self.next_renew = now;
-        if !self.leaving {
+        if !self.releasing_lease {
             self.renew(now);
         }
     }
 
-    /// Takes a configuration whole.
-    pub(super) fn take_update(&mut self, now: MonoTime, update: Update) {
+    /// Applies a configuration update.
+    pub(super) fn apply_update(&mut self, now: MonoTime, update: Update) {
         let before = self.view.revision();
         if !self.view.take(update) {
             return;
         }
         if self.view.revision() != before {
-            self.take_fleet(now);
+            self.apply_fleet(now);
         }
         self.exposure.live(self.view.live());
         self.suspects
             .quarantine(self.view.live().quarantine.iter().copied());
-        self.pump_wanted = true;
+        self.queue_check_due = true;
     }
 
-    /// Gives the lease back at the end of a planned stop, so that nobody waits
-    /// for it.
+    /// Releases the lease at the end of a planned stop, so that the control group
+    /// does not wait for its expiry.
     ///
-    /// Given back while requests wait, a withdrawal would be told to be in force
-    /// that this entry has not heard of, and it would start them on the version.
-    pub(super) fn leave_lease(&mut self) {
+    /// If it were released while requests are queued, a withdrawal could be
+    /// reported as in force without this entry knowing, and the entry would start
+    /// those requests on the withdrawn version.
+    pub(super) fn release_lease(&mut self) {
         let mut renew = self.renew_request();
         renew.leaving = true;
-        self.ask(
-            AskFor::Leave,
+        self.send_control(
+            ControlPurpose::ReleaseLease,
             ControlRequest::Renew(renew),
             self.cfg.claim_timeout,
         );
@@ -108,15 +115,19 @@
         self.renewing = true;
         let renew = self.renew_request();
         let timeout = self.renewal_timeout();
-        self.ask(AskFor::Renew(now), ControlRequest::Renew(renew), timeout);
+        self.send_control(
+            ControlPurpose::Renew(now),
+            ControlRequest::Renew(renew),
+            timeout,
+        );
     }
 
-    /// Longest wait for the answer to a renewal.
+    /// Returns the timeout of a renewal.
     ///
-    /// A leader answers within a third of the lease. One that is cut off
-    /// silently never does, and waiting for it longer than the lease would cost
-    /// the lease although another replica leads by then; half of the lease
-    /// leaves the other half for asking that one.
+    /// A leader replies within a third of the lease. A leader that is cut off
+    /// never replies, and waiting for it longer than the lease would lose the
+    /// lease although another replica leads by then. Half of the lease leaves the
+    /// other half to reach the new leader.
     fn renewal_timeout(&self) -> Duration {
         match self.last_lease {
             Some(lease) => self.cfg.renew_timeout.min(lease / 2),
@@ -126,7 +137,7 @@
 
     fn renew_request(&self) -> Renew {
         Renew {
-            entry: self.me(),
+            entry: self.claimant(),
             domain: self.cfg.domain.clone(),
             revision: self.view.revision(),
             live_at: self.view.live().at,
@@ -134,7 +145,7 @@
         }
     }
 
-    fn take_fleet(&mut self, now: MonoTime) {
+    fn apply_fleet(&mut self, now: MonoTime) {
         let fleet = self.view.fleet();
         self.quality.configure(fleet);
         self.exposure.configure(fleet);
@@ -146,7 +157,7 @@
             self.balance.remove(addr);
         }
         self.set_capacities(now);
-        self.out.push(EntryAction::Notice(Notice::InForce {
+        self.actions.push(EntryAction::Notice(Notice::InForce {
             revision: self.view.revision(),
         }));
     }
--- a/sesamebeam_core/src/entry/members.rs
+++ b/sesamebeam_core/src/entry/membership.rs
@@ -1,8 +1,8 @@
-//! Backend servers: announcements, deaths, crashes, and what other entries say.
+//! Membership of backend servers, and messages from other entries.
 
 use super::{
     EntryCore,
-    ask::AskFor,
+    control_requests::ControlPurpose,
     event::{
         Audience,
         EntryAction,
@@ -43,8 +43,13 @@
 };
 
 impl EntryCore {
-    /// Takes an announcement; `own` if the backend server came here with it.
-    pub(super) fn announced(&mut self, now: MonoTime, announcement: &Announcement, own: bool) {
+    /// Handles an announcement; `own` if the backend server sent it to this entry.
+    pub(super) fn handle_announcement(
+        &mut self,
+        now: MonoTime,
+        announcement: &Announcement,
+        own: bool,
+    ) {
         if announcement.leaving && self.cfg.faults.ignore_leaving {
             return;
         }
@@ -60,17 +65,19 @@
                     "announcement of {}: unknown {fault:?}",
                     announcement.addr
                 );
-                return self.out.push(EntryAction::Notice(Notice::Ignored { why }));
+                return self
+                    .actions
+                    .push(EntryAction::Notice(Notice::Ignored { why }));
             }
             Announced::Restarted { old } => {
                 let old = ServerLife {
                     addr: announcement.addr,
                     incarnation: old,
                 };
-                self.died(now, old);
+                self.server_died(now, old);
             }
             Announced::New | Announced::Back => {
-                self.out.push(EntryAction::Notice(Notice::ServerUp {
+                self.actions.push(EntryAction::Notice(Notice::ServerUp {
                     server: life,
                     pool: announcement.pool.clone(),
                 }));
@@ -80,23 +87,24 @@
         self.use_subset(now, announcement, announced.spreads());
         self.set_capacities(now);
         if own && announced == Announced::Refreshed {
-            self.alive.insert(announcement.addr, alive_of(announcement));
+            self.refreshed
+                .insert(announcement.addr, alive_of(announcement));
         }
         if own {
             self.unreported.insert(announcement.addr);
-            self.spread();
+            self.broadcast_changes();
         } else {
-            // Told by a peer, who told the others too.
+            // The sender has broadcast the change to the other entries too.
             self.servers.take_deltas();
         }
-        self.pump_wanted = true;
+        self.queue_check_due = true;
     }
 
-    /// Sends work to a backend server only if it is in this entry's subset.
+    /// Uses a backend server only if it is in this entry's subset.
     ///
-    /// With 10,000 backend servers an entry that used all of them would keep a
-    /// connection and a load figure for each. The subset changes only with the
-    /// membership, so it is drawn anew only then.
+    /// With 10,000 backend servers, an entry that used all of them would need a
+    /// connection and load state for each. The subset depends only on the
+    /// membership, so it is recomputed only when that changes.
     fn use_subset(&mut self, now: MonoTime, announcement: &Announcement, changed: bool) {
         let pool = &announcement.pool;
         let most = self.cfg.policy.servers.subset;
@@ -132,25 +140,30 @@
         }
     }
 
-    /// Takes a message of another entry.
-    pub(super) fn peer(&mut self, now: MonoTime, from: InstanceId, message: PeerMessage) {
+    /// Handles a message from another entry.
+    pub(super) fn handle_peer_message(
+        &mut self,
+        now: MonoTime,
+        from: InstanceId,
+        message: PeerMessage,
+    ) {
         match message {
             PeerMessage::Servers(list) => {
                 for announcement in &list {
-                    self.announced(now, announcement, false);
+                    self.handle_announcement(now, announcement, false);
                 }
             }
-            PeerMessage::Alive(list) => self.heard_alive(now, from, &list),
+            PeerMessage::Alive(list) => self.handle_heartbeats(now, from, &list),
             PeerMessage::WantServers => {
                 let list: Vec<Announcement> = self.servers.all().cloned().collect();
-                self.tell(Audience::One(from), PeerMessage::Servers(list));
+                self.send_to_entries(Audience::One(from), PeerMessage::Servers(list));
             }
-            PeerMessage::WantConfig => self.give_config(from),
+            PeerMessage::WantConfig => self.send_config(from),
             PeerMessage::Config {
                 revision,
                 fleet,
                 live,
-            } => self.peer_config(now, revision, fleet, live),
+            } => self.apply_peer_config(now, revision, fleet, live),
             PeerMessage::Alarm { held, suspects } => {
                 for version in &held {
                     self.exposure.hold(now, version);
@@ -161,15 +174,16 @@
         }
     }
 
-    /// A backend server refused a connection or was not reached.
+    /// Handles a backend server that refused a connection or was unreachable.
     pub(super) fn server_unreachable(&mut self, now: MonoTime, life: &ServerLife, refused: bool) {
         self.balance.avoid(now, life.addr);
         if refused {
-            self.died(now, *life);
+            self.server_died(now, *life);
         }
     }
 
-    /// Drops backend servers whose lease is over.
+    /// Removes backend servers whose lease has expired, and sends heartbeats about
+    /// the others.
     pub(super) fn tick_servers(&mut self, now: MonoTime) {
         for event in self.servers.tick(now) {
             let (server, why) = match event {
@@ -178,21 +192,21 @@
                 ServerEvent::Cut(_) => continue,
             };
             self.balance.remove(server);
-            self.out.push(EntryAction::Notice(Notice::ServerDown {
+            self.actions.push(EntryAction::Notice(Notice::ServerDown {
                 server,
                 why: why.into(),
             }));
         }
         self.set_capacities(now);
-        if !self.alive.is_empty() && now >= self.next_alive {
+        if !self.refreshed.is_empty() && now >= self.next_alive {
             self.next_alive = now + self.cfg.alive_every;
-            let list = std::mem::take(&mut self.alive).into_values().collect();
-            self.tell(Audience::All, PeerMessage::Alive(list));
+            let list = std::mem::take(&mut self.refreshed).into_values().collect();
+            self.send_to_entries(Audience::All, PeerMessage::Alive(list));
         }
     }
 
-    /// Tells the control group of the backend servers that announced themselves
-    /// here: it orders engines to load what a roll-out needs.
+    /// Reports the backend servers that announced themselves here to the control
+    /// group, which orders engines to load the versions that a roll-out needs.
     pub(super) fn report_servers(&mut self, now: MonoTime) {
         self.next_servers = now + self.cfg.servers_every;
         let list: Vec<Announcement> = std::mem::take(&mut self.unreported)
@@ -200,34 +214,34 @@
             .filter_map(|addr| self.servers.get(*addr).cloned())
             .collect();
         if !list.is_empty() {
-            self.ask(
-                AskFor::Report,
+            self.send_control(
+                ControlPurpose::Report,
                 ControlRequest::Servers(list),
                 self.cfg.claim_timeout,
             );
         }
     }
 
-    /// Takes the death of a backend server's life, which is proved by a new
-    /// life or a refused connection, once.
-    fn died(&mut self, now: MonoTime, life: ServerLife) {
-        if self.dead.contains(&life) {
+    /// Handles the end of a backend server's incarnation once. It is proved by a
+    /// new incarnation or a refused connection.
+    fn server_died(&mut self, now: MonoTime, life: ServerLife) {
+        if self.dead_incarnations.contains(&life) {
             return;
         }
-        self.dead.push_back(life);
-        super::keep_newest(&mut self.dead, super::MAX_LOST);
-        let on_board = self.on_board(&life);
-        self.blame_versions(now, &life);
-        let Some(report) = self.suspects.died(now, life, &on_board) else {
+        self.dead_incarnations.push_back(life);
+        super::keep_newest(&mut self.dead_incarnations, super::MAX_CRASH_RECORDS);
+        let candidates = self.crash_candidates(&life);
+        self.count_crash(now, &life);
+        let Some(report) = self.suspects.died(now, life, &candidates) else {
             return;
         };
         let suspects = report.suspects.clone();
-        self.ask(
-            AskFor::Report,
+        self.send_control(
+            ControlPurpose::Report,
             ControlRequest::Crash(report),
             self.cfg.claim_timeout,
         );
-        self.tell(
+        self.send_to_entries(
             Audience::All,
             PeerMessage::Alarm {
                 held: Vec::new(),
@@ -236,9 +250,10 @@
         );
     }
 
-    /// Counts a crash against each version that ran, once: the requests beside
-    /// the one at fault must not add up to a case against the version.
-    fn blame_versions(&mut self, now: MonoTime, life: &ServerLife) {
+    /// Counts a crash once for each version that ran. Counting it for each request
+    /// would let the requests beside the faulty one add up as evidence against
+    /// their version.
+    fn count_crash(&mut self, now: MonoTime, life: &ServerLife) {
         let mut ran: IndexMap<VersionId, ClassId> = IndexMap::new();
         for req in self.requests.values() {
             for run in req.running.iter().filter(|run| run.server == *life) {
@@ -252,27 +267,27 @@
         }
     }
 
-    /// Fingerprints of the requests that a life ran when it died: those still
-    /// under way and those that broke off there shortly before.
-    fn on_board(&self, life: &ServerLife) -> Vec<Digest> {
+    /// Returns the digests of the requests that may have crashed a backend server:
+    /// those running on it and those that broke shortly before.
+    fn crash_candidates(&self, life: &ServerLife) -> Vec<Digest> {
         let running = self
             .requests
             .values()
             .filter(|req| req.running.iter().any(|run| run.server == *life))
             .map(|req| req.arrival.digest);
         let lost = self
-            .lost
+            .broken_attempts
             .iter()
             .filter(|(_, server, _)| server == life)
             .map(|(_, _, digest)| *digest);
         running.chain(lost).collect()
     }
 
-    /// Takes signs of life, and asks their sender for what is not known here.
+    /// Handles heartbeats, and requests unknown backend servers from the sender.
     ///
-    /// After a cut nobody in the own failure domain knows the backend servers of
-    /// another one; only entries there can tell.
-    fn heard_alive(&mut self, now: MonoTime, from: InstanceId, list: &[Alive]) {
+    /// After a network partition, no entry of this failure domain may know the
+    /// backend servers of another one, so the sender itself is asked.
+    fn handle_heartbeats(&mut self, now: MonoTime, from: InstanceId, list: &[Alive]) {
         let mut unknown = false;
         for alive in list {
             match self.servers.get(alive.addr) {
@@ -282,20 +297,20 @@
                 _ => unknown = true,
             }
         }
-        if unknown && now >= self.next_want {
-            self.next_want = now + self.cfg.alive_every;
-            self.tell(Audience::One(from), PeerMessage::WantServers);
+        if unknown && now >= self.next_server_query {
+            self.next_server_query = now + self.cfg.alive_every;
+            self.send_to_entries(Audience::One(from), PeerMessage::WantServers);
         }
     }
 
-    fn spread(&mut self) {
+    fn broadcast_changes(&mut self) {
         let deltas = self.servers.take_deltas();
         if !deltas.is_empty() {
-            self.tell(Audience::All, PeerMessage::Servers(deltas));
+            self.send_to_entries(Audience::All, PeerMessage::Servers(deltas));
         }
     }
 
-    fn give_config(&mut self, to: InstanceId) {
+    fn send_config(&mut self, to: InstanceId) {
         if self.view.revision() == 0 {
             return;
         }
@@ -304,12 +319,12 @@
             fleet: FleetChange::Whole(Box::new(self.view.fleet().clone())),
             live: self.view.live().clone(),
         };
-        self.tell(Audience::One(to), message);
+        self.send_to_entries(Audience::One(to), message);
     }
 
-    /// A configuration from another entry counts only while this one is cut
-    /// off from the control group, and only if it is newer.
-    fn peer_config(
+    /// Applies a configuration from another entry if it is newer and this entry
+    /// holds no lease.
+    fn apply_peer_config(
         &mut self,
         now: MonoTime,
         revision: u64,
@@ -324,7 +339,7 @@
             fleet: Some(fleet),
             live: Some(live),
         };
-        self.take_update(now, update);
+        self.apply_update(now, update);
     }
 
     pub(super) fn set_capacities(&mut self, now: MonoTime) {
@@ -334,8 +349,8 @@
         }
     }
 
-    pub(super) fn tell(&mut self, to: Audience, message: PeerMessage) {
-        self.out.push(EntryAction::Tell { to, message });
+    pub(super) fn send_to_entries(&mut self, to: Audience, message: PeerMessage) {
+        self.actions.push(EntryAction::Tell { to, message });
     }
 }
 
--- a/sesamebeam_core/src/entry/refusal.rs
+++ b/sesamebeam_core/src/entry/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: why a request was not answered, and whether it ran.
+//! Refusals of requests: the reason, and whether the request ran.
 
 use std::time::Duration;
 
@@ -12,15 +12,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunOutcome {
-    /// Proved: no backend server ran it or will run it.
+    /// Provably, no backend server ran it or will run it.
     NotRun,
-    /// It ran to its end, but its answer is not to be had any more.
+    /// It ran to completion, but its response is no longer available.
     Ran,
-    /// Nobody can tell.
+    /// It cannot be determined whether it ran.
     Unknown,
 }
 
-/// Why a request was refused.
+/// Reason for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
@@ -28,55 +28,57 @@
     NoConfiguration,
     /// The entry is stopping.
     Stopping,
-    /// The organisation is not known.
+    /// The organisation is unknown.
     UnknownOrganisation,
-    /// The class of requests is not known.
+    /// The request class is unknown, or belongs to another service.
     UnknownClass,
-    /// The pool is not known, or is not one of plain services.
+    /// The pool is unknown or does not run plain services.
     UnknownService,
-    /// The organisation may not use the model or version it asked for.
+    /// The organisation may not use the requested model or version.
     NotAllowed,
-    /// The class needs an `Idempotency-Key`.
+    /// The class requires an `Idempotency-Key`.
     KeyMissing,
-    /// The `Idempotency-Key` was used with another body.
+    /// The `Idempotency-Key` was already used with another body.
     KeyReused,
-    /// The request crashed backend servers before.
+    /// The request is quarantined for crashing backend servers.
     Quarantined,
-    /// No backend server can run it.
+    /// No backend server is available for the request.
     NoServer,
     /// The queue is full, or the deadline cannot be met.
     Overloaded,
-    /// The session's version cannot be learned while cut off.
+    /// The session's version cannot be determined or run without the control
+    /// group.
     SessionUnreachable,
     /// The control group cannot be reached, so the key cannot be claimed.
     ClaimUnreachable,
-    /// The same key is being run elsewhere.
+    /// Another request with the same key may be running.
     InProgress,
-    /// The backend server was lost in the middle of the request.
+    /// The backend server was lost while the request ran.
     ServerLost,
-    /// The answer is larger than what is kept, and its backend server lost it.
+    /// The response was too large to record, and the backend server no longer
+    /// has it.
     AnswerGone,
-    /// The backend server refused the request itself.
+    /// The backend server refused the request as invalid.
     Rejected,
     /// The deadline passed.
     DeadlinePassed,
 }
 
-/// A final refusal.
+/// A refusal as returned to the caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason.
     pub reason: Reason,
     /// Whether the request ran.
     pub outcome: RunOutcome,
-    /// When a later call can help; none if it never will.
+    /// Time after which a retry may succeed; `None` if it never will.
     pub retry_after: Option<Duration>,
-    /// One sentence for people.
+    /// Human-readable description.
     pub detail: SmolStr,
 }
 
 impl Reason {
-    /// Returns the HTTP status that tells a caller this reason.
+    /// Returns the HTTP status of this reason.
     pub fn status(self) -> u16 {
         match self {
             Self::UnknownOrganisation => 401,
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Returns one sentence for people.
+    /// Returns a human-readable description.
     pub fn sentence(self) -> &'static str {
         match self {
             Self::NoConfiguration => "The entry has no configuration yet.",
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Returns the name that problem documents and logs carry.
+    /// Returns the name used in problem documents and logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no-configuration",
@@ -147,7 +149,7 @@
 }
 
 impl RunOutcome {
-    /// Returns the name that problem documents and logs carry.
+    /// Returns the name used in problem documents and logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
--- a/sesamebeam_core/src/entry/request.rs
+++ b/sesamebeam_core/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! One request under way.
+//! State of a request in flight.
 
 use std::time::Duration;
 
@@ -40,97 +40,97 @@
 /// A request from its arrival to its end.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
-    /// What arrived.
+    /// The request as received.
     pub(super) arrival: Arrival,
     /// Class of the request.
     pub(super) class: ClassId,
     /// Whether it must run at most once.
-    pub(super) once: bool,
-    /// How urgent it is.
+    pub(super) at_most_once: bool,
+    /// Priority of the request.
     pub(super) priority: Priority,
-    /// When it arrived.
+    /// Arrival time.
     pub(super) arrived: MonoTime,
-    /// When the whole answer is due.
+    /// Time by which the complete response is due.
     pub(super) deadline: MonoTime,
-    /// What it waits for.
+    /// What the request waits for.
     pub(super) phase: Phase,
     /// Session, once its version is known.
     pub(super) session: Option<SessionToken>,
-    /// Whether the session had to change version.
+    /// Whether the session changed its version because of a withdrawal.
     pub(super) pin_renewed: bool,
-    /// Which versions run it, in order; none for a plain service.
+    /// Versions to run, in order; `None` for a plain service.
     pub(super) plan: Option<Plan>,
-    /// Whether the second version of a cascade has its turn.
-    pub(super) second: bool,
-    /// Pool of the present step.
+    /// Whether a cascade is in its second step.
+    pub(super) second_step: bool,
+    /// Pool of the current step.
     pub(super) pool: PoolId,
-    /// Backend servers that refused it or were lost.
+    /// Backend servers to avoid, because they refused the request or were lost.
     pub(super) avoid: Vec<ServerLife>,
-    /// Attempts made.
+    /// Number of attempts.
     pub(super) attempts: Attempt,
-    /// Number of the last thing sent, resumes among them.
-    pub(super) sent: Attempt,
-    /// Attempts under way.
-    pub(super) running: Vec<Running>,
-    /// Claim that this entry holds.
+    /// Number of dispatches, including resumes and look-ups.
+    pub(super) dispatches: Attempt,
+    /// Running attempts.
+    pub(super) running: Vec<RunningAttempt>,
+    /// Claim held by this entry.
     pub(super) claim: Option<HeldClaim>,
-    /// Generation that the next claim replaces.
+    /// Claim generation that the next claim replaces.
     pub(super) replaces: Generation,
-    /// Whether the caller has seen a part of the answer.
-    pub(super) started: bool,
-    /// Whether something was sent that may have run.
+    /// Whether the caller has received a part of the response.
+    pub(super) response_started: bool,
+    /// Whether an attempt was sent that may have run.
     pub(super) maybe_ran: bool,
-    /// Resumes made since the last progress.
+    /// Number of resumes since the last progress.
     pub(super) resumes: u32,
-    /// Events of the answer known to be whole.
+    /// Number of response events received completely.
     pub(super) events: u64,
-    /// Pool whose slot it holds, and since when.
+    /// Pool whose slot the request holds, and since when.
     pub(super) slot: Option<(PoolId, MonoTime)>,
-    /// Attempt that is resumed after a pause.
-    pub(super) paused: Option<Running>,
-    /// Answer that is held back while it is rated.
-    pub(super) held: Option<Finished>,
-    /// Attempt that gave the held answer.
-    pub(super) held_run: Option<Running>,
-    /// First step of a cascade, whose answer was not good enough.
-    pub(super) spent: Option<Running>,
+    /// Attempt to resume after a delay.
+    pub(super) delayed_resume: Option<RunningAttempt>,
+    /// Response held back while it is rated.
+    pub(super) held_response: Option<Finished>,
+    /// Attempt that produced the held response.
+    pub(super) held_run: Option<RunningAttempt>,
+    /// First attempt of a cascade, whose response was rejected by its rating.
+    pub(super) rejected_first: Option<RunningAttempt>,
 }
 
 /// What a request waits for.
 #[derive(Clone, Debug)]
 pub(super) enum Phase {
-    /// Nothing yet.
+    /// Not planned yet.
     New,
-    /// The version of its session.
+    /// The reply to a pin request.
     Pinning,
-    /// A free slot.
+    /// A pool slot.
     Queued,
-    /// The answer to its claim for this backend server.
+    /// The reply to a claim for this backend server, requested at this time.
     Claiming(ServerLife, MonoTime),
-    /// The answer of a backend server.
+    /// The response of a backend server.
     Running,
-    /// A claim's state, before this refusal can say whether the request ran.
-    Looking(Refusal),
-    /// The stream of a claim that another entry holds, or held.
+    /// The state of a claim, to determine the outcome of this refusal.
+    LookingUpClaim(Refusal),
+    /// The stream of an existing claim.
     Attached(ClaimView),
-    /// A cancel at the backend server of that claim.
+    /// The cancel of an existing claim at its backend server.
     CancellingOther(ClaimView),
-    /// A cancel at the backend server of its own claim.
+    /// The cancel of its own claim at this backend server.
     CancellingOwn(ServerLife),
-    /// The record that its own claim is abandoned.
+    /// The record that a claim of this entry is abandoned.
     Abandoning,
-    /// The moment of the next resume.
-    Pausing(MonoTime),
-    /// The score of a held answer.
+    /// The next resume, at this time.
+    ResumeDelayed(MonoTime),
+    /// The score of the held response.
     Rating,
 }
 
-/// A claim that this entry holds.
+/// A claim held by this entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct HeldClaim {
-    /// Number of the claim on its key.
+    /// Generation of the claim.
     pub(super) generation: Generation,
-    /// Id under which the backend server knows the request.
+    /// Request id at the backend server.
     pub(super) id: RequestId,
     /// Backend server.
     pub(super) target: ServerLife,
@@ -138,48 +138,49 @@
     pub(super) send_by: MonoTime,
 }
 
-/// How an attempt ended, as far as its backend server is concerned.
+/// What the end of an attempt reveals about its backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptEnd {
-    /// The whole answer arrived.
+    /// The complete response arrived.
     Whole,
-    /// It was dropped or refused; the backend server lives.
+    /// It was dropped or refused; the backend server is alive.
     Alive,
-    /// The connection broke or went silent: the backend server may be dead.
+    /// The connection broke or stalled; the backend server may have crashed.
     Lost,
-    /// No connection was made, so that it never was on the backend server.
+    /// No connection was made, so the request was never sent.
     Unsent,
 }
 
-/// One attempt under way.
+/// A running attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Running {
+pub(super) struct RunningAttempt {
     /// Number of the attempt.
     pub(super) attempt: Attempt,
     /// Id at the backend server.
     pub(super) id: RequestId,
     /// Backend server.
     pub(super) server: ServerLife,
-    /// Version that runs it.
+    /// Version that it runs.
     pub(super) version: Option<VersionId>,
     /// What was sent.
     pub(super) kind: DispatchKind,
-    /// When it was sent.
+    /// Time of dispatch.
     pub(super) since: MonoTime,
-    /// Whether its answer is held back.
+    /// Whether the response is held back.
     pub(super) held: bool,
-    /// Whether the backend server is kept for it, as for a suspect.
+    /// Whether the backend server is reserved for it, because the request is
+    /// suspected of crashing backend servers.
     pub(super) alone: bool,
     /// Whether the first event arrived.
-    pub(super) first: bool,
+    pub(super) responded: bool,
 }
 
 impl Request {
-    /// Starts a request.
-    pub(super) fn new(now: MonoTime, arrival: Arrival, class: &Class, once: bool) -> Self {
+    /// Creates the state of a new request.
+    pub(super) fn new(now: MonoTime, arrival: Arrival, class: &Class, at_most_once: bool) -> Self {
         Self {
             class: class.name.clone(),
-            once,
+            at_most_once,
             priority: class.priority,
             arrived: now,
             deadline: now + class.deadline,
@@ -187,42 +188,42 @@
             session: None,
             pin_renewed: false,
             plan: None,
-            second: false,
+            second_step: false,
             pool: PoolId::default(),
             avoid: Vec::new(),
             attempts: 0,
-            sent: 0,
+            dispatches: 0,
             running: Vec::new(),
             claim: None,
             replaces: 0,
-            started: false,
+            response_started: false,
             maybe_ran: false,
             resumes: 0,
             events: 0,
             slot: None,
-            paused: None,
-            held: None,
+            delayed_resume: None,
+            held_response: None,
             held_run: None,
-            spent: None,
+            rejected_first: None,
             arrival,
         }
     }
 
-    /// Version of the present step; none for a plain service.
+    /// Returns the version of the current step; `None` for a plain service.
     pub(super) fn version(&self) -> Option<&VersionId> {
         match self.plan.as_ref()? {
             Plan::Single(version) => Some(version),
-            Plan::Cascade { first, .. } if !self.second => Some(first),
+            Plan::Cascade { first, .. } if !self.second_step => Some(first),
             Plan::Cascade { then, .. } => Some(then),
         }
     }
 
-    /// Whether the present step's answer is rated before the caller gets it.
-    pub(super) fn holds(&self) -> bool {
-        matches!(self.plan, Some(Plan::Cascade { .. })) && !self.second
+    /// Returns whether the response of the current step is held until it is rated.
+    pub(super) fn holds_response(&self) -> bool {
+        matches!(self.plan, Some(Plan::Cascade { .. })) && !self.second_step
     }
 
-    /// What a claim on it is written under.
+    /// Returns the key of its claim; `None` without an idempotency key.
     pub(super) fn claim_key(&self) -> Option<ClaimKey> {
         Some(ClaimKey {
             org: self.arrival.org.clone(),
@@ -230,20 +231,20 @@
         })
     }
 
-    /// Id of the next attempt at a backend server.
+    /// Returns the backend server id of the current attempt.
     ///
-    /// Each run has its own, so that a cancelled id never stops a later run.
-    pub(super) fn next_id(&self) -> RequestId {
+    /// Each run has an id of its own, so cancelling an id never stops a later run.
+    pub(super) fn attempt_id(&self) -> RequestId {
         self.arrival.request.wrapping_add(u128::from(self.attempts))
     }
 
-    /// What can be said of an idempotent request that is refused.
+    /// Returns the outcome of an idempotent request that is refused.
     ///
-    /// The first step of a cascade ran to its end though its answer was not
-    /// passed on: said not to have run, its caller would count on no cost and
-    /// no trace of it.
+    /// The first step of a cascade ran to completion although its response was
+    /// rejected. If it were reported as not run, the caller would expect neither
+    /// costs nor side effects.
     pub(super) fn outcome(&self) -> RunOutcome {
-        if self.spent.is_some() {
+        if self.rejected_first.is_some() {
             RunOutcome::Ran
         } else if self.maybe_ran {
             RunOutcome::Unknown
@@ -252,8 +253,8 @@
         }
     }
 
-    /// Values of the headers of its answer.
-    pub(super) fn headers(&self) -> AnswerHeaders {
+    /// Returns the response header values.
+    pub(super) fn response_headers(&self) -> AnswerHeaders {
         AnswerHeaders {
             version: self.version().cloned(),
             session: self.session.clone(),
@@ -261,8 +262,8 @@
         }
     }
 
-    /// Time left until the whole answer is due.
-    pub(super) fn left(&self, now: MonoTime) -> Duration {
+    /// Returns the time left until the deadline.
+    pub(super) fn time_left(&self, now: MonoTime) -> Duration {
         self.deadline.saturating_sub(now)
     }
 }
--- a/sesamebeam_core/src/entry/view.rs
+++ b/sesamebeam_core/src/entry/view.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at an entry: file, live state and lease.
+//! The configuration in force at an entry: fleet file, live state and lease.
 
 use indexmap::{
     IndexMap,
@@ -39,37 +39,37 @@
     },
 };
 
-/// Whether an organisation's request may run on a version now.
+/// Availability of a version to an organisation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Usable {
-    /// In full use.
+    /// Fully rolled out.
     Settled,
-    /// Rolling out, for this share of eligible requests.
+    /// Rolling out, to this share of eligible requests.
     Rolling(f64),
-    /// Held fleet-wide by evidence: sessions that have it stay, nothing new.
+    /// Held fleet-wide because of evidence: only existing sessions use it.
     Held,
-    /// Rolling out, and the configuration lease has ended here.
+    /// Rolling out, while this entry does not hold the configuration lease.
     CutOff,
-    /// Withdrawn, or no longer in the file.
+    /// Withdrawn, or no longer in the fleet file.
     Withdrawn,
-    /// Not in the organisation's list.
+    /// Not on the organisation's list.
     NotAllowed,
 }
 
 /// The configuration in force.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
-    /// Revision of the file; 0 before the first.
+    /// Revision of the fleet file; 0 before the first.
     revision: Revision,
-    /// The file.
+    /// The fleet file.
     fleet: Fleet,
-    /// State beside the file.
+    /// State that is not part of the fleet file.
     live: Live,
-    /// End of the configuration lease; none before the first.
+    /// Expiry of the configuration lease; `None` before the first.
     lease_until: Option<MonoTime>,
-    /// Positions by name, so that a decision does not grow with their number.
+    /// Positions by name, for constant-time look-ups.
     index: Index,
-    /// Safeguards that tests switch off.
+    /// Safeguards disabled by tests.
     faults: Faults,
 }
 
@@ -85,7 +85,7 @@
 }
 
 impl ConfigView {
-    /// Makes a view of nothing yet.
+    /// Creates an empty view.
     pub(super) fn new(faults: Faults) -> Self {
         Self {
             faults,
@@ -93,26 +93,26 @@
         }
     }
 
-    /// Revision in force; 0 before the first.
+    /// Returns the revision in force; 0 before the first.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The file in force.
+    /// Returns the fleet file in force.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The state beside the file.
+    /// Returns the state that is not part of the fleet file.
     pub fn live(&self) -> &Live {
         &self.live
     }
 
-    /// Takes an update whole. Returns whether anything became new.
+    /// Applies an update. Returns whether anything changed.
     ///
-    /// An answer that was long under way may bring an older configuration than
-    /// the one in force. Taking it would let a withdrawn version run again, so
-    /// neither number ever goes back.
+    /// A delayed reply may carry an older configuration than the one in force.
+    /// Applying it would let a withdrawn version run again, so the revisions of
+    /// the fleet file and of the live state never decrease.
     pub fn take(&mut self, update: Update) -> bool {
         let mut new = false;
         let reverts = self.faults.revert_config;
@@ -135,29 +135,30 @@
         new
     }
 
-    /// Notes a renewed lease.
+    /// Extends the configuration lease.
     pub fn renew(&mut self, until: MonoTime) {
         self.lease_until = self.lease_until.max(Some(until));
     }
 
-    /// Tells whether the configuration lease is held.
+    /// Returns whether the configuration lease is held.
     pub fn lease_held(&self, now: MonoTime) -> bool {
         self.lease_until.is_some_and(|until| now < until)
     }
 
-    /// Finds an organisation.
+    /// Finds an organisation by name.
     pub fn organisation(&self, name: &str) -> Option<&Organisation> {
         let (at, _) = self.index.orgs.get(name)?;
         self.fleet.organisations.get(*at)
     }
 
-    /// Finds the organisation whose key has this hash.
+    /// Finds an organisation by the SHA-256 hash of its API key.
     pub fn organisation_by_key(&self, key_sha256: &str) -> Option<&Organisation> {
         let at = self.index.keys.get(key_sha256)?;
         self.fleet.organisations.get(*at)
     }
 
-    /// Finds a class; none asks for the first one that the pool serves.
+    /// Finds a class by name, or without a name the first class of a service (of
+    /// models for `None`).
     pub fn class(&self, name: Option<&str>, service: Option<&str>) -> Option<&Class> {
         match name {
             Some(name) => self
@@ -184,7 +185,7 @@
             .filter(|pool| pool.kind == PoolKind::Service)
     }
 
-    /// Finds a version and the pool that loads it.
+    /// Finds a version and its pool.
     pub fn version(&self, full: &str) -> Option<(&Version, &PoolId)> {
         let (model, version) = *self.index.versions.get(full)?;
         let model = self.fleet.models.get(model)?;
@@ -196,12 +197,12 @@
         self.fleet.rollouts.get(*self.index.rollouts.get(full)?)
     }
 
-    /// Tells whether a fingerprint is quarantined.
-    pub fn quarantined(&self, fingerprint: Digest) -> bool {
-        self.index.quarantine.contains(&fingerprint)
+    /// Returns whether a request digest is quarantined.
+    pub fn quarantined(&self, digest: Digest) -> bool {
+        self.index.quarantine.contains(&digest)
     }
 
-    /// Tells whether an organisation's request may run on a version now.
+    /// Returns the availability of a version to an organisation.
     pub fn usable(&self, now: MonoTime, org: &str, full: &str) -> Usable {
         let Some((at, allowed)) = self.index.orgs.get(org) else {
             return Usable::NotAllowed;
@@ -220,10 +221,11 @@
         }
     }
 
-    /// Share of a rolling version. A version still rolling out is the kind that
-    /// turns bad and gets withdrawn, and a cut-off entry would not hear of it:
-    /// so it is refused once the lease has ended, unless the organisation wants
-    /// it otherwise.
+    /// Returns the availability of a version that is rolling out.
+    ///
+    /// Such a version is more likely to be withdrawn, and an entry that is cut off
+    /// would not learn of it. It is therefore unavailable once the lease has
+    /// expired, unless the organisation opts out.
     fn rolling(&self, now: MonoTime, org: usize, full: &str) -> Usable {
         let when_cut = self.fleet.organisations[org].when_cut;
         if !self.lease_held(now) && when_cut == WhenCut::SettledOnly {
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Versions that an organisation may use, in the order of its list.
+    /// Returns the versions that an organisation may use, in the order of its list.
     pub fn allowed(&self, org: &str) -> impl Iterator<Item = &VersionId> {
         let listed = self.index.orgs.get(org).map(|(_, set)| set.iter());
         let every = self.faults.any_version.then(|| self.index.versions.keys());
@@ -254,8 +256,8 @@
             FleetChange::Delta(delta) if delta.base == self.revision => {
                 crate::state::delta::apply(&self.fleet, &delta).ok()
             }
-            // A difference from another base is of no use; the next renewal
-            // names our revision and brings what fits.
+            // A delta for another base cannot be applied; the next renewal
+            // names the current revision and returns a matching one.
             FleetChange::Delta(_) => None,
         }
     }
--- a/sesamebeam_core/src/ids.rs
+++ b/sesamebeam_core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers and units that every module shares.
+//! Identifiers and units shared by all modules.
 
 use std::{
     net::SocketAddr,
@@ -9,10 +9,11 @@
 
 /// Time on the monotonic clock of one process, since an arbitrary start.
 ///
-/// A plain [`Duration`], so that a harness can make one without reading a clock.
+/// A plain [`Duration`], so that a test harness can construct one without
+/// reading a clock.
 pub type MonoTime = Duration;
 
-/// Milliseconds since the Unix epoch, for records that people read.
+/// Milliseconds since the Unix epoch; used only in human-readable records.
 pub type UnixMillis = u64;
 
 /// Name of an organisation.
@@ -24,7 +25,7 @@
 /// Full name of a version, written `model@version`.
 pub type VersionId = SmolStr;
 
-/// Name of a class of requests, as the fleet file gives it.
+/// Name of a request class, as defined in the fleet file.
 pub type ClassId = SmolStr;
 
 /// Name of a pool of backend servers.
@@ -36,50 +37,50 @@
 /// Name of an instance of this system.
 pub type InstanceId = SmolStr;
 
-/// Number that a process draws anew at each start, never zero.
+/// Random number that a process draws at each start; never zero.
 pub type Incarnation = u64;
 
-/// Address at which a backend server takes requests.
+/// Address at which a backend server accepts requests.
 pub type ServerAddr = SocketAddr;
 
 /// Address at which one of our own processes listens.
 pub type ProcessAddr = SocketAddr;
 
-/// Number of one request, drawn at random by the entry that admitted it.
+/// Random identifier of a request, drawn by the entry that admitted it.
 pub type RequestId = u128;
 
-/// Session name that the caller chose or the system issued.
+/// Session name, chosen by the caller or issued by the system.
 pub type SessionId = SmolStr;
 
 /// Value of the caller's `Idempotency-Key` header.
 pub type IdempotencyKey = SmolStr;
 
-/// Digest of a request or an answer (128-bit xxh3).
+/// 128-bit xxh3 digest of a request or response.
 pub type Digest = u128;
 
-/// Number of an accepted configuration; the first is 1 and 0 means none.
+/// Revision number of an accepted configuration, from 1; 0 means none.
 pub type Revision = u64;
 
-/// Number of a control replica within its group.
+/// Node number of a control replica within its group.
 pub type NodeId = u64;
 
-/// Term of the control group.
+/// Leader election term of the control group.
 pub type Term = u64;
 
-/// Position in the replicated log; the first entry is 1.
+/// Position in the replicated log, from 1.
 pub type LogIndex = u64;
 
-/// Sequence number of a billing entry; the first is 1.
+/// Sequence number of a billing record, from 1.
 pub type BillSeq = u64;
 
-/// Number that grows with every order to an engine.
+/// Fencing token that increases with every order to an engine.
 pub type Fencing = u64;
 
-/// Number of a claim or pin on one key; the first writer gets 1.
+/// Generation of a claim or pin on one key, from 1.
 pub type Generation = u32;
 
-/// Name under which a session is pinned that lets the system choose the model;
-/// no model may have it.
+/// Reserved model name under which a session is pinned if the system chooses
+/// the model.
 pub const ANY_MODEL: &str = "auto";
 
 /// Splits a full version name into model and version.
--- a/sesamebeam_core/src/lib.rs
+++ b/sesamebeam_core/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of sesamebeam as deterministic state machines.
+//! Deterministic state machines that make the decisions of sesamebeam.
 //!
-//! Nothing here opens a socket, reads a file, starts a timer or reads a clock.
-//! Each core takes `(now, event)` and answers with a list of actions, so that
-//! any harness can drive it with its own clock, network and disk.
+//! This crate performs no I/O: it opens no socket, reads no file, starts no
+//! timer and reads no clock. Each core maps `(now, event)` to a list of actions,
+//! so that a test harness can drive it with a simulated clock, network and disk.
 
 pub mod control;
 pub mod entry;
