--- a/sesamebeam_core/tests/proofs/allowed_version.rs
+++ b/sesamebeam_core/tests/proofs/allowed_version.rs
@@ -1,7 +1,7 @@
-//! An organisation's list has one version of a model, and another organisation's
-//! has two. A caller names the second one, or a session's token names it. Without
-//! the list at arrival and before each start, the request runs on a version that
-//! its organisation has not approved.
+//! Guards against running a request on a version that its organisation does not
+//! allow. Two organisations allow different versions of a model, and a request or
+//! session token names one that is not on its organisation's list. The list must be
+//! checked on arrival and again before each start.
 
 use std::time::Duration;
 
@@ -62,7 +62,7 @@
     assert_eq!(!world.books.broken().is_empty(), any_version);
 }
 
-/// The token is the organisation's own, of a time when its list had the version.
+/// The token was issued to the same organisation while its list had the version.
 #[parameterized(
     safeguard_on = { false },
     no_list = { true },
@@ -83,7 +83,7 @@
     assert_eq!(!world.books.broken().is_empty(), any_version);
 }
 
-/// The version is taken off the list while requests for it wait for a slot.
+/// The version is removed from the list while requests for it wait for a slot.
 #[parameterized(
     safeguard_on = { Faults::default() },
     no_list = { Faults { any_version: true, ..Faults::default() } },
--- a/sesamebeam_core/tests/proofs/at_most_once.rs
+++ b/sesamebeam_core/tests/proofs/at_most_once.rs
@@ -1,7 +1,7 @@
-//! A caller sends a berth confirmation, hears nothing and sends it again with
-//! the same key through another entry. The first may be running, or about to be
-//! sent. Were it sent before its claim is committed, or run again when its
-//! backend server is lost, two berths would be booked.
+//! Guards against running a request twice under the same idempotency key. A caller
+//! resends a non-idempotent request through another entry while the first is running
+//! or about to be sent. It would run twice if it were sent before its claim is
+//! committed, or rerun after its backend server is lost.
 
 use std::time::Duration;
 
@@ -45,8 +45,8 @@
     assert_eq!(world.books.runs_of("slot-7"), runs);
 }
 
-/// The resend is claimed at the same entry before the first one hears of its
-/// own grant, whose answer is late.
+/// The resend arrives at the same entry and finds the claim of the first request
+/// before the delayed grant of that claim arrives.
 #[parameterized(
     safeguard_on = { Faults::default(), 0 },
     taken_back = { Faults { retake_early: true, ..Faults::default() }, 1 },
--- a/sesamebeam_core/tests/proofs/cut_pins.rs
+++ b/sesamebeam_core/tests/proofs/cut_pins.rs
@@ -1,7 +1,7 @@
-//! A failure domain is cut off, and an operator changes what versions cost. A
-//! caller opens one session, by a name of its own, on both sides of the cut. Each
-//! side would choose by the file that it has: pinned on both, the session runs on
-//! two versions, and which one answers depends on the entry.
+//! Guards against pinning a session to two versions during a network partition. A
+//! failure domain is cut off, the cost of versions changes, and a caller uses one
+//! session name on both sides. If each side pinned it by its own configuration, the
+//! version would depend on the entry.
 
 use sesamebeam_core::entry::{
     Faults,
@@ -26,7 +26,7 @@
     files, //
 };
 
-/// Asks for the session through an entry. Returns the number of the call.
+/// Sends a request of the session to an entry. Returns the index of the call.
 fn ask(world: &mut World, entry: usize) -> usize {
     let mut spec = Spec::new("vazna", "question", 7);
     spec.session = Some(SessionRef::Name("visit-7".into()));
--- a/sesamebeam_core/tests/proofs/frozen_entry.rs
+++ b/sesamebeam_core/tests/proofs/frozen_entry.rs
@@ -1,7 +1,7 @@
-//! An entry's process is stopped just before it resumes a broken stream, for
-//! longer than the dispatch window, and goes on. The edge finds the time to send
-//! over. The request itself went out long before: taken for unsent, its claim
-//! would be abandoned and the caller's confirmation run a second time.
+//! Guards against a second run after a resume that missed its dispatch window. An
+//! entry's process is suspended just before it resumes a broken stream, for longer
+//! than the window. The request itself was sent before; if it were considered
+//! unsent, its claim would be abandoned and the request run again.
 
 use std::time::Duration;
 
--- a/sesamebeam_core/tests/proofs/hedged_version.rs
+++ b/sesamebeam_core/tests/proofs/hedged_version.rs
@@ -1,7 +1,7 @@
-//! An urgent request is late, and its version is withdrawn meanwhile. The attempt
-//! that runs may end; a second one beside it is new work. Sent without the checks
-//! of new work, it starts on the withdrawn version, and its caller may be given
-//! that answer.
+//! Guards against hedging on a withdrawn version. The version of a late urgent
+//! request is withdrawn while its first attempt runs. That attempt may finish, but a
+//! hedge is new work: without the checks for new work it would start on the withdrawn
+//! version, and the caller could receive its response.
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
     world::files,
 };
 
-/// Time that an answer usually takes.
+/// Usual duration of a response.
 const USUAL: Duration = Duration::from_millis(200);
 
 fn announce(lone: &mut Lone, at: u8) {
@@ -57,7 +57,7 @@
     lone.happen(EntryEvent::Announced(Box::new(announcement)));
 }
 
-/// Sends an urgent request. Returns its first attempt.
+/// Submits an urgent request. Returns the dispatch of its first attempt.
 fn arrive(lone: &mut Lone, request: RequestId) -> Dispatch {
     let arrival = Arrival {
         request,
--- a/sesamebeam_core/tests/proofs/impatient_resend.rs
+++ b/sesamebeam_core/tests/proofs/impatient_resend.rs
@@ -1,8 +1,7 @@
-//! A caller sends a confirmation again through another entry while the first is
-//! still on its way to the backend server. The other entry finds the claim and
-//! asks the backend server, which never had the request. A cancel there can help
-//! nobody yet, since the claim may not be taken over; it would meet the request
-//! as it arrives, and the caller of the first would lose its answer.
+//! Guards against cancelling a request that is still in transit. A caller resends a
+//! request through another entry, which finds the claim and asks the backend server,
+//! which has not received the request yet. While the claim may not be taken over, a
+//! cancel would only stop the first request on arrival and lose its response.
 
 use std::time::Duration;
 
@@ -25,7 +24,7 @@
         let again = world.call(1, spec());
         world.answer(first);
         world.answer(again);
-        // Either may win the claim; whose request ran has the answer.
+        // Either request may win the claim; the one that ran must be answered.
         assert_eq!(world.books.runs_of("slot-7"), 1);
         let ran = world.books.runs[0].call;
         assert_eq!(world.answer(ran), Told::Whole, "seed {seed}");
--- a/sesamebeam_core/tests/proofs/killer_request.rs
+++ b/sesamebeam_core/tests/proofs/killer_request.rs
@@ -1,7 +1,7 @@
-//! A request crashes each backend server that runs it, and its caller sends it
-//! again and again with new keys through other entries. Untraced, it takes the
-//! pool down one by one; traced, the second crash quarantines it everywhere and
-//! its caller gets the final answer at once.
+//! Guards against a request that crashes every backend server that runs it, resent
+//! with new keys through other entries. Without tracing it crashes the whole pool.
+//! With tracing, the second crash quarantines it fleet-wide, and further copies are
+//! refused immediately.
 
 use std::time::Duration;
 
--- a/sesamebeam_core/tests/proofs/leaving_server.rs
+++ b/sesamebeam_core/tests/proofs/leaving_server.rs
@@ -1,6 +1,7 @@
-//! A backend server tells one entry that it is leaving, and exits soon after. An
-//! entry of its failure domain that did not hear of it, or did not heed it, goes
-//! on sending: the callers of that work lose their answers when it exits.
+//! Guards against sending new work to a backend server that is shutting down. It
+//! announces its shutdown to one entry and exits soon after. If another entry of its
+//! failure domain missed or ignored the announcement, the work that it sends would be
+//! lost at the exit.
 
 use std::time::Duration;
 
--- a/sesamebeam_core/tests/proofs/not_run_true.rs
+++ b/sesamebeam_core/tests/proofs/not_run_true.rs
@@ -1,7 +1,7 @@
-//! A caller's sheet ran, and its answer was lost on the way. Its only version is
-//! withdrawn, and the caller sends the sheet again through another entry, which
-//! cannot run it. Answered "not run" without a look at the claim, the caller
-//! writes the sheet anew, and the customer is billed twice.
+//! Guards against reporting "not run" for a request that ran. The response to a
+//! request is lost, its only version is withdrawn, and the caller resends it through
+//! another entry, which cannot run it. If that entry reported "not run" without
+//! looking up the claim, the caller would submit new work and be billed twice.
 
 use sesamebeam_core::entry::{
     Faults,              //
@@ -36,8 +36,8 @@
     assert_eq!(world.books.broken().is_empty(), kept);
 }
 
-/// The first answer of a cascade was not good enough, and then no backend server
-/// is left for the second. The request did run.
+/// The first step of a cascade is rejected by its rating and no backend server is
+/// left for the second step. The request did run.
 #[test]
 fn after_cascade() {
     let mut seconds = 0;
@@ -61,8 +61,8 @@
     assert!(seconds > 0, "no request came to its second step");
 }
 
-/// The sheet ran, and then its class is taken out of the file. The entry cannot
-/// tell what ran under the key before, so it may not say "not run".
+/// The request ran, and then its class is removed from the fleet file. The entry
+/// cannot determine what ran under the key, so it must not report "not run".
 #[test]
 fn class_gone() {
     let mut world = World::plain(10);
--- a/sesamebeam_core/tests/proofs/planned_stop.rs
+++ b/sesamebeam_core/tests/proofs/planned_stop.rs
@@ -1,7 +1,7 @@
-//! A caller's request waits in the queue when its entry is told to stop. It still
-//! gets its whole answer: the entry drains first. Meanwhile a version may be
-//! withdrawn, and a draining entry must hear of it like any other, or it starts
-//! work on a version whose withdrawal is told to be in force.
+//! Guards against a planned stop that loses queued requests or misses a withdrawal.
+//! The entry completes its queued requests before it exits. While draining it must
+//! still receive configuration updates; otherwise it would start work on a version
+//! whose withdrawal is already reported as in force.
 
 use std::time::Duration;
 
@@ -37,13 +37,13 @@
 #[test]
 fn withdrawal_heard() {
     let mut world = World::plain(4);
-    // Every slot of the pool is taken, so that the last ones wait.
+    // More requests than the pool has slots, so that the last ones wait.
     let waiting: Vec<usize> = (0..40)
         .map(|n| world.call(0, Spec::new("huallaga", "question", 50 + n)))
         .collect();
     world.run(Duration::from_millis(20));
     world.fault(Fault::Stop(0));
-    // A renewal that waits for news when the stop begins brings one more.
+    // A renewal pending at the start of the stop still returns one update.
     let mut other = files::fleet();
     other.name = "vazna-2".into();
     world.apply(1, other.clone());
@@ -64,8 +64,8 @@
     );
 }
 
-/// The entry is cut off right after its stop began, with work in its queue. It
-/// holds its lease for a while yet, so the withdrawal is not in force before.
+/// The entry is cut off right after its stop began, with requests in its queue. The
+/// withdrawal must not be reported as in force before the entry's lease has expired.
 #[test]
 fn cut_while_draining() {
     let mut world = World::plain(4);
--- a/sesamebeam_core/tests/proofs/rejoined_domain.rs
+++ b/sesamebeam_core/tests/proofs/rejoined_domain.rs
@@ -1,7 +1,8 @@
-//! A failure domain is cut off for longer than backend servers are remembered,
-//! and joined again. Entries elsewhere hear that unknown backend servers are
-//! alive there. Asked only within their own failure domain, nobody can tell them
-//! more: callers are refused when the own pool runs out, beside idle servers.
+//! Guards against backend servers that stay unknown after a network partition. A
+//! failure domain is cut off until other entries have forgotten its backend servers,
+//! then rejoins. Their heartbeats must be followed up with the sender, since no entry
+//! of the own failure domain knows them; otherwise callers would be refused although
+//! those backend servers are idle.
 
 use std::time::Duration;
 
--- a/sesamebeam_core/tests/proofs/session_keeps.rs
+++ b/sesamebeam_core/tests/proofs/session_keeps.rs
@@ -1,7 +1,7 @@
-//! A caller's session is asked for through one entry after another, by its name.
-//! Each entry would choose by what it knows at the moment; the pin that was
-//! written first makes all of them keep one version. A withdrawal ends the pin,
-//! and then all agree on the next.
+//! Guards against a session that changes version between entries. Requests of one
+//! session name arrive at different entries, each of which would choose by its own
+//! state. All must use the version of the pin that was committed first, and agree on
+//! the next version after a withdrawal ends the pin.
 
 use std::collections::BTreeSet;
 
--- a/sesamebeam_core/tests/proofs/silent_connection.rs
+++ b/sesamebeam_core/tests/proofs/silent_connection.rs
@@ -1,7 +1,6 @@
-//! Something between an entry and a backend server forgets their open connection:
-//! nothing comes through any more and neither end is told, while new connections
-//! work. The caller waits for ever, unless the silence is noticed and the stream
-//! resumed on a new connection where it stopped.
+//! Guards against waiting forever on a silently dropped connection. A middlebox loses
+//! the state of an open connection without notifying either end, while new connections
+//! work. The entry must detect the stall and resume the stream on a new connection.
 
 use std::time::Duration;
 
--- a/sesamebeam_core/tests/proofs/withdrawn_version.rs
+++ b/sesamebeam_core/tests/proofs/withdrawn_version.rs
@@ -1,6 +1,7 @@
-//! Callers' requests wait in the queue for a slot. Their version is withdrawn and
-//! the withdrawal told to be in force. Checked only when they were admitted, they
-//! start on the withdrawn version one by one as slots come free.
+//! Guards against starting queued requests on a withdrawn version. Their version is
+//! withdrawn and the withdrawal reported as in force while they wait for a slot. If
+//! versions were only checked on admission, they would still start as slots become
+//! free.
 
 use std::time::Duration;
 
