--- a/sesamebeam/src/entry/callers.rs
+++ b/sesamebeam/src/entry/callers.rs
@@ -39,9 +39,9 @@
 use sesamebeam_core::{
     entry::{
         event::{
-            AnswerHeaders,
             Arrival,
             EntryEvent,
+            ResponseHeaders,
             SessionRef,
             Wanted, //
         },
@@ -375,7 +375,7 @@
 
     fn replay(
         &self,
-        headers: &AnswerHeaders,
+        headers: &ResponseHeaders,
         request: RequestId,
         answer: Completed,
         streamed: bool,
@@ -402,7 +402,7 @@
 
     fn head(
         &self,
-        headers: &AnswerHeaders,
+        headers: &ResponseHeaders,
         request: RequestId,
         status: u16,
         content_type: &str,
@@ -440,13 +440,13 @@
                 reason: Reason::NoConfiguration,
                 outcome: RunOutcome::Unknown,
                 retry_after: Some(Duration::from_secs(2)),
-                detail: Reason::NoConfiguration.sentence().into(),
+                detail: Reason::NoConfiguration.description().into(),
             }))),
             (None, _) => Err(Box::new(problem::response(&Refusal {
                 reason: Reason::UnknownOrganisation,
                 outcome: RunOutcome::NotRun,
                 retry_after: None,
-                detail: Reason::UnknownOrganisation.sentence().into(),
+                detail: Reason::UnknownOrganisation.description().into(),
             }))),
         }
     }
@@ -537,7 +537,7 @@
         reason: Reason::ServerLost,
         outcome: RunOutcome::Unknown,
         retry_after: Some(Duration::from_secs(1)),
-        detail: Reason::ServerLost.sentence().into(),
+        detail: Reason::ServerLost.description().into(),
     }
 }
 
--- a/sesamebeam/src/entry/driver.rs
+++ b/sesamebeam/src/entry/driver.rs
@@ -20,12 +20,12 @@
 use sesamebeam_core::{
     entry::{
         event::{
-            AnswerHeaders,
             Attempt,
             AttemptReport,
             Dispatch,
             EntryEvent,
             Finished, //
+            ResponseHeaders,
         },
         refusal::Refusal,
     },
@@ -119,7 +119,7 @@
     outgoing: Arc<Outgoing>,
     upstreams: Vec<Upstream>,
     /// Header values of the attempt whose answer is passed on.
-    headers: AnswerHeaders,
+    headers: ResponseHeaders,
     /// Text for ratings, of the prompt.
     prompt: Arc<str>,
     /// Body of the present answer, as far as it is kept.
@@ -160,7 +160,7 @@
             rx,
             outgoing: Arc::new(outgoing),
             upstreams: Vec::new(),
-            headers: AnswerHeaders::default(),
+            headers: ResponseHeaders::default(),
             prompt,
             kept: Kept::new(cap),
             tail: Bytes::new(),
@@ -173,7 +173,7 @@
     }
 
     /// Header values of the answer, known with its first step.
-    pub(crate) fn headers(&self) -> &AnswerHeaders {
+    pub(crate) fn headers(&self) -> &ResponseHeaders {
         &self.headers
     }
 
@@ -408,7 +408,7 @@
                 }
                 None => None,
             };
-            hub.event(EntryEvent::RatedNow { request, score });
+            hub.event(EntryEvent::HeldRated { request, score });
         });
     }
 
@@ -449,7 +449,7 @@
             rx: std::mem::replace(&mut self.rx, closed),
             outgoing: Arc::clone(&self.outgoing),
             upstreams: std::mem::take(&mut self.upstreams),
-            headers: AnswerHeaders::default(),
+            headers: ResponseHeaders::default(),
             prompt: Arc::clone(&self.prompt),
             kept: std::mem::replace(&mut self.kept, Kept::new(0)),
             tail: std::mem::take(&mut self.tail),
--- a/sesamebeam/src/entry/errands.rs
+++ b/sesamebeam/src/entry/errands.rs
@@ -79,7 +79,7 @@
                 let (hub, asks) = (Arc::clone(&self.hub), Arc::clone(&self.asks));
                 tokio::spawn(async move {
                     let reply = asks.ask(&req, timeout).await;
-                    hub.event(EntryEvent::Answered { ask, reply });
+                    hub.event(EntryEvent::ControlReplied { ask, reply });
                 });
             }
             Errand::Tell(to, message) => self.peers.tell(&to, &message),
--- a/sesamebeam/src/entry/hub.rs
+++ b/sesamebeam/src/entry/hub.rs
@@ -19,14 +19,14 @@
     entry::{
         EntryCore,
         event::{
-            AnswerHeaders,
-            AskId,
             Attempt,
-            Audience,
+            ControlRequestId,
             Dispatch,
             EntryAction,
             EntryEvent,
             Notice, //
+            Recipients,
+            ResponseHeaders,
         },
         refusal::Refusal, //
     },
@@ -58,7 +58,7 @@
     /// Stop reading an attempt, and cancel it there if told so.
     Drop(Attempt, bool),
     /// End with a kept answer.
-    Replay(Completed, AnswerHeaders),
+    Replay(Completed, ResponseHeaders),
     /// End by a refusal.
     Refuse(Refusal),
     /// Let the held answer go.
@@ -75,9 +75,9 @@
 #[derive(Debug)]
 pub(crate) enum Errand {
     /// Ask the control group.
-    Ask(AskId, Box<ControlRequest>, std::time::Duration),
+    Ask(ControlRequestId, Box<ControlRequest>, std::time::Duration),
     /// Tell other entries.
-    Tell(Audience, PeerMessage),
+    Tell(Recipients, PeerMessage),
     /// Cancel an id at a backend server: request, id there, backend server.
     Cancel(RequestId, RequestId, ServerAddr),
     /// Close older connections to a backend server.
@@ -206,14 +206,14 @@
 
     fn errand(&self, action: EntryAction) {
         let errand = match action {
-            EntryAction::Ask { ask, req, timeout } => Errand::Ask(ask, req, timeout),
-            EntryAction::Tell { to, message } => Errand::Tell(to, message),
+            EntryAction::SendToControl { ask, req, timeout } => Errand::Ask(ask, req, timeout),
+            EntryAction::SendToEntries { to, message } => Errand::Tell(to, message),
             EntryAction::Cancel {
                 request,
                 id,
                 server,
             } => Errand::Cancel(request, id, server),
-            EntryAction::Retire { server } => Errand::Retire(server),
+            EntryAction::CloseConnections { server } => Errand::Retire(server),
             EntryAction::Drained => Errand::Drained,
             _ => return,
         };
--- a/sesamebeam/src/entry/peers.rs
+++ b/sesamebeam/src/entry/peers.rs
@@ -7,8 +7,8 @@
 
 use sesamebeam_core::{
     entry::event::{
-        Audience,
         EntryEvent, //
+        Recipients,
     },
     ids::{
         DomainId,
@@ -78,12 +78,12 @@
     }
 
     /// Tells other entries, without waiting for them.
-    pub(crate) fn tell(&self, to: &Audience, message: &PeerMessage) {
+    pub(crate) fn tell(&self, to: &Recipients, message: &PeerMessage) {
         for (instance, domain, tx) in &self.peers {
             let wanted = match to {
-                Audience::All => true,
-                Audience::Domain => *domain == self.domain,
-                Audience::One(name) => name == instance,
+                Recipients::All => true,
+                Recipients::Domain => *domain == self.domain,
+                Recipients::One(name) => name == instance,
             };
             if wanted {
                 let _ = tx.try_send(message.clone());
--- a/sesamebeam_core/examples/drive.rs
+++ b/sesamebeam_core/examples/drive.rs
@@ -146,7 +146,7 @@
                     self.to_control.push_back(ControlEvent::Synced { write });
                 }
                 ControlAction::Reply { ticket, reply } if ticket != OPERATOR => {
-                    self.to_entry.push_back(EntryEvent::Answered {
+                    self.to_entry.push_back(EntryEvent::ControlReplied {
                         ask: ticket,
                         reply: Some(reply),
                     });
@@ -160,7 +160,7 @@
     /// Carries out what the entry wants done: here only its questions.
     fn send(&mut self, actions: Vec<EntryAction>) {
         for action in actions {
-            if let EntryAction::Ask { ask, req, .. } = action {
+            if let EntryAction::SendToControl { ask, req, .. } = action {
                 self.to_control.push_back(ControlEvent::Client {
                     ticket: ask,
                     req: *req,
--- a/sesamebeam_core/src/entry.rs
+++ b/sesamebeam_core/src/entry.rs
@@ -37,11 +37,11 @@
         PendingCompletions, //
     },
     event::{
-        AskId,
         Attempt,
-        Audience,
+        ControlRequestId,
         EntryAction,
         EntryEvent, //
+        Recipients,
     },
     explain::Explain,
     request::Request,
@@ -241,7 +241,7 @@
     explain: Explain,
     requests: IndexMap<RequestId, Request>,
     pins: IndexMap<PinKey, PinView>,
-    control_requests: BTreeMap<AskId, ControlPurpose>,
+    control_requests: BTreeMap<ControlRequestId, ControlPurpose>,
     pending: PendingCompletions,
     /// Organisation and class of responses sampled for rating.
     sampled: IndexMap<RequestId, (OrgId, ClassId)>,
@@ -255,7 +255,7 @@
     /// Backend servers that announced themselves here since the last report to
     /// the control group.
     unreported: IndexSet<ServerAddr>,
-    next_control_request: AskId,
+    next_control_request: ControlRequestId,
     next_renew: MonoTime,
     next_config_query: MonoTime,
     next_alive: MonoTime,
@@ -349,13 +349,13 @@
             EntryEvent::Cancelled { request, known } => {
                 self.handle_cancel_reply(now, request, known)
             }
-            EntryEvent::Answered { ask, reply } => self.handle_control_reply(now, ask, reply),
+            EntryEvent::ControlReplied { ask, reply } => self.handle_control_reply(now, ask, reply),
             EntryEvent::Announced(announcement) => {
                 self.handle_announcement(now, &announcement, true)
             }
             EntryEvent::Peer { from, message } => self.handle_peer_message(now, from, message),
             EntryEvent::Rated(rating) => self.handle_rating(now, &rating),
-            EntryEvent::RatedNow { request, score } => self.handle_score(now, request, score),
+            EntryEvent::HeldRated { request, score } => self.handle_score(now, request, score),
             EntryEvent::Stop => self.begin_stop(now),
         }
         self.start_queued(now);
@@ -450,7 +450,7 @@
         }
         self.stopping = true;
         self.send_to_entries(
-            Audience::All,
+            Recipients::All,
             PeerMessage::Leaving {
                 instance: self.cfg.instance.clone(),
                 domain: self.cfg.domain.clone(),
--- a/sesamebeam_core/src/entry/arrive.rs
+++ b/sesamebeam_core/src/entry/arrive.rs
@@ -19,7 +19,7 @@
         Phase,
         Request, //
     },
-    view::Usable, //
+    view::Availability, //
 };
 use crate::{
     ids::{
@@ -382,10 +382,12 @@
     /// longer allowed. While the lease is not held, a version that is still
     /// rolling out is not run, but the session is not moved off it either.
     pub(super) fn pin_status(&self, now: MonoTime, org: &str, version: &str) -> PinStatus {
-        match self.view.usable(now, org, version) {
-            Usable::Settled | Usable::Rolling(_) | Usable::Held => PinStatus::Valid,
-            Usable::CutOff => PinStatus::Unavailable,
-            Usable::Withdrawn | Usable::NotAllowed => PinStatus::Ended,
+        match self.view.availability(now, org, version) {
+            Availability::Settled | Availability::Rolling(_) | Availability::Held => {
+                PinStatus::Valid
+            }
+            Availability::CutOff => PinStatus::Unavailable,
+            Availability::Withdrawn | Availability::NotAllowed => PinStatus::Ended,
         }
     }
 }
@@ -441,6 +443,6 @@
         reason,
         outcome,
         retry_after,
-        detail: reason.sentence().into(),
+        detail: reason.description().into(),
     }
 }
--- a/sesamebeam_core/src/entry/attempts.rs
+++ b/sesamebeam_core/src/entry/attempts.rs
@@ -246,7 +246,7 @@
     ) {
         self.record_end(now, id, &run, AttemptEnd::Lost);
         if silent {
-            self.actions.push(EntryAction::Retire {
+            self.actions.push(EntryAction::CloseConnections {
                 server: run.server.addr,
             });
         }
--- a/sesamebeam_core/src/entry/choose.rs
+++ b/sesamebeam_core/src/entry/choose.rs
@@ -19,7 +19,7 @@
         Phase,
         RunningAttempt, //
     },
-    view::Usable, //
+    view::Availability, //
 };
 use crate::{
     ids::{
@@ -136,8 +136,8 @@
                 continue;
             }
             any = true;
-            let usable = self.view.usable(now, &req.arrival.org, full);
-            if !matches!(usable, Usable::Settled | Usable::Rolling(_)) {
+            let usable = self.view.availability(now, &req.arrival.org, full);
+            if !matches!(usable, Availability::Settled | Availability::Rolling(_)) {
                 continue;
             }
             let permit = self.exposure.permit(full, class, &rollout_key, false);
@@ -248,14 +248,14 @@
         let Some(version) = req.version() else {
             return true;
         };
-        let usable = self.view.usable(now, &req.arrival.org, version);
+        let usable = self.view.availability(now, &req.arrival.org, version);
         match usable {
-            Usable::Settled | Usable::Rolling(_) => {
+            Availability::Settled | Availability::Rolling(_) => {
                 req.session.is_some() || self.exposure.held(version).is_none()
             }
             // Existing sessions stay on a held version.
-            Usable::Held => req.session.is_some(),
-            Usable::CutOff | Usable::Withdrawn | Usable::NotAllowed => false,
+            Availability::Held => req.session.is_some(),
+            Availability::CutOff | Availability::Withdrawn | Availability::NotAllowed => false,
         }
     }
 
@@ -431,7 +431,7 @@
             reason,
             outcome: RunOutcome::Unknown,
             retry_after,
-            detail: reason.sentence().into(),
+            detail: reason.description().into(),
         }
     }
 
--- a/sesamebeam_core/src/entry/control_requests.rs
+++ b/sesamebeam_core/src/entry/control_requests.rs
@@ -8,7 +8,7 @@
 use super::{
     EntryCore,
     event::{
-        AskId,
+        ControlRequestId,
         EntryAction, //
     },
 };
@@ -112,7 +112,7 @@
         self.next_control_request += 1;
         let ask = self.next_control_request;
         self.control_requests.insert(ask, purpose);
-        self.actions.push(EntryAction::Ask {
+        self.actions.push(EntryAction::SendToControl {
             ask,
             req: Box::new(req),
             timeout,
@@ -123,7 +123,7 @@
     pub(super) fn handle_control_reply(
         &mut self,
         now: MonoTime,
-        ask: AskId,
+        ask: ControlRequestId,
         reply: Option<ControlReply>,
     ) {
         let Some(purpose) = self.control_requests.remove(&ask) else {
--- a/sesamebeam_core/src/entry/event.rs
+++ b/sesamebeam_core/src/entry/event.rs
@@ -49,7 +49,7 @@
 pub type Attempt = u32;
 
 /// Number of a request to the control group.
-pub type AskId = u64;
+pub type ControlRequestId = u64;
 
 /// Input of an entry.
 #[derive(Clone, Debug, PartialEq)]
@@ -80,9 +80,9 @@
         known: ServerKnows,
     },
     /// The control group replied to a request, or it timed out.
-    Answered {
+    ControlReplied {
         /// Number of the request.
-        ask: AskId,
+        ask: ControlRequestId,
         /// The reply; `None` if no leader could be reached in time.
         reply: Option<ControlReply>,
     },
@@ -98,7 +98,7 @@
     /// The rating service rated a sampled response.
     Rated(Rating),
     /// The rating service rated a held response, or timed out.
-    RatedNow {
+    HeldRated {
         /// Request whose response is held.
         request: RequestId,
         /// Quality from 0 to 1; `None` if the service did not reply in time.
@@ -276,23 +276,23 @@
         server: ServerAddr,
     },
     /// Close all existing connections to a backend server.
-    Retire {
+    CloseConnections {
         /// Backend server.
         server: ServerAddr,
     },
     /// Send a request to the control group.
-    Ask {
+    SendToControl {
         /// Number of the request.
-        ask: AskId,
+        ask: ControlRequestId,
         /// The request.
         req: Box<ControlRequest>,
         /// Time after which the reply is no longer needed.
         timeout: Duration,
     },
     /// Send a message to other entries.
-    Tell {
+    SendToEntries {
         /// Recipients.
-        to: Audience,
+        to: Recipients,
         /// The message.
         message: PeerMessage,
     },
@@ -303,7 +303,7 @@
         /// The response, with its body.
         answer: Completed,
         /// Header values.
-        headers: AnswerHeaders,
+        headers: ResponseHeaders,
     },
     /// End a request with a refusal.
     Refuse {
@@ -350,7 +350,7 @@
 
 /// Recipients of a message to other entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Audience {
+pub enum Recipients {
     /// All entries of the same failure domain.
     Domain,
     /// All entries.
@@ -361,7 +361,7 @@
 
 /// Values of response headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerHeaders {
+pub struct ResponseHeaders {
     /// Version that answered.
     pub version: Option<VersionId>,
     /// Session token to sign and return.
@@ -401,7 +401,7 @@
     /// a claim that was taken over meanwhile.
     pub send_by: MonoTime,
     /// Header values.
-    pub headers: AnswerHeaders,
+    pub headers: ResponseHeaders,
 }
 
 /// What an attempt sends.
--- a/sesamebeam_core/src/entry/explain.rs
+++ b/sesamebeam_core/src/entry/explain.rs
@@ -20,7 +20,7 @@
         Ended, //
     },
     request::RunningAttempt,
-    view::Usable, //
+    view::Availability, //
 };
 use crate::{
     ids::{
@@ -138,7 +138,7 @@
         &mut self,
         id: RequestId,
         full: &str,
-        usable: Usable,
+        usable: Availability,
         permit: Permit,
     ) {
         if let Some(explanation) = self.ring.get_mut(&id)
--- a/sesamebeam_core/src/entry/finish.rs
+++ b/sesamebeam_core/src/entry/finish.rs
@@ -273,7 +273,7 @@
         // The control group holds the version fleet-wide. The other entries are
         // informed directly, since they may be cut off from the control group.
         self.send_to_entries(
-            super::event::Audience::All,
+            super::event::Recipients::All,
             crate::message::peer::PeerMessage::Alarm {
                 held: vec![version.clone()],
                 suspects: Vec::new(),
--- a/sesamebeam_core/src/entry/membership.rs
+++ b/sesamebeam_core/src/entry/membership.rs
@@ -4,9 +4,9 @@
     EntryCore,
     control_requests::ControlPurpose,
     event::{
-        Audience,
         EntryAction,
         Notice, //
+        Recipients,
     }, //
 };
 use indexmap::IndexMap;
@@ -156,7 +156,7 @@
             PeerMessage::Alive(list) => self.handle_heartbeats(now, from, &list),
             PeerMessage::WantServers => {
                 let list: Vec<Announcement> = self.servers.all().cloned().collect();
-                self.send_to_entries(Audience::One(from), PeerMessage::Servers(list));
+                self.send_to_entries(Recipients::One(from), PeerMessage::Servers(list));
             }
             PeerMessage::WantConfig => self.send_config(from),
             PeerMessage::Config {
@@ -201,7 +201,7 @@
         if !self.refreshed.is_empty() && now >= self.next_alive {
             self.next_alive = now + self.cfg.alive_every;
             let list = std::mem::take(&mut self.refreshed).into_values().collect();
-            self.send_to_entries(Audience::All, PeerMessage::Alive(list));
+            self.send_to_entries(Recipients::All, PeerMessage::Alive(list));
         }
     }
 
@@ -242,7 +242,7 @@
             self.cfg.claim_timeout,
         );
         self.send_to_entries(
-            Audience::All,
+            Recipients::All,
             PeerMessage::Alarm {
                 held: Vec::new(),
                 suspects,
@@ -299,14 +299,14 @@
         }
         if unknown && now >= self.next_server_query {
             self.next_server_query = now + self.cfg.alive_every;
-            self.send_to_entries(Audience::One(from), PeerMessage::WantServers);
+            self.send_to_entries(Recipients::One(from), PeerMessage::WantServers);
         }
     }
 
     fn broadcast_changes(&mut self) {
         let deltas = self.servers.take_deltas();
         if !deltas.is_empty() {
-            self.send_to_entries(Audience::All, PeerMessage::Servers(deltas));
+            self.send_to_entries(Recipients::All, PeerMessage::Servers(deltas));
         }
     }
 
@@ -319,7 +319,7 @@
             fleet: FleetChange::Whole(Box::new(self.view.fleet().clone())),
             live: self.view.live().clone(),
         };
-        self.send_to_entries(Audience::One(to), message);
+        self.send_to_entries(Recipients::One(to), message);
     }
 
     /// Applies a configuration from another entry if it is newer and this entry
@@ -349,8 +349,9 @@
         }
     }
 
-    pub(super) fn send_to_entries(&mut self, to: Audience, message: PeerMessage) {
-        self.actions.push(EntryAction::Tell { to, message });
+    pub(super) fn send_to_entries(&mut self, to: Recipients, message: PeerMessage) {
+        self.actions
+            .push(EntryAction::SendToEntries { to, message });
     }
 }
 
--- a/sesamebeam_core/src/entry/refusal.rs
+++ b/sesamebeam_core/src/entry/refusal.rs
@@ -100,7 +100,7 @@
     }
 
     /// Returns a human-readable description.
-    pub fn sentence(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Self::NoConfiguration => "The entry has no configuration yet.",
             Self::Stopping => "The entry is stopping.",
--- a/sesamebeam_core/src/entry/request.rs
+++ b/sesamebeam_core/src/entry/request.rs
@@ -4,11 +4,11 @@
 
 use super::{
     event::{
-        AnswerHeaders,
         Arrival,
         Attempt,
         DispatchKind,
         Finished,
+        ResponseHeaders,
         SessionToken, //
     },
     refusal::{
@@ -254,8 +254,8 @@
     }
 
     /// Returns the response header values.
-    pub(super) fn response_headers(&self) -> AnswerHeaders {
-        AnswerHeaders {
+    pub(super) fn response_headers(&self) -> ResponseHeaders {
+        ResponseHeaders {
             version: self.version().cloned(),
             session: self.session.clone(),
             pin_renewed: self.pin_renewed,
--- a/sesamebeam_core/src/entry/view.rs
+++ b/sesamebeam_core/src/entry/view.rs
@@ -41,7 +41,7 @@
 
 /// Availability of a version to an organisation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Usable {
+pub enum Availability {
     /// Fully rolled out.
     Settled,
     /// Rolling out, to this share of eligible requests.
@@ -203,20 +203,20 @@
     }
 
     /// Returns the availability of a version to an organisation.
-    pub fn usable(&self, now: MonoTime, org: &str, full: &str) -> Usable {
+    pub fn availability(&self, now: MonoTime, org: &str, full: &str) -> Availability {
         let Some((at, allowed)) = self.index.orgs.get(org) else {
-            return Usable::NotAllowed;
+            return Availability::NotAllowed;
         };
         if !allowed.contains(full) && !self.faults.any_version {
-            return Usable::NotAllowed;
+            return Availability::NotAllowed;
         }
         let Some((version, _)) = self.version(full) else {
-            return Usable::Withdrawn;
+            return Availability::Withdrawn;
         };
         match version.state {
-            VersionState::Withdrawn => Usable::Withdrawn,
-            _ if self.live.held.iter().any(|held| held == full) => Usable::Held,
-            VersionState::Settled => Usable::Settled,
+            VersionState::Withdrawn => Availability::Withdrawn,
+            _ if self.live.held.iter().any(|held| held == full) => Availability::Held,
+            VersionState::Settled => Availability::Settled,
             VersionState::Rolling => self.rolling(now, *at, full),
         }
     }
@@ -226,19 +226,19 @@
     /// Such a version is more likely to be withdrawn, and an entry that is cut off
     /// would not learn of it. It is therefore unavailable once the lease has
     /// expired, unless the organisation opts out.
-    fn rolling(&self, now: MonoTime, org: usize, full: &str) -> Usable {
+    fn rolling(&self, now: MonoTime, org: usize, full: &str) -> Availability {
         let when_cut = self.fleet.organisations[org].when_cut;
         if !self.lease_held(now) && when_cut == WhenCut::SettledOnly {
-            return Usable::CutOff;
+            return Availability::CutOff;
         }
         let Some(view) = self.live.rollouts.iter().find(|r| r.version == full) else {
-            return Usable::Rolling(0.0);
+            return Availability::Rolling(0.0);
         };
         match view.state {
-            RolloutState::Done => Usable::Settled,
-            RolloutState::Held => Usable::Held,
-            RolloutState::Loading => Usable::Rolling(0.0),
-            RolloutState::At(_) => Usable::Rolling(view.share),
+            RolloutState::Done => Availability::Settled,
+            RolloutState::Held => Availability::Held,
+            RolloutState::Loading => Availability::Rolling(0.0),
+            RolloutState::At(_) => Availability::Rolling(view.share),
         }
     }
 
--- a/sesamebeam_core/tests/proofs/config_reverts.rs
+++ b/sesamebeam_core/tests/proofs/config_reverts.rs
@@ -6,7 +6,7 @@
 use sesamebeam_core::{
     entry::{
         Faults,
-        view::Usable, //
+        view::Availability, //
     },
     fleet::Fleet,
     message::control::FleetChange,
@@ -36,12 +36,12 @@
     assert_eq!(lone.core.view().revision(), 2);
     lone.renewed(1, whole(files::fleet()));
     let (revision, usable) = match revert_config {
-        true => (1, Usable::Settled),
-        false => (2, Usable::Withdrawn),
+        true => (1, Availability::Settled),
+        false => (2, Availability::Withdrawn),
     };
     let view = lone.core.view();
     assert_eq!(view.revision(), revision);
-    assert_eq!(view.usable(lone.now, "huallaga", "beam@v1"), usable);
+    assert_eq!(view.availability(lone.now, "huallaga", "beam@v1"), usable);
 }
 
 #[parameterized(
--- a/sesamebeam_core/tests/proofs/golden.rs
+++ b/sesamebeam_core/tests/proofs/golden.rs
@@ -41,7 +41,7 @@
             )
         }
         EntryAction::Cancel { server, .. } => format!("{}: cancel", to(server)),
-        EntryAction::Ask { req, .. } => match &**req {
+        EntryAction::SendToControl { req, .. } => match &**req {
             ControlRequest::Renew(_) | ControlRequest::Evidence(_) => return None,
             ControlRequest::Claim(c) => {
                 format!(
--- a/sesamebeam_core/tests/proofs/lone.rs
+++ b/sesamebeam_core/tests/proofs/lone.rs
@@ -8,7 +8,7 @@
         EntryCore,
         Faults,
         event::{
-            AskId,
+            ControlRequestId,
             EntryAction,
             EntryEvent, //
         }, //
@@ -41,7 +41,7 @@
     pub(crate) core: EntryCore,
     pub(crate) now: MonoTime,
     /// The renewal that waits for its answer, and the revision that it named.
-    pub(crate) renewal: Option<(AskId, Revision)>,
+    pub(crate) renewal: Option<(ControlRequestId, Revision)>,
 }
 
 impl Lone {
@@ -64,7 +64,7 @@
     pub(crate) fn happen(&mut self, event: EntryEvent) -> Vec<EntryAction> {
         let actions = self.core.handle(self.now, 0, event);
         for action in &actions {
-            if let EntryAction::Ask { ask, req, .. } = action
+            if let EntryAction::SendToControl { ask, req, .. } = action
                 && let ControlRequest::Renew(renew) = &**req
             {
                 self.renewal = Some((*ask, renew.revision));
@@ -92,7 +92,7 @@
             update: Some(update),
         });
         let reply = Some(reply);
-        self.happen(EntryEvent::Answered { ask, reply });
+        self.happen(EntryEvent::ControlReplied { ask, reply });
     }
 
     /// Lets a neighbour give its configuration.
--- a/sesamebeam_core/tests/proofs/world/books.rs
+++ b/sesamebeam_core/tests/proofs/world/books.rs
@@ -12,7 +12,7 @@
     entry::{
         event::{
             Arrival,
-            AskId,
+            ControlRequestId,
             Dispatch,
             DispatchKind,
             EntryAction,
@@ -120,7 +120,7 @@
     /// Fleet files accepted, by revision, and when.
     pub(crate) accepted: BTreeMap<Revision, (MonoTime, Fleet)>,
     /// Who asked the control group under which ticket.
-    pub(crate) tickets: BTreeMap<u64, (EntryNo, Life, AskId)>,
+    pub(crate) tickets: BTreeMap<u64, (EntryNo, Life, ControlRequestId)>,
     /// Bodies that crash backend servers.
     pub(crate) killers: BTreeSet<Digest>,
     /// Messages on the interfaces, if they are wanted.
--- a/sesamebeam_core/tests/proofs/world/edge.rs
+++ b/sesamebeam_core/tests/proofs/world/edge.rs
@@ -12,16 +12,16 @@
         EntryConfig,
         EntryCore, //
         event::{
-            AskId,
             Attempt,
             AttemptReport,
-            Audience,
+            ControlRequestId,
             Dispatch,
             DispatchKind,
             EntryAction,
             EntryEvent,
             Finished,
             Notice,
+            Recipients,
             ServerKnows, //
         },
     },
@@ -73,11 +73,11 @@
     /// The progress timer of an attempt.
     Silence(ConnId),
     /// A control replica is asked.
-    Try(AskId),
+    Try(ControlRequestId),
     /// A control replica was asked long ago.
-    Late(AskId, u64),
+    Late(ControlRequestId, u64),
     /// A control replica answered.
-    Reply(AskId, u64, ControlReply),
+    Reply(ControlRequestId, u64, ControlReply),
     /// A backend server answered a cancel, or could not be asked.
     Cancelled(RequestId, RequestId, ServerKnows),
 }
@@ -128,7 +128,7 @@
     /// Whether a planned stop came to its end.
     pub(crate) drained: bool,
     conns: BTreeMap<ConnId, Conn>,
-    asks: BTreeMap<AskId, Asking>,
+    asks: BTreeMap<ControlRequestId, Asking>,
     cancels: Vec<(RequestId, RequestId)>,
     leader: NodeId,
 }
@@ -263,7 +263,7 @@
                 let from = (at, self.entries[at].life);
                 self.ask_server(at, server, Asked::Cancel(from, request, id));
             }
-            EntryAction::Ask { ask, req, timeout } => {
+            EntryAction::SendToControl { ask, req, timeout } => {
                 let until = self.now + timeout;
                 let asking = Asking {
                     req: *req,
@@ -274,7 +274,7 @@
                 self.entries[at].asks.insert(ask, asking);
                 self.soon(at, Duration::ZERO, EdgeEvent::Try(ask));
             }
-            EntryAction::Tell { to, message } => self.tell_peers(at, &to, &message),
+            EntryAction::SendToEntries { to, message } => self.tell_peers(at, &to, &message),
             EntryAction::Replay {
                 request, answer, ..
             } => self.books.replayed(request, &answer),
@@ -292,7 +292,7 @@
             EntryAction::RateNow { request, .. } => {
                 let draw = self.rng.random_range(0..3);
                 let score = [Some(0.9), Some(0.1), None][draw];
-                let event = EntryEvent::RatedNow { request, score };
+                let event = EntryEvent::HeldRated { request, score };
                 self.soon(at, Duration::from_millis(40), EdgeEvent::Core(event));
             }
             EntryAction::Notice(Notice::InForce { revision }) => {
@@ -311,7 +311,9 @@
                 self.later(Duration::ZERO, Event::Fault(Fault::Kill(at)));
                 self.later(ONE_TRY, Event::Fault(Fault::Start(at)));
             }
-            EntryAction::Retire { .. } | EntryAction::Sample { .. } | EntryAction::Notice(_) => {}
+            EntryAction::CloseConnections { .. }
+            | EntryAction::Sample { .. }
+            | EntryAction::Notice(_) => {}
         }
     }
 
@@ -466,7 +468,7 @@
     fn tell_peers(
         &mut self,
         at: EntryNo,
-        to: &Audience,
+        to: &Recipients,
         message: &sesamebeam_core::message::peer::PeerMessage,
     ) {
         let from = self.entries[at].cfg.instance.clone();
@@ -474,9 +476,9 @@
         for other in (0..self.entries.len()).filter(|other| *other != at) {
             let edge = &self.entries[other];
             let wanted = match to {
-                Audience::All => true,
-                Audience::Domain => edge.domain == domain,
-                Audience::One(name) => edge.cfg.instance == *name,
+                Recipients::All => true,
+                Recipients::Domain => edge.domain == domain,
+                Recipients::One(name) => edge.cfg.instance == *name,
             };
             if wanted {
                 let event = EdgeEvent::Core(EntryEvent::Peer {
@@ -490,7 +492,7 @@
         }
     }
 
-    fn try_ask(&mut self, at: EntryNo, ask: AskId) {
+    fn try_ask(&mut self, at: EntryNo, ask: ControlRequestId) {
         let now = self.now;
         self.last += 1;
         let ticket = self.last;
@@ -502,7 +504,7 @@
         if now >= asking.until {
             let reply = asking.last.take();
             edge.asks.remove(&ask);
-            return self.tell_core(at, EntryEvent::Answered { ask, reply });
+            return self.tell_core(at, EntryEvent::ControlReplied { ask, reply });
         }
         asking.ticket = ticket;
         let left = asking.until - now;
@@ -516,7 +518,7 @@
         self.soon(at, wait, EdgeEvent::Late(ask, ticket));
     }
 
-    fn replied(&mut self, at: EntryNo, ask: AskId, ticket: u64, reply: ControlReply) {
+    fn replied(&mut self, at: EntryNo, ask: ControlRequestId, ticket: u64, reply: ControlReply) {
         let edge = &mut self.entries[at];
         let Some(asking) = edge.asks.get_mut(&ask).filter(|a| a.ticket == ticket) else {
             return;
@@ -535,7 +537,7 @@
             reply => {
                 edge.asks.remove(&ask);
                 let reply = Some(reply);
-                self.tell_core(at, EntryEvent::Answered { ask, reply });
+                self.tell_core(at, EntryEvent::ControlReplied { ask, reply });
             }
         }
     }
