--- a/sesamebeam_core/src/policy.rs
+++ b/sesamebeam_core/src/policy.rs
@@ -1,10 +1,11 @@
-//! The decisions on one request, as plain structs without I/O.
+//! Per-request decisions, as plain structs without I/O.
 //!
-//! An entry asks them in this order: the allowed set ([`exposure`]), the session
-//! pin, the plan ([`plan`] on [`quality`]), admission ([`admission`]) and the
-//! backend server ([`balance`] on the membership of [`servers`]). After an
-//! attempt come [`retry`] and [`suspects`]; [`burn`] keeps the objectives.
-//! Time is passed in as [`MonoTime`](crate::ids::MonoTime).
+//! An entry consults them in this order: the set of allowed versions
+//! ([`exposure`]), the session pin, the plan ([`plan`], based on [`quality`]),
+//! admission ([`admission`]) and the backend server ([`balance`], based on the
+//! membership in [`servers`]). After an attempt follow [`retry`] and
+//! [`suspects`]; [`burn`] tracks the service-level objectives. The current time
+//! is passed in as [`MonoTime`](crate::ids::MonoTime).
 
 pub mod admission;
 pub mod backoff;
@@ -18,24 +19,24 @@
 pub mod servers;
 pub mod suspects;
 
-/// Settings of every decision, each with the switch that turns it off.
+/// Settings of all decisions, each with a switch that disables it.
 ///
-/// The experiment turns off one at a time to show what it brings.
+/// Ablation experiments disable one decision at a time to measure its effect.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PolicyConfig {
-    /// Posteriors of quality.
+    /// Quality estimates of versions.
     pub quality: quality::QualityConfig,
-    /// Choice among versions and cascades.
+    /// Selection of versions and cascades.
     pub plan: plan::PlanConfig,
-    /// Trust in versions.
+    /// Staged exposure of versions during roll-outs, and automatic holds.
     pub exposure: exposure::ExposureConfig,
-    /// Choice of a backend server.
+    /// Load balancing over backend servers.
     pub balance: balance::BalanceConfig,
-    /// Queues and fair shares.
+    /// Admission queues and fair sharing.
     pub admission: admission::AdmissionConfig,
-    /// Budgets of retries and hedges.
+    /// Retry and hedging budgets.
     pub retry: retry::RetryConfig,
-    /// Requests that crash backend servers.
+    /// Detection of requests that crash backend servers.
     pub suspects: suspects::SuspectsConfig,
     /// Membership of backend servers.
     pub servers: servers::ServersConfig,
--- a/sesamebeam_core/src/policy/admission.rs
+++ b/sesamebeam_core/src/policy/admission.rs
@@ -1,11 +1,13 @@
-//! Bounded queues before each pool, with fair shares and truthful refusals.
+//! Bounded queues in front of each pool, with fair sharing and early rejection.
 //!
-//! Within one priority, organisations share by start-time fair queueing: each
-//! has a virtual time that grows by work over share, and the least goes first.
-//! Urgent work goes before normal and normal before deferrable, and a part of
-//! the slots is kept for urgent work. A deferrable request whose last chance to
-//! start comes near counts as normal. What cannot be answered within its
-//! deadline is refused at once, with the time after which it would fit.
+//! Within one priority, organisations share a pool by start-time fair queueing:
+//! each organisation has a virtual time that grows by the work done divided by
+//! its share, and the organisation with the least virtual time is served first.
+//! Urgent requests go before normal ones and normal ones before deferrable
+//! ones, and some slots are reserved for urgent requests. A deferrable request
+//! whose latest possible start is near is treated as normal. A request that
+//! cannot be answered within its deadline is refused immediately, with the time
+//! after which it would succeed.
 
 mod queue;
 
@@ -15,7 +17,7 @@
 
 use self::queue::{
     PoolQueue,
-    Waiting, //
+    QueuedRequest, //
 };
 use super::hash;
 use crate::{
@@ -34,25 +36,26 @@
 /// Settings of admission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionConfig {
-    /// Whether organisations share by weight; without, first come first served.
+    /// Whether organisations share by weight; otherwise the queue whose first
+    /// request has the earliest deadline goes first.
     pub fair: bool,
-    /// Whether priorities are kept apart.
+    /// Whether requests are separated by priority.
     pub priorities: bool,
-    /// Whether what would miss its deadline is refused at once.
+    /// Whether requests that would miss their deadline are refused on arrival.
     pub refuse_early: bool,
-    /// Most requests waiting before one pool.
+    /// Maximum number of requests queued for one pool.
     pub longest: usize,
-    /// Share of that which one organisation may take.
-    pub most_of_one: f64,
-    /// Share of a pool's slots that is kept for urgent work.
+    /// Share of the maximum queue length that one organisation may use.
+    pub max_org_share: f64,
+    /// Share of a pool's slots that is reserved for urgent requests.
     pub kept_for_urgent: f64,
-    /// Shortest time told to wait before a later call.
-    pub least_retry_after: Duration,
-    /// Longest time told to wait before a later call.
-    pub most_retry_after: Duration,
-    /// Share of the time that a request is expected to run which must be left
-    /// over when it starts, beyond that time itself.
-    pub spare: f64,
+    /// Smallest `retry_after` returned to callers, before jitter.
+    pub min_retry_after: Duration,
+    /// Largest `retry_after` returned to callers, before jitter.
+    pub max_retry_after: Duration,
+    /// Extra time before the deadline that must remain when a request starts,
+    /// as a fraction of its expected duration.
+    pub deadline_margin: f64,
 }
 
 impl Default for AdmissionConfig {
@@ -62,19 +65,19 @@
             priorities: true,
             refuse_early: true,
             longest: 2048,
-            most_of_one: 0.5,
+            max_org_share: 0.5,
             kept_for_urgent: 0.1,
-            least_retry_after: Duration::from_millis(500),
-            most_retry_after: Duration::from_secs(60),
-            spare: 0.25,
+            min_retry_after: Duration::from_millis(500),
+            max_retry_after: Duration::from_secs(60),
+            deadline_margin: 0.25,
         }
     }
 }
 
-/// A request that asks to start.
+/// A request submitted for admission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ticket {
-    /// Number of the request.
+    /// Identifier of the request.
     pub request: RequestId,
     /// Organisation of the caller.
     pub org: OrgId,
@@ -82,48 +85,51 @@
     pub pool: PoolId,
     /// How urgent it is.
     pub priority: Priority,
-    /// When the whole answer is due.
+    /// Time by which the complete answer is due.
     pub deadline: MonoTime,
-    /// Time that it is expected to run.
+    /// Expected run time.
     pub takes: Duration,
 }
 
-/// What becomes of a request that asks to start.
+/// Outcome of submitting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offered {
-    /// It may start now and holds a slot until [`Admission::finished`].
+    /// The request may start now and holds a slot until
+    /// [`Admission::finished`].
     Run,
-    /// It waits; [`Admission::next`] lets it start or [`Admission::expired`]
-    /// gives it up.
+    /// The request is queued until [`Admission::next`] starts it or
+    /// [`Admission::expired`] drops it.
     Queued,
-    /// It is refused, not run.
+    /// The request is refused without being run.
     Refused {
-        /// Time after which a later call would fit.
+        /// Time after which a retry is expected to succeed.
         retry_after: Duration,
     },
 }
 
-/// A request that is given up while it waits: its final answer is due at once.
+/// A queued request that can no longer be answered in time. Its final answer is
+/// due immediately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GivenUp {
-    /// Number of the request.
+    /// Identifier of the request.
     pub request: RequestId,
-    /// Time after which a later call would fit.
+    /// Time after which a retry is expected to succeed.
     pub retry_after: Duration,
 }
 
-/// Requests counted by what became of them, for one organisation.
+/// Request counts of one organisation by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionCounts {
-    /// Started.
+    /// Requests that were started.
     pub started: u64,
-    /// Refused at once.
+    /// Requests that were refused on arrival.
     pub refused: u64,
-    /// Given up while waiting.
+    /// Requests that were dropped from the queue because they could no longer
+    /// be answered in time.
     pub given_up: u64,
 }
 
-/// Queues before every pool.
+/// Admission queues of all pools.
 #[derive(Clone, Debug)]
 pub struct Admission {
     cfg: AdmissionConfig,
@@ -133,7 +139,7 @@
 }
 
 impl Admission {
-    /// Starts with empty queues.
+    /// Creates an instance with empty queues.
     pub fn new(cfg: AdmissionConfig) -> Self {
         Self {
             cfg,
@@ -143,7 +149,7 @@
         }
     }
 
-    /// Takes the organisations' shares from a fleet file.
+    /// Applies the organisations' shares of a fleet file.
     pub fn configure(&mut self, fleet: &Fleet) {
         self.shares = fleet
             .organisations
@@ -154,75 +160,89 @@
         self.counts.retain(|org, _| shares.contains_key(org));
     }
 
-    /// Sets the slots of a pool that this entry may fill.
+    /// Sets the number of slots of a pool that this entry may use.
     pub fn set_capacity(&mut self, pool: &PoolId, slots: u32) {
         self.pools.entry(pool.clone()).or_default().slots = slots;
     }
 
-    /// Decides on a request: start, wait, or be refused.
+    /// Starts, queues or refuses a request.
     pub fn offer(&mut self, now: MonoTime, ticket: Ticket) -> Offered {
-        let kept = self.kept(&ticket.pool);
-        let share = self.share(&ticket.org);
-        let priority = self.level(ticket.priority);
+        let reserved = self.reserved_slots(&ticket.pool);
+        let share = self.share_of(&ticket.org);
+        let priority = self.effective_priority(ticket.priority);
         let cfg = &self.cfg;
         let pool = self.pools.entry(ticket.pool.clone()).or_default();
-        let idle = pool.waiting_at_or_above(priority) == 0 && pool.has_room(priority, kept);
-        let wait = if idle {
+        let can_start =
+            pool.queued_at_or_above(priority) == 0 && pool.has_free_slot(priority, reserved);
+        let wait = if can_start {
             Duration::ZERO
         } else {
-            pool.wait(now, &ticket.org, share, priority)
+            pool.expected_wait(now, &ticket.org, share, priority)
         };
-        let needed = wait + ticket.takes + ticket.takes.mul_f64(cfg.spare);
-        let late = (now + needed).saturating_sub(ticket.deadline);
-        let impossible = now + ticket.takes > ticket.deadline;
-        let crowded = !idle && pool.is_crowded(&ticket.org, cfg.longest, cfg.most_of_one);
-        if crowded || impossible || (cfg.refuse_early && !idle && !late.is_zero()) {
-            let retry_after = if crowded { late.max(wait) } else { late };
-            let retry_after = spread(cfg, retry_after, ticket.request);
+        let needed = wait + ticket.takes + ticket.takes.mul_f64(cfg.deadline_margin);
+        let lateness = (now + needed).saturating_sub(ticket.deadline);
+        let infeasible = now + ticket.takes > ticket.deadline;
+        let queue_full =
+            !can_start && pool.is_full_for(&ticket.org, cfg.longest, cfg.max_org_share);
+        if queue_full || infeasible || (cfg.refuse_early && !can_start && !lateness.is_zero()) {
+            let retry_after = if queue_full {
+                lateness.max(wait)
+            } else {
+                lateness
+            };
+            let retry_after = jittered(cfg, retry_after, ticket.request);
             self.counts.entry(ticket.org).or_default().refused += 1;
             return Offered::Refused { retry_after };
         }
-        if idle {
+        if can_start {
             pool.start(&ticket.org, share, ticket.request, ticket.takes);
             self.counts.entry(ticket.org).or_default().started += 1;
             return Offered::Run;
         }
         pool.push(
             now,
-            Waiting {
+            QueuedRequest {
                 request: ticket.request,
                 org: ticket.org,
                 priority,
                 deadline: ticket.deadline,
-                takes: ticket.takes,
+                expected_duration: ticket.takes,
                 share,
             },
         );
         Offered::Queued
     }
 
-    /// Gives back the slot of a request that ended, with the time it ran.
+    /// Releases the slot of a finished request and records its run time.
     pub fn finished(&mut self, pool: &str, request: RequestId, ran: Duration) {
         if let Some(pool) = self.pools.get_mut(pool) {
             pool.finish(request, ran);
         }
     }
 
-    /// Forgets a waiting request, because its caller left.
+    /// Removes a queued request whose caller disconnected. Returns whether it
+    /// was queued.
     pub fn cancel(&mut self, pool: &str, request: RequestId) -> bool {
         self.pools
             .get_mut(pool)
             .is_some_and(|pool| pool.cancel(request))
     }
 
-    /// Lets waiting requests start, as many as there is room for.
+    /// Starts as many queued requests as there are free slots.
     pub fn next(&mut self, now: MonoTime) -> Vec<RequestId> {
         let mut started = Vec::new();
         for pool in self.pools.values_mut() {
-            let kept = (f64::from(pool.slots) * self.cfg.kept_for_urgent) as u32;
-            let kept = if self.cfg.priorities { kept } else { 0 };
-            while let Some(waiting) = pool.pop(now, kept, self.cfg.fair, self.cfg.spare) {
-                pool.start(&waiting.org, waiting.share, waiting.request, waiting.takes);
+            let reserved = (f64::from(pool.slots) * self.cfg.kept_for_urgent) as u32;
+            let reserved = if self.cfg.priorities { reserved } else { 0 };
+            while let Some(waiting) =
+                pool.pop(now, reserved, self.cfg.fair, self.cfg.deadline_margin)
+            {
+                pool.start(
+                    &waiting.org,
+                    waiting.share,
+                    waiting.request,
+                    waiting.expected_duration,
+                );
                 self.counts.entry(waiting.org).or_default().started += 1;
                 started.push(waiting.request);
             }
@@ -230,55 +250,59 @@
         started
     }
 
-    /// Gives up waiting requests that can no longer be answered in time.
+    /// Removes queued requests that can no longer be answered in time.
     ///
-    /// They are told at once, not when their deadline has passed: the caller
-    /// can still turn elsewhere with the time that is left.
+    /// They are reported immediately rather than at their deadline, so that
+    /// callers can use the remaining time to try elsewhere.
     pub fn expired(&mut self, now: MonoTime) -> Vec<GivenUp> {
         let mut given_up = Vec::new();
         for pool in self.pools.values_mut() {
-            for waiting in pool.take_late(now) {
+            for waiting in pool.remove_late(now) {
                 self.counts.entry(waiting.org.clone()).or_default().given_up += 1;
-                let wait = pool.wait(now, &waiting.org, waiting.share, waiting.priority);
+                let wait = pool.expected_wait(now, &waiting.org, waiting.share, waiting.priority);
                 given_up.push(GivenUp {
                     request: waiting.request,
-                    retry_after: spread(&self.cfg, wait, waiting.request),
+                    retry_after: jittered(&self.cfg, wait, waiting.request),
                 });
             }
         }
         given_up
     }
 
-    /// Gives the time at which [`Admission::expired`] next has something.
+    /// Returns the latest start of the queued request that expires first.
+    /// [`Admission::expired`] removes it after that time.
     pub fn next_expiry(&self) -> Option<MonoTime> {
-        self.pools.values().filter_map(PoolQueue::next_late).min()
+        self.pools
+            .values()
+            .filter_map(PoolQueue::next_late_at)
+            .min()
     }
 
-    /// Gives the requests waiting before a pool.
+    /// Returns the number of requests queued for a pool.
     pub fn waiting(&self, pool: &str) -> usize {
         self.pools.get(pool).map_or(0, PoolQueue::len)
     }
 
-    /// Gives the requests of a pool that hold a slot.
+    /// Returns the number of requests of a pool that hold a slot.
     pub fn running(&self, pool: &str) -> usize {
         self.pools.get(pool).map_or(0, PoolQueue::running)
     }
 
-    /// Gives the requests of all pools that hold a slot.
+    /// Returns the number of requests of all pools that hold a slot.
     pub fn total_running(&self) -> usize {
         self.pools.values().map(PoolQueue::running).sum()
     }
 
-    /// Counts an organisation's requests by what became of them.
+    /// Returns the request counts of an organisation.
     pub fn counts(&self, org: &str) -> AdmissionCounts {
         self.counts.get(org).copied().unwrap_or_default()
     }
 
-    fn share(&self, org: &str) -> f64 {
+    fn share_of(&self, org: &str) -> f64 {
         self.shares.get(org).copied().unwrap_or(1.0)
     }
 
-    fn kept(&self, pool: &str) -> u32 {
+    fn reserved_slots(&self, pool: &str) -> u32 {
         let slots = self.pools.get(pool).map_or(0, |pool| pool.slots);
         match self.cfg.priorities {
             true => (f64::from(slots) * self.cfg.kept_for_urgent) as u32,
@@ -286,7 +310,7 @@
         }
     }
 
-    fn level(&self, priority: Priority) -> Priority {
+    fn effective_priority(&self, priority: Priority) -> Priority {
         match self.cfg.priorities {
             true => priority,
             false => Priority::Normal,
@@ -294,9 +318,9 @@
     }
 }
 
-/// Spreads a time to wait by up to half, so that callers refused together do
-/// not come back together.
-fn spread(cfg: &AdmissionConfig, wait: Duration, request: RequestId) -> Duration {
-    let wait = wait.clamp(cfg.least_retry_after, cfg.most_retry_after);
+/// Clamps a retry delay and adds up to 50% jitter, so that callers refused at
+/// the same time do not retry at the same time.
+fn jittered(cfg: &AdmissionConfig, wait: Duration, request: RequestId) -> Duration {
+    let wait = wait.clamp(cfg.min_retry_after, cfg.max_retry_after);
     wait.mul_f64(1.0 + 0.5 * hash::unit(&request.to_le_bytes(), "retry-after"))
 }
--- a/sesamebeam_core/src/policy/admission/queue.rs
+++ b/sesamebeam_core/src/policy/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The queue before one pool.
+//! The queue of one pool.
 
 use std::{
     collections::{
@@ -19,305 +19,343 @@
     },
 };
 
-/// Weight of a new time in the average time of a request.
-const LEARN: f64 = 0.05;
+/// Weight of a new sample in the moving averages.
+const AVERAGE_WEIGHT: f64 = 0.05;
 
-/// Priorities from the first served to the last.
-const ORDER: [Priority; 3] = [Priority::Urgent, Priority::Normal, Priority::Deferrable];
+/// Priorities in the order in which they are served.
+const PRIORITY_ORDER: [Priority; 3] = [Priority::Urgent, Priority::Normal, Priority::Deferrable];
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Waiting {
+pub(super) struct QueuedRequest {
     pub(super) request: RequestId,
     pub(super) org: OrgId,
     pub(super) priority: Priority,
     pub(super) deadline: MonoTime,
-    pub(super) takes: Duration,
+    pub(super) expected_duration: Duration,
     pub(super) share: f64,
 }
 
 /// Queue of one organisation at one priority.
 #[derive(Clone, Debug, Default)]
-struct Line {
-    waiting: VecDeque<Waiting>,
+struct OrgQueue {
+    waiting: VecDeque<QueuedRequest>,
     share: f64,
 }
 
-/// The queue before one pool.
+/// The queue of one pool.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PoolQueue {
     pub(super) slots: u32,
-    /// Lines by priority, then organisation.
-    lines: [IndexMap<OrgId, Line>; 3],
-    /// Waiting requests by priority.
-    sizes: [usize; 3],
+    /// Queues by priority, then organisation.
+    queues: [IndexMap<OrgId, OrgQueue>; 3],
+    /// Number of queued requests by priority.
+    queue_lens: [usize; 3],
     /// Virtual time up to which each organisation has been served.
-    served: IndexMap<OrgId, f64>,
-    /// Virtual time of the pool: the start of what was served last.
-    clock: f64,
-    /// Last times to start, with priority and organisation.
-    due: BTreeSet<(MonoTime, RequestId)>,
+    virtual_times: IndexMap<OrgId, f64>,
+    /// Virtual time of the pool: the largest value so far of the least virtual
+    /// time among the queued organisations when a request was dequeued.
+    virtual_clock: f64,
+    /// Latest start times of the queued requests, earliest first.
+    latest_starts: BTreeSet<(MonoTime, RequestId)>,
     started: IndexMap<RequestId, (OrgId, Duration, f64)>,
-    /// Average time of a request, in seconds.
-    usual: Option<f64>,
-    /// How fast each priority's queue drains.
-    drains: [Drain; 3],
+    /// Moving average of request run times, in seconds.
+    mean_duration: Option<f64>,
+    /// Drain rate of each priority's queue.
+    drain_rates: [DrainRate; 3],
 }
 
-/// How fast one priority's queue drains.
+/// Drain rate of the queue of one priority.
 #[derive(Clone, Copy, Debug, Default)]
-struct Drain {
-    /// Average time between two starts while requests wait, in seconds.
-    gap: Option<f64>,
-    /// Last start, or arrival at an empty queue.
+struct DrainRate {
+    /// Moving average of the interval between two starts while requests are
+    /// queued, in seconds.
+    mean_interval: Option<f64>,
+    /// Time of the last start, or of the last arrival at an empty queue.
     last: MonoTime,
 }
 
-impl Drain {
+impl DrainRate {
     fn started(&mut self, now: MonoTime) {
-        let gap = now.saturating_sub(self.last).as_secs_f64();
-        let usual = self.gap.get_or_insert(gap);
-        *usual += LEARN * (gap - *usual);
+        let interval = now.saturating_sub(self.last).as_secs_f64();
+        let mean_interval = self.mean_interval.get_or_insert(interval);
+        *mean_interval += AVERAGE_WEIGHT * (interval - *mean_interval);
         self.last = now;
     }
 }
 
-impl Waiting {
-    /// Gives the last time at which it can start and still be in time.
-    fn last_start(&self) -> MonoTime {
-        self.deadline.saturating_sub(self.takes)
+impl QueuedRequest {
+    /// Returns the latest start time at which the request still meets its
+    /// deadline.
+    fn latest_start(&self) -> MonoTime {
+        self.deadline.saturating_sub(self.expected_duration)
     }
 }
 
 impl PoolQueue {
     pub(super) fn len(&self) -> usize {
-        self.sizes.iter().sum()
+        self.queue_lens.iter().sum()
     }
 
     pub(super) fn running(&self) -> usize {
         self.started.len()
     }
 
-    /// Tells whether a request of a priority may take a slot. The last slots
-    /// are kept for urgent work, which would else wait for a whole answer of
-    /// other work whenever the pool is full.
-    pub(super) fn has_room(&self, priority: Priority, kept: u32) -> bool {
-        let kept = if priority == Priority::Urgent {
+    /// Returns whether a request of a priority may take a slot. The last slots
+    /// are reserved for urgent requests, which would otherwise wait for a
+    /// complete answer of another request whenever the pool is full.
+    pub(super) fn has_free_slot(&self, priority: Priority, reserved: u32) -> bool {
+        let reserved = if priority == Priority::Urgent {
             0
         } else {
-            kept
+            reserved
         };
-        (self.started.len() as u64) < u64::from(self.slots.saturating_sub(kept))
+        (self.started.len() as u64) < u64::from(self.slots.saturating_sub(reserved))
     }
 
-    pub(super) fn waiting_at_or_above(&self, priority: Priority) -> usize {
-        self.sizes[..=place(priority)].iter().sum()
+    pub(super) fn queued_at_or_above(&self, priority: Priority) -> usize {
+        self.queue_lens[..=priority_index(priority)].iter().sum()
     }
 
-    pub(super) fn is_crowded(&self, org: &str, longest: usize, most_of_one: f64) -> bool {
-        let of_org: usize = self
-            .lines
+    pub(super) fn is_full_for(&self, org: &str, max_queue_len: usize, max_org_share: f64) -> bool {
+        let queued_by_org: usize = self
+            .queues
             .iter()
-            .filter_map(|lines| lines.get(org))
-            .map(|line| line.waiting.len())
+            .filter_map(|queues| queues.get(org))
+            .map(|queue| queue.waiting.len())
             .sum();
-        self.len() >= longest || of_org as f64 >= longest as f64 * most_of_one
+        self.len() >= max_queue_len || queued_by_org as f64 >= max_queue_len as f64 * max_org_share
     }
 
-    /// Gives the expected wait of one more request of an organisation.
+    /// Returns the expected wait of one more request of an organisation.
     ///
-    /// It waits for its own line at the organisation's share of the pool, but
-    /// never longer than for everything at or above its priority. How fast its
-    /// priority drains is measured: counted from the slots alone, the work of
-    /// higher priority still to come would be left out, and requests would be
-    /// given up after a long wait in place of a refusal at once.
-    pub(super) fn wait(
+    /// The request waits for its organisation's own queue, drained at that
+    /// organisation's share of the pool, but never longer than for all requests
+    /// at or above its priority. The drain rate of its priority is measured
+    /// rather than derived from the slots. An estimate from the slots alone
+    /// ignores requests of higher priority that are still to arrive, so
+    /// requests would be queued and time out after a long wait instead of being
+    /// refused on arrival.
+    pub(super) fn expected_wait(
         &self,
         now: MonoTime,
         org: &str,
         share: f64,
         priority: Priority,
     ) -> Duration {
-        let usual = self.usual.unwrap_or(1.0);
-        let by_slots = usual.max(1e-3) / f64::from(self.slots.max(1));
-        let at = place(priority);
-        let drain = &self.drains[at];
-        let gap = match drain.gap {
-            Some(gap) if self.sizes[at] > 0 => {
-                let since = now.saturating_sub(drain.last).as_secs_f64();
-                gap.max(by_slots).max(since)
+        let mean_duration = self.mean_duration.unwrap_or(1.0);
+        let interval_by_slots = mean_duration.max(1e-3) / f64::from(self.slots.max(1));
+        let index = priority_index(priority);
+        let drain_rate = &self.drain_rates[index];
+        let interval = match drain_rate.mean_interval {
+            Some(mean_interval) if self.queue_lens[index] > 0 => {
+                let since_last_start = now.saturating_sub(drain_rate.last).as_secs_f64();
+                mean_interval.max(interval_by_slots).max(since_last_start)
             }
-            _ => by_slots,
+            _ => interval_by_slots,
         };
-        let above: usize = self.sizes[..at].iter().sum();
-        let lines = &self.lines[at];
-        let own = lines.get(org).map_or(0, |line| line.waiting.len()) as f64 + 1.0;
-        let all = self.sizes[at] as f64 + 1.0;
-        let others: f64 = lines
+        let queued_above: usize = self.queue_lens[..index].iter().sum();
+        let queues = &self.queues[index];
+        let own = queues.get(org).map_or(0, |queue| queue.waiting.len()) as f64 + 1.0;
+        let queued = self.queue_lens[index] as f64 + 1.0;
+        let other_shares: f64 = queues
             .iter()
-            .filter(|(name, line)| *name != org && !line.waiting.is_empty())
-            .map(|(_, line)| line.share)
+            .filter(|(name, queue)| *name != org && !queue.waiting.is_empty())
+            .map(|(_, queue)| queue.share)
             .sum();
-        let by_share = own * (others + share) / share;
-        let seconds = above as f64 * by_slots + by_share.min(all) * gap;
+        let requests_ahead = own * (other_shares + share) / share;
+        let seconds =
+            queued_above as f64 * interval_by_slots + requests_ahead.min(queued) * interval;
         Duration::from_secs_f64(seconds.min(86_400.0))
     }
 
-    pub(super) fn push(&mut self, now: MonoTime, waiting: Waiting) {
-        let at = place(waiting.priority);
-        if self.sizes[at] == 0 {
-            self.drains[at].last = now;
+    pub(super) fn push(&mut self, now: MonoTime, waiting: QueuedRequest) {
+        let index = priority_index(waiting.priority);
+        if self.queue_lens[index] == 0 {
+            self.drain_rates[index].last = now;
         }
-        self.due.insert((waiting.last_start(), waiting.request));
-        let line = self.lines[at].entry(waiting.org.clone()).or_default();
-        line.share = waiting.share;
-        line.waiting.push_back(waiting);
-        self.sizes[at] += 1;
+        self.latest_starts
+            .insert((waiting.latest_start(), waiting.request));
+        let queue = self.queues[index].entry(waiting.org.clone()).or_default();
+        queue.share = waiting.share;
+        queue.waiting.push_back(waiting);
+        self.queue_lens[index] += 1;
     }
 
-    /// Takes the slot of a request that starts, and charges its organisation.
-    pub(super) fn start(&mut self, org: &OrgId, share: f64, request: RequestId, takes: Duration) {
-        let served = self.served.entry(org.clone()).or_insert(self.clock);
-        let begin = served.max(self.clock);
-        *served = begin + takes.as_secs_f64() / share;
-        self.started.insert(request, (org.clone(), takes, share));
+    /// Takes a slot for a request that starts and charges its expected run time
+    /// to its organisation.
+    pub(super) fn start(
+        &mut self,
+        org: &OrgId,
+        share: f64,
+        request: RequestId,
+        expected_duration: Duration,
+    ) {
+        let virtual_time = self
+            .virtual_times
+            .entry(org.clone())
+            .or_insert(self.virtual_clock);
+        let start = virtual_time.max(self.virtual_clock);
+        *virtual_time = start + expected_duration.as_secs_f64() / share;
+        self.started
+            .insert(request, (org.clone(), expected_duration, share));
     }
 
-    /// Gives a slot back and corrects the charge by the time it really ran.
+    /// Releases a slot and corrects the charge by the actual run time.
     pub(super) fn finish(&mut self, request: RequestId, ran: Duration) {
-        let Some((org, takes, share)) = self.started.swap_remove(&request) else {
+        let Some((org, expected_duration, share)) = self.started.swap_remove(&request) else {
             return;
         };
-        if let Some(served) = self.served.get_mut(&org) {
-            *served += (ran.as_secs_f64() - takes.as_secs_f64()) / share;
+        if let Some(virtual_time) = self.virtual_times.get_mut(&org) {
+            *virtual_time += (ran.as_secs_f64() - expected_duration.as_secs_f64()) / share;
         }
         let seconds = ran.as_secs_f64();
-        let usual = self.usual.get_or_insert(seconds);
-        *usual += LEARN * (seconds - *usual);
+        let mean_duration = self.mean_duration.get_or_insert(seconds);
+        *mean_duration += AVERAGE_WEIGHT * (seconds - *mean_duration);
     }
 
-    /// Takes the request that starts next, if there is room for it.
+    /// Removes and returns the request that starts next, if there is a free
+    /// slot for it.
     pub(super) fn pop(
         &mut self,
         now: MonoTime,
-        kept: u32,
+        reserved: u32,
         fair: bool,
-        spare: f64,
-    ) -> Option<Waiting> {
-        let found = ORDER
+        deadline_margin: f64,
+    ) -> Option<QueuedRequest> {
+        let found = PRIORITY_ORDER
             .into_iter()
-            .filter(|&priority| self.has_room(priority, kept))
-            .find_map(|priority| self.head(now, priority, fair, spare))?;
-        self.drains[found.0].started(now);
-        self.take(found.0, &found.1)
+            .filter(|&priority| self.has_free_slot(priority, reserved))
+            .find_map(|priority| self.next_queue(now, priority, fair, deadline_margin))?;
+        self.drain_rates[found.0].started(now);
+        self.dequeue(found.0, &found.1)
     }
 
-    /// Finds the line that is served next at a priority.
-    fn head(
+    /// Returns the queue that is served next at a priority.
+    fn next_queue(
         &self,
         now: MonoTime,
         priority: Priority,
         fair: bool,
-        spare: f64,
+        deadline_margin: f64,
     ) -> Option<(usize, OrgId)> {
-        let at = place(priority);
+        let index = priority_index(priority);
         if priority == Priority::Normal
-            && let Some(org) = self.pressing(now, fair, spare)
+            && let Some(org) = self.next_due_deferrable(now, fair, deadline_margin)
         {
-            return Some((place(Priority::Deferrable), org));
+            return Some((priority_index(Priority::Deferrable), org));
         }
-        let waiting = self.lines[at]
+        let waiting = self.queues[index]
             .iter()
-            .filter(|(_, line)| !line.waiting.is_empty());
+            .filter(|(_, queue)| !queue.waiting.is_empty());
         let next = match fair {
-            true => waiting.min_by(|a, b| self.served(a.0).total_cmp(&self.served(b.0)))?,
-            false => waiting.min_by_key(|(_, line)| line.waiting.front().map(|w| w.deadline))?,
+            true => {
+                waiting.min_by(|a, b| self.virtual_time(a.0).total_cmp(&self.virtual_time(b.0)))?
+            }
+            false => waiting.min_by_key(|(_, queue)| queue.waiting.front().map(|w| w.deadline))?,
         };
-        Some((at, next.0.clone()))
+        Some((index, next.0.clone()))
     }
 
-    /// Finds the line that is served next among those whose deferrable head is
-    /// near its last chance to start. The least served goes first here too:
-    /// under overload every long line is near its last chance all the time.
-    fn pressing(&self, now: MonoTime, fair: bool, spare: f64) -> Option<OrgId> {
-        let lines = &self.lines[place(Priority::Deferrable)];
-        let heads = lines
+    /// Returns the queue that is served next among those whose first deferrable
+    /// request is near its latest start. Here too the organisation with the
+    /// least virtual time goes first, because under overload every long queue
+    /// is near its latest start all the time.
+    fn next_due_deferrable(
+        &self,
+        now: MonoTime,
+        fair: bool,
+        deadline_margin: f64,
+    ) -> Option<OrgId> {
+        let queues = &self.queues[priority_index(Priority::Deferrable)];
+        let heads = queues
             .iter()
-            .filter_map(|(org, line)| line.waiting.front().map(|head| (org, head)))
-            .filter(|(_, head)| now + head.takes.mul_f64(1.0 + spare) >= head.last_start());
+            .filter_map(|(org, queue)| queue.waiting.front().map(|head| (org, head)))
+            .filter(|(_, head)| {
+                now + head.expected_duration.mul_f64(1.0 + deadline_margin) >= head.latest_start()
+            });
         let next = match fair {
-            true => heads.min_by(|a, b| self.served(a.0).total_cmp(&self.served(b.0))),
-            false => heads.min_by_key(|(_, head)| head.last_start()),
+            true => heads.min_by(|a, b| self.virtual_time(a.0).total_cmp(&self.virtual_time(b.0))),
+            false => heads.min_by_key(|(_, head)| head.latest_start()),
         };
         next.map(|(org, _)| org.clone())
     }
 
-    fn served(&self, org: &str) -> f64 {
-        self.served
+    fn virtual_time(&self, org: &str) -> f64 {
+        self.virtual_times
             .get(org)
             .copied()
-            .unwrap_or(self.clock)
-            .max(self.clock)
+            .unwrap_or(self.virtual_clock)
+            .max(self.virtual_clock)
     }
 
-    fn take(&mut self, at: usize, org: &OrgId) -> Option<Waiting> {
-        self.clock = self.clock.max(self.least_served());
-        let line = self.lines[at].get_mut(org)?;
-        let waiting = line.waiting.pop_front()?;
-        if line.waiting.is_empty() {
-            self.lines[at].swap_remove(org);
+    fn dequeue(&mut self, index: usize, org: &OrgId) -> Option<QueuedRequest> {
+        self.virtual_clock = self.virtual_clock.max(self.min_virtual_time());
+        let queue = self.queues[index].get_mut(org)?;
+        let waiting = queue.waiting.pop_front()?;
+        if queue.waiting.is_empty() {
+            self.queues[index].swap_remove(org);
         }
-        self.sizes[at] -= 1;
-        self.due.remove(&(waiting.last_start(), waiting.request));
+        self.queue_lens[index] -= 1;
+        self.latest_starts
+            .remove(&(waiting.latest_start(), waiting.request));
         Some(waiting)
     }
 
-    /// Gives the least virtual time among the organisations that wait: an
-    /// organisation that was idle does not bring old credit with it.
-    fn least_served(&self) -> f64 {
-        self.lines
+    /// Returns the least virtual time among the organisations with queued
+    /// requests. An organisation that was idle thus does not accumulate credit.
+    fn min_virtual_time(&self) -> f64 {
+        self.queues
             .iter()
-            .flat_map(|lines| lines.keys())
-            .map(|org| self.served.get(org).copied().unwrap_or(self.clock))
+            .flat_map(|queues| queues.keys())
+            .map(|org| {
+                self.virtual_times
+                    .get(org)
+                    .copied()
+                    .unwrap_or(self.virtual_clock)
+            })
             .min_by(f64::total_cmp)
-            .unwrap_or(self.clock)
+            .unwrap_or(self.virtual_clock)
     }
 
     pub(super) fn cancel(&mut self, request: RequestId) -> bool {
         self.remove(|waiting| waiting.request == request).is_some()
     }
 
-    /// Takes out the requests that can no longer be answered in time.
-    pub(super) fn take_late(&mut self, now: MonoTime) -> Vec<Waiting> {
+    /// Removes and returns the requests that can no longer be answered in time.
+    pub(super) fn remove_late(&mut self, now: MonoTime) -> Vec<QueuedRequest> {
         let mut late = Vec::new();
-        while let Some((last_start, request)) = self.due.first().copied() {
-            if last_start >= now {
+        while let Some((latest_start, request)) = self.latest_starts.first().copied() {
+            if latest_start >= now {
                 break;
             }
             match self.remove(|waiting| waiting.request == request) {
                 Some(waiting) => late.push(waiting),
                 None => {
-                    self.due.pop_first();
+                    self.latest_starts.pop_first();
                 }
             }
         }
         late
     }
 
-    pub(super) fn next_late(&self) -> Option<MonoTime> {
-        self.due.first().map(|(last_start, _)| *last_start)
+    pub(super) fn next_late_at(&self) -> Option<MonoTime> {
+        self.latest_starts
+            .first()
+            .map(|(latest_start, _)| *latest_start)
     }
 
-    fn remove(&mut self, wanted: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
-        for at in 0..self.lines.len() {
-            for line in self.lines[at].values_mut() {
-                let Some(pos) = line.waiting.iter().position(&wanted) else {
+    fn remove(&mut self, predicate: impl Fn(&QueuedRequest) -> bool) -> Option<QueuedRequest> {
+        for index in 0..self.queues.len() {
+            for queue in self.queues[index].values_mut() {
+                let Some(position) = queue.waiting.iter().position(&predicate) else {
                     continue;
                 };
-                let waiting = line.waiting.remove(pos)?;
-                self.sizes[at] -= 1;
-                self.due.remove(&(waiting.last_start(), waiting.request));
-                self.lines[at].retain(|_, line| !line.waiting.is_empty());
+                let waiting = queue.waiting.remove(position)?;
+                self.queue_lens[index] -= 1;
+                self.latest_starts
+                    .remove(&(waiting.latest_start(), waiting.request));
+                self.queues[index].retain(|_, queue| !queue.waiting.is_empty());
                 return Some(waiting);
             }
         }
@@ -325,7 +363,7 @@
     }
 }
 
-fn place(priority: Priority) -> usize {
+fn priority_index(priority: Priority) -> usize {
     match priority {
         Priority::Urgent => 0,
         Priority::Normal => 1,
--- a/sesamebeam_core/src/policy/backoff.rs
+++ b/sesamebeam_core/src/policy/backoff.rs
@@ -1,53 +1,56 @@
-//! Pauses that backend servers ask for as they turn requests away.
+//! Backoff periods that backend servers request when they reject requests.
 
 use std::time::Duration;
 
 use crate::ids::MonoTime;
 
-/// Longest pause. Longer ones outlive any process, and times must not overflow.
-const LONGEST: Duration = Duration::from_secs(366 * 24 * 3600);
+/// Upper bound of a pause. Longer ones outlive any process and could overflow
+/// the time arithmetic.
+const MAX_PAUSE: Duration = Duration::from_secs(366 * 24 * 3600);
 
-/// A pause in which a backend server is sent nothing.
+/// A period during which no requests are sent to a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestedPause {
     until: MonoTime,
-    asked: Duration,
+    requested: Duration,
 }
 
 impl RequestedPause {
-    /// Begins one that lasts for as long as was asked.
-    pub fn new(now: MonoTime, asked: Duration) -> Self {
-        let asked = asked.min(LONGEST);
-        let until = now + asked;
-        Self { until, asked }
+    /// Creates a pause that starts now and lasts as long as requested, up to
+    /// the upper bound.
+    pub fn new(now: MonoTime, requested: Duration) -> Self {
+        let requested = requested.min(MAX_PAUSE);
+        let until = now + requested;
+        Self { until, requested }
     }
 
-    /// Returns when it is over.
+    /// Returns the time at which the pause ends.
     pub fn until(self) -> MonoTime {
         self.until
     }
 
-    /// Returns how long it was asked to last.
+    /// Returns the requested length of the pause.
     pub fn asked(self) -> Duration {
-        self.asked
+        self.requested
     }
 
-    /// Returns whether it lasts longer than another.
+    /// Returns whether this pause ends later than `other`.
     pub fn outlasts(self, other: Self) -> bool {
         self.until > other.until
     }
 
-    /// Returns whether it is over.
+    /// Returns whether the pause has ended.
     pub fn is_over(self, now: MonoTime) -> bool {
         self.until <= now
     }
 
-    /// Returns by how much later than its end a caller is asked to come back, by a number
-    /// in [0, 1) of its own.
+    /// Returns the jitter that is added to the end of the pause before a caller
+    /// retries, from a random number in [0, 1) drawn for that caller.
     ///
-    /// Spread over as long again as the pause lasts, callers come back no faster than they
-    /// came. Told its end, all of them would come at that moment.
-    pub fn spread(self, draw: f64) -> Duration {
-        self.asked.mul_f64(draw)
+    /// Retries are spread over a period as long as the pause, so callers return
+    /// no faster than they arrived. Without jitter all of them would retry at
+    /// the moment the pause ends.
+    pub fn spread(self, random: f64) -> Duration {
+        self.requested.mul_f64(random)
     }
 }
--- a/sesamebeam_core/src/policy/balance.rs
+++ b/sesamebeam_core/src/policy/balance.rs
@@ -1,6 +1,7 @@
-//! Choice of a backend server: few choices on expected wait.
+//! Load balancing: selects the backend server with the least expected response
+//! time among a small random sample.
 
-mod table;
+mod server_state;
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 };
 use smol_str::SmolStr;
 
-use self::table::Slot;
+use self::server_state::ServerState;
 use super::backoff::RequestedPause;
 use crate::{
     fleet::{
@@ -35,42 +36,50 @@
     },
 };
 
-/// Backend servers remembered for one prefix.
-const HOLDERS: usize = 4;
+/// Maximum number of backend servers recorded per prefix.
+const MAX_HOLDERS: usize = 4;
 
-/// Prefixes remembered; the oldest is forgotten first.
+/// Maximum number of recorded prefixes. When it is reached, each new prefix
+/// evicts one, in cyclic order of the table's positions.
 const MAX_PREFIXES: usize = 65_536;
 
-/// Largest number of running or waiting requests that is believed.
+/// Largest number of running or waiting requests that a load report may state.
 const MAX_LOAD: u32 = 100_000;
 
-/// Largest speed in tokens a second that is believed.
+/// Largest generation speed, in tokens per second, that an announcement may
+/// state.
 const MAX_SPEED: f32 = 100_000.0;
 
-/// Settings of the choice.
+/// Settings of load balancing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BalanceConfig {
-    /// Backend servers looked at for one request; 1 turns the comparison off.
+    /// Number of backend servers sampled per request; 1 disables the
+    /// comparison.
     pub choices: usize,
-    /// Whether reported load counts beside own in-flight work.
+    /// Whether the load reported by backend servers is used in addition to this
+    /// entry's own in-flight requests.
     pub reported_load: bool,
-    /// Time after which a reported load counts half.
+    /// Half-life of the weight of a load report.
     pub load_half_life: Duration,
-    /// Whether prefix cache hints count.
+    /// Whether prefix cache hints are used.
     pub prefix_hints: bool,
-    /// Time over which a new backend server's share grows; zero turns it off.
+    /// Time over which the share of a new backend server grows to its full
+    /// value; zero disables slow start.
     pub slow_start: Duration,
-    /// Expected wait above which other failure domains are looked at.
-    pub spill: Duration,
-    /// Cost of another failure domain, added to its expected wait.
-    pub far: Duration,
-    /// Prefill speed in prompt tokens a second.
+    /// Expected queueing time in the local failure domain above which other
+    /// failure domains are considered.
+    pub spill_threshold: Duration,
+    /// Penalty added to the expected response time of backend servers in other
+    /// failure domains.
+    pub remote_penalty: Duration,
+    /// Prefill speed in prompt tokens per second.
     pub prefill_speed: f64,
-    /// Time for which a backend server that did not answer is avoided.
-    pub avoid: Duration,
-    /// Most requests in flight from here on one backend server, as a multiple
-    /// of its slots: connections are bounded and a full pool is refused.
-    pub most_in_flight: f64,
+    /// Time for which an unresponsive backend server is not selected.
+    pub avoid_duration: Duration,
+    /// Maximum number of requests that this entry has in flight on one backend
+    /// server, as a multiple of its slots. It bounds the number of connections;
+    /// requests to a pool without room are refused.
+    pub max_in_flight_per_slot: f64,
 }
 
 impl Default for BalanceConfig {
@@ -81,175 +90,177 @@
             load_half_life: Duration::from_secs(2),
             prefix_hints: true,
             slow_start: Duration::from_secs(10),
-            spill: Duration::from_millis(50),
-            far: Duration::from_millis(5),
+            spill_threshold: Duration::from_millis(50),
+            remote_penalty: Duration::from_millis(5),
             prefill_speed: 4000.0,
-            avoid: Duration::from_secs(10),
-            most_in_flight: 2.0,
+            avoid_duration: Duration::from_secs(10),
+            max_in_flight_per_slot: 2.0,
         }
     }
 }
 
-/// What a request is sent to.
+/// Destination of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route<'a> {
-    /// Backend servers that have a version loaded, by full name.
+    /// Backend servers that have a version loaded, given by its full name.
     Version(&'a str),
     /// Backend servers of a pool of plain services.
     Service(&'a str),
 }
 
-/// What the choice is made from.
+/// Input of one selection.
 #[derive(Clone, Copy, Debug)]
 pub struct PickInput<'a> {
-    /// What the request is sent to.
+    /// Destination of the request.
     pub route: Route<'a>,
-    /// Hash of the prompt's prefix, if it has one worth caching.
+    /// Hash of the prompt's prefix, if the prefix is worth caching.
     pub prefix: Option<u64>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens that the answer may have.
+    /// Maximum number of tokens in the answer.
     pub max_tokens: u32,
-    /// How urgent the request is.
+    /// Priority of the request.
     pub priority: Priority,
-    /// Backend servers not to be used, because an attempt there failed.
+    /// Backend servers to skip because an earlier attempt there failed.
     pub exclude: &'a [ServerAddr],
-    /// Whether the request must run apart from others, being suspected of
-    /// crashing backend servers.
+    /// Whether the request must run isolated from other requests because it is
+    /// suspected of crashing backend servers.
     pub alone: bool,
 }
 
-/// A backend server that was looked at.
+/// A backend server that was considered, with its score.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Looked {
-    /// Where it takes requests.
+    /// Address at which it receives requests.
     pub addr: ServerAddr,
-    /// Expected time until the whole answer.
+    /// Expected time until the complete answer.
     pub wait: Duration,
-    /// Whether its cache is thought to hold the prefix.
+    /// Whether its cache is expected to hold the prefix.
     pub cached: bool,
-    /// Whether it is in the entry's own failure domain.
+    /// Whether it is in the same failure domain as this entry.
     pub near: bool,
-    /// Whether it has no room.
+    /// Whether it cannot accept another request.
     pub full: bool,
 }
 
-/// The backend server chosen, with those that were looked at.
+/// The selected backend server and the alternatives considered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pick {
-    /// The backend server in its present life.
+    /// The selected backend server and its incarnation.
     pub server: ServerLife,
-    /// Expected time until the whole answer.
+    /// Expected time until the complete answer.
     pub wait: Duration,
-    /// All that were looked at.
+    /// All backend servers that were considered.
     pub looked: Vec<Looked>,
 }
 
-/// Why a load report was not believed, counted since the start.
+/// Counts of rejected load reports since the start, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadCounts {
-    /// Not a number, negative, or larger than any backend server has.
+    /// Reports with a value that is not a number, negative or above the
+    /// accepted maximum.
     pub absurd: u64,
-    /// So old that it says nothing.
+    /// Reports that were too old to be useful.
     pub stale: u64,
 }
 
-/// Positions of the backend servers that serve one route.
+/// Indices of the backend servers that serve one route, by failure domain.
 #[derive(Clone, Debug, Default)]
-struct Serving {
-    near: Vec<u32>,
-    far: Vec<u32>,
+struct RouteServers {
+    local: Vec<u32>,
+    remote: Vec<u32>,
 }
 
-/// Backend servers and the work in flight on them, as this entry sees it.
+/// Backend servers and their load, as seen by this entry.
 #[derive(Debug)]
 pub struct Balance {
     cfg: BalanceConfig,
     domain: DomainId,
     rng: StdRng,
-    slots_of: IndexMap<PoolId, u32>,
-    servers: IndexMap<ServerAddr, Slot>,
-    versions: IndexMap<VersionId, Serving>,
-    services: IndexMap<PoolId, Serving>,
+    slots_by_pool: IndexMap<PoolId, u32>,
+    servers: IndexMap<ServerAddr, ServerState>,
+    versions: IndexMap<VersionId, RouteServers>,
+    services: IndexMap<PoolId, RouteServers>,
     prefixes: IndexMap<u64, Vec<ServerAddr>>,
     prefix_cursor: usize,
-    stale_lists: bool,
-    /// Time of the last call that told it.
-    clock: MonoTime,
+    routes_dirty: bool,
+    /// Latest time passed in by a caller.
+    latest_time: MonoTime,
     counts: LoadCounts,
     scratch: Vec<u32>,
 }
 
 impl Balance {
-    /// Starts without backend servers, in a failure domain, with a seed.
+    /// Creates a balancer without backend servers for a failure domain, with a
+    /// random seed.
     pub fn new(cfg: BalanceConfig, domain: DomainId, seed: u64) -> Self {
         Self {
             cfg,
             domain,
             rng: StdRng::seed_from_u64(seed),
-            slots_of: IndexMap::new(),
+            slots_by_pool: IndexMap::new(),
             servers: IndexMap::new(),
             versions: IndexMap::new(),
             services: IndexMap::new(),
             prefixes: IndexMap::new(),
             prefix_cursor: 0,
-            stale_lists: false,
-            clock: MonoTime::ZERO,
+            routes_dirty: false,
+            latest_time: MonoTime::ZERO,
             counts: LoadCounts::default(),
             scratch: Vec::new(),
         }
     }
 
-    /// Takes the slots of each pool from a fleet file.
+    /// Applies the slots per pool of a fleet file.
     pub fn configure(&mut self, fleet: &Fleet) {
-        self.slots_of = fleet
+        self.slots_by_pool = fleet
             .pools
             .iter()
             .map(|p| (p.name.clone(), p.slots.max(1)))
             .collect();
-        for slot in self.servers.values_mut() {
-            slot.slots = self.slots_of.get(&slot.pool).copied().unwrap_or(1);
+        for state in self.servers.values_mut() {
+            state.slots = self.slots_by_pool.get(&state.pool).copied().unwrap_or(1);
         }
     }
 
-    /// Takes a new or changed backend server.
+    /// Adds or updates a backend server from its announcement.
     pub fn upsert(&mut self, now: MonoTime, server: &Announcement) {
-        let slots = self.slots_of.get(&server.pool).copied().unwrap_or(1);
-        let near = server.domain == self.domain;
+        let slots = self.slots_by_pool.get(&server.pool).copied().unwrap_or(1);
+        let local = server.domain == self.domain;
         let known = self
             .servers
             .get(&server.addr)
-            .is_some_and(|slot| slot.incarnation == server.incarnation);
+            .is_some_and(|state| state.incarnation == server.incarnation);
         if !known {
             self.servers
-                .insert(server.addr, Slot::new(now, server, slots, near));
-            self.stale_lists = true;
+                .insert(server.addr, ServerState::new(now, server, slots, local));
+            self.routes_dirty = true;
         }
-        let slot = &mut self.servers[&server.addr];
-        if slot.versions != server.versions || slot.leaving != server.leaving {
-            slot.versions.clone_from(&server.versions);
-            slot.leaving = server.leaving;
-            self.stale_lists = true;
+        let state = &mut self.servers[&server.addr];
+        if state.versions != server.versions || state.leaving != server.leaving {
+            state.versions.clone_from(&server.versions);
+            state.leaving = server.leaving;
+            self.routes_dirty = true;
         }
         if server.speed.is_finite() && (1.0..MAX_SPEED).contains(&server.speed) {
-            slot.speed = f64::from(server.speed);
+            state.speed = f64::from(server.speed);
         }
         self.load(now, server.addr, server.load);
         for event in &server.cache {
             match event.held {
-                true => self.hint(event.prefix, server.addr),
-                false => self.unhint(event.prefix, server.addr),
+                true => self.add_prefix_holder(event.prefix, server.addr),
+                false => self.remove_prefix_holder(event.prefix, server.addr),
             }
         }
     }
 
-    /// Takes a load report, or counts why it is not believed.
+    /// Applies a load report, or counts why it is rejected.
     pub fn load(&mut self, now: MonoTime, addr: ServerAddr, load: Load) {
-        self.clock = self.clock.max(now);
-        let absurd = load.running > MAX_LOAD
+        self.latest_time = self.latest_time.max(now);
+        let out_of_range = load.running > MAX_LOAD
             || load.waiting > MAX_LOAD
             || !(0.0..=1.0).contains(&load.kv_used);
-        if absurd {
+        if out_of_range {
             self.counts.absurd += 1;
             return;
         }
@@ -258,167 +269,174 @@
             self.counts.stale += 1;
             return;
         }
-        if let Some(slot) = self.servers.get_mut(&addr) {
-            slot.report(now, age, load);
+        if let Some(state) = self.servers.get_mut(&addr) {
+            state.apply_load(now, age, load);
         }
     }
 
-    /// Forgets a backend server that is out.
+    /// Removes a backend server that is no longer a member.
     pub fn remove(&mut self, addr: ServerAddr) {
         if self.servers.swap_remove(&addr).is_some() {
-            self.stale_lists = true;
+            self.routes_dirty = true;
         }
     }
 
-    /// Avoids a backend server for a while, because it did not answer.
+    /// Stops selecting a backend server for a while because it did not respond.
     pub fn avoid(&mut self, now: MonoTime, addr: ServerAddr) {
-        let until = now + self.cfg.avoid;
-        if let Some(slot) = self.servers.get_mut(&addr) {
-            slot.avoid_until = until;
+        let until = now + self.cfg.avoid_duration;
+        if let Some(state) = self.servers.get_mut(&addr) {
+            state.avoid_until = until;
         }
     }
 
-    /// Learns that a backend server refused a request for want of room.
+    /// Records that a backend server rejected a request because it had no room.
     pub fn refused(&mut self, now: MonoTime, addr: ServerAddr) {
-        if let Some(slot) = self.servers.get_mut(&addr) {
-            slot.refused(now);
+        if let Some(state) = self.servers.get_mut(&addr) {
+            state.refused(now);
         }
     }
 
-    /// Keeps to the pause that a life of a backend server asked for, if it did, unless an
-    /// earlier one lasts longer. Nothing but its time ends it.
-    pub fn pause(&mut self, now: MonoTime, server: ServerLife, asked: Option<Duration>) {
-        let slot = self.servers.get_mut(&server.addr);
-        let slot = slot.filter(|slot| slot.incarnation == server.incarnation);
-        let (Some(slot), Some(asked)) = (slot, asked) else {
+    /// Applies the pause that an incarnation of a backend server requested, if
+    /// any, unless an earlier pause ends later. A pause ends only when its time
+    /// is over.
+    pub fn pause(&mut self, now: MonoTime, server: ServerLife, requested: Option<Duration>) {
+        let state = self.servers.get_mut(&server.addr);
+        let state = state.filter(|state| state.incarnation == server.incarnation);
+        let (Some(state), Some(requested)) = (state, requested) else {
             return;
         };
-        let pause = RequestedPause::new(now, asked);
-        if slot.pause.is_none_or(|known| pause.outlasts(known)) {
-            slot.pause = Some(pause);
+        let pause = RequestedPause::new(now, requested);
+        if state.pause.is_none_or(|known| pause.outlasts(known)) {
+            state.pause = Some(pause);
         }
     }
 
-    /// Returns the pause that ends first, if every backend server that serves a route has
-    /// asked for one; none if one of them has not.
+    /// Returns the pause that ends first if every backend server that serves a
+    /// route has requested one, or `None` otherwise.
     pub fn pause_of_all(&self, now: MonoTime, route: Route<'_>) -> Option<RequestedPause> {
-        let serving = self.servers.values().filter(|slot| !slot.leaving);
-        let serving = serving.filter(|slot| slot.serves(route));
-        let pauses: Option<Vec<RequestedPause>> = serving.map(|slot| slot.pause_at(now)).collect();
+        let serving = self.servers.values().filter(|state| !state.leaving);
+        let serving = serving.filter(|state| state.serves(route));
+        let pauses: Option<Vec<RequestedPause>> =
+            serving.map(|state| state.pause_at(now)).collect();
         pauses?.into_iter().min_by_key(|pause| pause.until())
     }
 
-    /// Ends the avoiding of a backend server, because it answered.
+    /// Makes a backend server selectable again because it responded.
     pub fn answered(&mut self, addr: ServerAddr) {
-        if let Some(slot) = self.servers.get_mut(&addr) {
-            slot.avoid_until = MonoTime::ZERO;
+        if let Some(state) = self.servers.get_mut(&addr) {
+            state.avoid_until = MonoTime::ZERO;
         }
     }
 
-    /// Counts a request that was sent.
+    /// Records that a request was sent.
     pub fn started(&mut self, addr: ServerAddr, prefix: Option<u64>, alone: bool) {
-        if let Some(slot) = self.servers.get_mut(&addr) {
-            slot.change_own(self.clock, slot.own + 1);
-            slot.reserved += u32::from(alone);
+        if let Some(state) = self.servers.get_mut(&addr) {
+            state.set_in_flight(self.latest_time, state.in_flight + 1);
+            state.isolated += u32::from(alone);
         }
         if let Some(prefix) = prefix {
-            self.hint(prefix, addr);
+            self.add_prefix_holder(prefix, addr);
         }
     }
 
-    /// Counts a request that ended, with its time if its answer was whole.
+    /// Records that a request ended, with its response time if the answer was
+    /// complete.
     pub fn finished(&mut self, addr: ServerAddr, alone: bool, took: Option<Duration>) {
-        let Some(slot) = self.servers.get_mut(&addr) else {
+        let Some(state) = self.servers.get_mut(&addr) else {
             return;
         };
-        slot.change_own(self.clock, slot.own.saturating_sub(1));
-        slot.reserved = slot.reserved.saturating_sub(u32::from(alone));
+        state.set_in_flight(self.latest_time, state.in_flight.saturating_sub(1));
+        state.isolated = state.isolated.saturating_sub(u32::from(alone));
         if let Some(took) = took {
-            slot.learn_time(took);
+            state.record_duration(took);
         }
     }
 
-    /// Chooses a backend server; none if every one that serves the route is
-    /// full, avoided or excluded.
+    /// Selects a backend server, or `None` if every one that serves the route
+    /// is full, avoided, paused or excluded.
     ///
-    /// A few are drawn at random and compared on expected wait. Always taking
-    /// the least loaded would send every entry to the one that last looked
-    /// idle until its next report.
+    /// A small random sample is compared by expected response time. If the
+    /// least loaded backend server were always selected, all entries would send
+    /// to the same one until its next load report.
     pub fn pick(&mut self, now: MonoTime, input: &PickInput<'_>) -> Option<Pick> {
-        self.clock = self.clock.max(now);
-        self.refresh_lists();
-        let mut looked = Vec::with_capacity(self.cfg.choices + HOLDERS);
-        self.draw(input, true);
-        self.look(now, input, &mut looked);
-        let best_near = best(&looked);
-        if best_near.is_none_or(|at| looked[at].wait > self.cfg.spill + self.unqueued(input)) {
-            self.draw(input, false);
-            self.look(now, input, &mut looked);
-        }
-        let at = best(&looked).or_else(|| self.scan(now, input, &mut looked))?;
-        let (_, slot) = self.servers.get_key_value(&looked[at].addr)?;
+        self.latest_time = self.latest_time.max(now);
+        self.refresh_routes();
+        let mut considered = Vec::with_capacity(self.cfg.choices + MAX_HOLDERS);
+        self.sample_servers(input, true);
+        self.score_sampled(now, input, &mut considered);
+        let best_local = best(&considered);
+        if best_local.is_none_or(|index| {
+            considered[index].wait > self.cfg.spill_threshold + self.unqueued_time(input)
+        }) {
+            self.sample_servers(input, false);
+            self.score_sampled(now, input, &mut considered);
+        }
+        let index = best(&considered).or_else(|| self.score_all(now, input, &mut considered))?;
+        let (_, state) = self.servers.get_key_value(&considered[index].addr)?;
         Some(Pick {
             server: ServerLife {
-                addr: looked[at].addr,
-                incarnation: slot.incarnation,
+                addr: considered[index].addr,
+                incarnation: state.incarnation,
             },
-            wait: looked[at].wait,
-            looked,
+            wait: considered[index].wait,
+            looked: considered,
         })
     }
 
-    /// Tells whether a backend server may still be sent new work: known, in
-    /// this life, not leaving, and in no pause that it asked for. Checked again
-    /// just before sending.
+    /// Returns whether a backend server may still receive new requests: it is
+    /// known with this incarnation, is not leaving and has not requested a
+    /// pause. Checked again immediately before sending.
     pub fn takes_work(&self, now: MonoTime, server: ServerLife) -> bool {
-        let slot = self.servers.get(&server.addr);
-        let slot = slot.filter(|slot| slot.incarnation == server.incarnation);
-        slot.is_some_and(|slot| !slot.leaving && slot.pause_at(now).is_none())
+        let state = self.servers.get(&server.addr);
+        let state = state.filter(|state| state.incarnation == server.incarnation);
+        state.is_some_and(|state| !state.leaving && state.pause_at(now).is_none())
     }
 
-    /// Tells whether any backend server serves a route at present.
+    /// Returns whether any backend server currently serves a route.
     pub fn serves(&mut self, route: Route<'_>) -> bool {
-        self.refresh_lists();
-        self.serving(route)
-            .is_some_and(|serving| !serving.near.is_empty() || !serving.far.is_empty())
+        self.refresh_routes();
+        self.servers_of(route)
+            .is_some_and(|serving| !serving.local.is_empty() || !serving.remote.is_empty())
     }
 
-    /// Gives the slots of a pool that this entry may count on: those in its own
-    /// failure domain, and half of what reports leave free in others, which
-    /// other entries may turn to as well.
+    /// Returns the slots of a pool that this entry may use: the free slots in
+    /// its own failure domain, and half of the free slots in other failure
+    /// domains, which other entries may use as well.
     pub fn capacity(&self, now: MonoTime, pool: &str) -> u32 {
-        let mut near = 0.0;
-        let mut far = 0.0;
-        for slot in self.servers.values() {
-            let is_out = slot.leaving || slot.avoid_until > now || slot.pause_at(now).is_some();
-            if slot.pool != pool || is_out {
+        let mut local = 0.0;
+        let mut remote = 0.0;
+        for state in self.servers.values() {
+            let unavailable =
+                state.leaving || state.avoid_until > now || state.pause_at(now).is_some();
+            if state.pool != pool || unavailable {
                 continue;
             }
-            let free = slot.free(now, &self.cfg);
-            match slot.near {
-                true => near += free,
-                false => far += free,
+            let free_slots = state.free_slots(now, &self.cfg);
+            match state.local {
+                true => local += free_slots,
+                false => remote += free_slots,
             }
         }
-        (near + far / 2.0) as u32
+        (local + remote / 2.0) as u32
     }
 
-    /// Gives the requests of this entry in flight on a backend server.
+    /// Returns the number of requests that this entry has in flight on a
+    /// backend server.
     pub fn in_flight(&self, addr: ServerAddr) -> u32 {
-        self.servers.get(&addr).map_or(0, |slot| slot.own)
+        self.servers.get(&addr).map_or(0, |state| state.in_flight)
     }
 
-    /// Gives the pool of a backend server.
+    /// Returns the pool of a backend server.
     pub fn pool_of(&self, addr: ServerAddr) -> Option<&SmolStr> {
-        self.servers.get(&addr).map(|slot| &slot.pool)
+        self.servers.get(&addr).map(|state| &state.pool)
     }
 
-    /// Counts load reports that were not believed.
+    /// Returns the counts of rejected load reports.
     pub fn counts(&self) -> LoadCounts {
         self.counts
     }
 
-    fn hint(&mut self, prefix: u64, addr: ServerAddr) {
+    fn add_prefix_holder(&mut self, prefix: u64, addr: ServerAddr) {
         if !self.prefixes.contains_key(&prefix) && self.prefixes.len() >= MAX_PREFIXES {
             self.prefix_cursor = (self.prefix_cursor + 1) % MAX_PREFIXES;
             self.prefixes.swap_remove_index(self.prefix_cursor);
@@ -427,13 +445,13 @@
         if holders.contains(&addr) {
             return;
         }
-        if holders.len() >= HOLDERS {
+        if holders.len() >= MAX_HOLDERS {
             holders.remove(0);
         }
         holders.push(addr);
     }
 
-    fn unhint(&mut self, prefix: u64, addr: ServerAddr) {
+    fn remove_prefix_holder(&mut self, prefix: u64, addr: ServerAddr) {
         if let Some(holders) = self.prefixes.get_mut(&prefix) {
             holders.retain(|holder| *holder != addr);
             if holders.is_empty() {
@@ -442,119 +460,138 @@
         }
     }
 
-    fn serving(&self, route: Route<'_>) -> Option<&Serving> {
+    fn servers_of(&self, route: Route<'_>) -> Option<&RouteServers> {
         match route {
             Route::Version(version) => self.versions.get(version),
             Route::Service(pool) => self.services.get(pool),
         }
     }
 
-    /// Rebuilds the lists of routes after a change of membership.
-    fn refresh_lists(&mut self) {
-        if !std::mem::take(&mut self.stale_lists) {
+    /// Rebuilds the route lists if the membership has changed.
+    fn refresh_routes(&mut self) {
+        if !std::mem::take(&mut self.routes_dirty) {
             return;
         }
         self.versions.clear();
         self.services.clear();
-        for (at, slot) in self.servers.values().enumerate() {
-            if slot.leaving {
+        for (index, state) in self.servers.values().enumerate() {
+            if state.leaving {
                 continue;
             }
-            let at = at as u32;
-            for version in &slot.versions {
+            let index = index as u32;
+            for version in &state.versions {
                 self.versions
                     .entry(version.clone())
                     .or_default()
-                    .add(at, slot.near);
+                    .add(index, state.local);
             }
-            if slot.versions.is_empty() {
+            if state.versions.is_empty() {
                 self.services
-                    .entry(slot.pool.clone())
+                    .entry(state.pool.clone())
                     .or_default()
-                    .add(at, slot.near);
+                    .add(index, state.local);
             }
         }
     }
 
-    /// Draws a few backend servers into `scratch`, and those that hold the prefix.
-    fn draw(&mut self, input: &PickInput<'_>, near: bool) {
-        let mut drawn = std::mem::take(&mut self.scratch);
-        drawn.clear();
+    /// Samples backend servers of the route into `scratch` and adds those that
+    /// hold the prefix.
+    fn sample_servers(&mut self, input: &PickInput<'_>, local: bool) {
+        let mut sampled = std::mem::take(&mut self.scratch);
+        sampled.clear();
         let serving = match input.route {
             Route::Version(version) => self.versions.get(version),
             Route::Service(pool) => self.services.get(pool),
         };
-        let list: &[u32] = match serving {
-            Some(serving) if near => &serving.near,
-            Some(serving) => &serving.far,
+        let candidates: &[u32] = match serving {
+            Some(serving) if local => &serving.local,
+            Some(serving) => &serving.remote,
             None => &[],
         };
-        if list.len() <= self.cfg.choices {
-            drawn.extend_from_slice(list);
+        if candidates.len() <= self.cfg.choices {
+            sampled.extend_from_slice(candidates);
         } else {
-            while drawn.len() < self.cfg.choices.max(1) {
-                let at = list[self.rng.random_range(0..list.len())];
-                if !drawn.contains(&at) {
-                    drawn.push(at);
+            while sampled.len() < self.cfg.choices.max(1) {
+                let index = candidates[self.rng.random_range(0..candidates.len())];
+                if !sampled.contains(&index) {
+                    sampled.push(index);
                 }
             }
-            self.add_holders(input, near, &mut drawn);
+            self.add_prefix_holders(input, local, &mut sampled);
         }
-        self.scratch = drawn;
+        self.scratch = sampled;
     }
 
-    fn add_holders(&self, input: &PickInput<'_>, near: bool, drawn: &mut Vec<u32>) {
+    fn add_prefix_holders(&self, input: &PickInput<'_>, local: bool, sampled: &mut Vec<u32>) {
         if !self.cfg.prefix_hints {
             return;
         }
         let holders = input.prefix.and_then(|prefix| self.prefixes.get(&prefix));
         for addr in holders.into_iter().flatten() {
-            let Some((at, _, slot)) = self.servers.get_full(addr) else {
+            let Some((index, _, state)) = self.servers.get_full(addr) else {
                 continue;
             };
-            let at = at as u32;
-            if slot.near == near
-                && !slot.leaving
-                && slot.serves(input.route)
-                && !drawn.contains(&at)
+            let index = index as u32;
+            if state.local == local
+                && !state.leaving
+                && state.serves(input.route)
+                && !sampled.contains(&index)
             {
-                drawn.push(at);
+                sampled.push(index);
             }
         }
     }
 
-    fn look(&mut self, now: MonoTime, input: &PickInput<'_>, looked: &mut Vec<Looked>) {
-        let drawn = std::mem::take(&mut self.scratch);
-        looked.extend(drawn.iter().filter_map(|at| self.score(now, input, *at)));
-        self.scratch = drawn;
+    fn score_sampled(
+        &mut self,
+        now: MonoTime,
+        input: &PickInput<'_>,
+        considered: &mut Vec<Looked>,
+    ) {
+        let sampled = std::mem::take(&mut self.scratch);
+        considered.extend(
+            sampled
+                .iter()
+                .filter_map(|index| self.score(now, input, *index)),
+        );
+        self.scratch = sampled;
     }
 
-    /// Looks at every backend server of the route, when the few drawn were all
-    /// full or avoided: a refusal must be true of the whole pool.
-    fn scan(
+    /// Scores every backend server of the route. Used when all sampled ones are
+    /// full or avoided, because a request may only be refused if the whole pool
+    /// is full.
+    fn score_all(
         &mut self,
         now: MonoTime,
         input: &PickInput<'_>,
-        looked: &mut Vec<Looked>,
+        considered: &mut Vec<Looked>,
     ) -> Option<usize> {
-        let serving = self.serving(input.route)?;
-        let all: Vec<u32> = serving.near.iter().chain(&serving.far).copied().collect();
-        looked.clear();
-        looked.extend(all.iter().filter_map(|at| self.score(now, input, *at)));
-        let found = best(looked);
-        if let Some(at) = found {
-            looked.swap(0, at);
-            looked.truncate(self.cfg.choices.max(1));
+        let serving = self.servers_of(input.route)?;
+        let all: Vec<u32> = serving
+            .local
+            .iter()
+            .chain(&serving.remote)
+            .copied()
+            .collect();
+        considered.clear();
+        considered.extend(
+            all.iter()
+                .filter_map(|index| self.score(now, input, *index)),
+        );
+        let found = best(considered);
+        if let Some(index) = found {
+            considered.swap(0, index);
+            considered.truncate(self.cfg.choices.max(1));
             return Some(0);
         }
-        looked.truncate(self.cfg.choices.max(1));
+        considered.truncate(self.cfg.choices.max(1));
         None
     }
 
-    fn score(&self, now: MonoTime, input: &PickInput<'_>, at: u32) -> Option<Looked> {
-        let (addr, slot) = self.servers.get_index(at as usize)?;
-        let is_out = slot.avoid_until > now || slot.pause_at(now).is_some();
-        if input.exclude.contains(addr) || is_out {
+    fn score(&self, now: MonoTime, input: &PickInput<'_>, index: u32) -> Option<Looked> {
+        let (addr, state) = self.servers.get_index(index as usize)?;
+        let unavailable = state.avoid_until > now || state.pause_at(now).is_some();
+        if input.exclude.contains(addr) || unavailable {
             return None;
         }
         let cached = self.cfg.prefix_hints
@@ -562,50 +599,51 @@
                 .prefix
                 .and_then(|prefix| self.prefixes.get(&prefix))
                 .is_some_and(|holders| holders.contains(addr));
-        let most = (f64::from(slot.slots) * self.cfg.most_in_flight).ceil() as u32;
-        let full = slot.own >= most || slot.reserved > 0;
-        let wait = slot.expected(now, &self.cfg, input, cached);
-        let far = if slot.near {
+        let max_in_flight =
+            (f64::from(state.slots) * self.cfg.max_in_flight_per_slot).ceil() as u32;
+        let full = state.in_flight >= max_in_flight || state.isolated > 0;
+        let wait = state.expected_time(now, &self.cfg, input, cached);
+        let remote_penalty = if state.local {
             Duration::ZERO
         } else {
-            self.cfg.far
+            self.cfg.remote_penalty
         };
-        let apart = match input.alone {
-            true => Duration::from_secs(u64::from(slot.own)),
+        let isolation_penalty = match input.alone {
+            true => Duration::from_secs(u64::from(state.in_flight)),
             false => Duration::ZERO,
         };
         Some(Looked {
             addr: *addr,
-            wait: wait + far + apart,
+            wait: wait + remote_penalty + isolation_penalty,
             cached,
-            near: slot.near,
+            near: state.local,
             full,
         })
     }
 
-    /// Gives the time that the answer takes on a backend server whose slots are
-    /// all taken but one: whatever takes longer waits in a queue.
-    fn unqueued(&self, input: &PickInput<'_>) -> Duration {
-        let serving = self.serving(input.route);
-        let first = serving.and_then(|s| s.near.first().or(s.far.first()));
+    /// Returns the response time on a backend server with a single free slot. A
+    /// longer expected time implies queueing.
+    fn unqueued_time(&self, input: &PickInput<'_>) -> Duration {
+        let serving = self.servers_of(input.route);
+        let first = serving.and_then(|s| s.local.first().or(s.remote.first()));
         let speed = first
-            .and_then(|at| self.servers.get_index(*at as usize))
-            .map_or(table::USUAL_SPEED, |(_, slot)| slot.speed);
-        table::full_time(&self.cfg, input, speed)
+            .and_then(|index| self.servers.get_index(*index as usize))
+            .map_or(server_state::DEFAULT_SPEED, |(_, state)| state.speed);
+        server_state::last_slot_time(&self.cfg, input, speed)
     }
 }
 
-impl Serving {
-    fn add(&mut self, at: u32, near: bool) {
-        match near {
-            true => self.near.push(at),
-            false => self.far.push(at),
+impl RouteServers {
+    fn add(&mut self, index: u32, local: bool) {
+        match local {
+            true => self.local.push(index),
+            false => self.remote.push(index),
         }
     }
 }
 
-fn best(looked: &[Looked]) -> Option<usize> {
-    (0..looked.len())
-        .filter(|&at| !looked[at].full)
-        .min_by_key(|&at| looked[at].wait)
+fn best(considered: &[Looked]) -> Option<usize> {
+    (0..considered.len())
+        .filter(|&index| !considered[index].full)
+        .min_by_key(|&index| considered[index].wait)
 }
--- a/sesamebeam_core/src/policy/burn.rs
+++ b/sesamebeam_core/src/policy/burn.rs
@@ -1,8 +1,9 @@
-//! Burn of each organisation's objectives over several windows.
+//! Error budget burn rates of each organisation's objectives over several
+//! windows.
 //!
-//! A burn rate of 1 uses up the allowance exactly; both windows of a pair must
-//! burn fast before it counts, so that a short spike that is over does not
-//! alert, and a slow burn does.
+//! A burn rate of 1 uses up exactly the error budget. An alert fires only if
+//! both windows of a pair are at or above the limit, so that a short spike that
+//! has ended does not alert while a sustained slow burn does.
 
 use std::{
     collections::VecDeque,
@@ -27,20 +28,20 @@
     },
 };
 
-/// Length of a fine bucket.
-const FINE: Duration = Duration::from_secs(30);
+/// Length of a fine-grained bucket.
+const FINE_BUCKET: Duration = Duration::from_secs(30);
 
-/// Fine buckets kept: six hours.
-const FINE_KEPT: usize = 720;
+/// Number of fine-grained buckets kept: six hours.
+const MAX_FINE_BUCKETS: usize = 720;
 
-/// Length of a coarse bucket.
-const COARSE: Duration = Duration::from_secs(900);
+/// Length of a coarse-grained bucket.
+const COARSE_BUCKET: Duration = Duration::from_secs(900);
 
-/// Coarse buckets kept: a day.
-const COARSE_KEPT: usize = 96;
+/// Number of coarse-grained buckets kept: one day.
+const MAX_COARSE_BUCKETS: usize = 96;
 
-/// Window pairs with the burn rate at which both alert.
-const PAIRS: [(Duration, Duration, f64); 3] = [
+/// Short and long window of each pair, with the burn rate at which it alerts.
+const WINDOW_PAIRS: [(Duration, Duration, f64); 3] = [
     (Duration::from_secs(5 * 60), Duration::from_secs(3600), 14.4),
     (
         Duration::from_secs(30 * 60),
@@ -54,117 +55,119 @@
     ),
 ];
 
-/// Objectives kept at most; further ones are counted and left out.
+/// Maximum number of objectives. Further ones are counted and ignored.
 const MAX_OBJECTIVES: usize = 4096;
 
-/// What an objective is about.
+/// Service level indicator of an objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Indicator {
-    /// Whole answers within the deadline.
+    /// Share of requests answered completely within the deadline.
     Whole,
-    /// Answers within the stated latency.
+    /// Share of complete answers within the target latency.
     Latency,
-    /// Good answers among the rated.
+    /// Share of good answers among the rated ones.
     Quality,
 }
 
 impl Indicator {
-    /// Every indicator, in the order of reports.
+    /// All indicators, in report order.
     pub const ALL: [Self; 3] = [Self::Whole, Self::Latency, Self::Quality];
 }
 
-/// Burn of one objective.
+/// Burn rates of one objective.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObjectiveBurn {
-    /// Organisation whose objective it is.
+    /// Organisation that the objective belongs to.
     pub org: OrgId,
     /// Class of requests.
     pub class: ClassId,
     /// What the objective is about.
     pub indicator: Indicator,
-    /// Share that must be good.
+    /// Required share of good events.
     pub objective: f64,
-    /// Burn over each pair of windows.
+    /// Burn rates over each pair of windows.
     pub pairs: Vec<PairBurn>,
-    /// Burn rate in each of the last buckets, oldest first, for plots.
+    /// Burn rate in each of the last coarse-grained buckets, oldest first, for
+    /// plots.
     pub history: Vec<f64>,
 }
 
 impl ObjectiveBurn {
-    /// Tells whether any pair alerts.
+    /// Returns whether any pair of windows alerts.
     pub fn alerts(&self) -> bool {
         self.pairs.iter().any(|pair| pair.alerts)
     }
 }
 
-/// Burn over a pair of windows.
+/// Burn rates over a pair of windows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PairBurn {
     /// Short window.
     pub short: WindowBurn,
     /// Long window.
     pub long: WindowBurn,
-    /// Burn rate at which both alert.
+    /// Burn rate at which the pair alerts.
     pub limit: f64,
-    /// Whether both are at or above the limit.
+    /// Whether both windows are at or above the limit.
     pub alerts: bool,
 }
 
-/// Burn over one window.
+/// Burn rate over one window.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WindowBurn {
     /// Length of the window.
     #[serde(with = "humantime_serde")]
     pub window: Duration,
-    /// Events in it.
+    /// Number of events in the window.
     pub total: u64,
-    /// Bad ones among them.
+    /// Number of bad events in the window.
     pub bad: u64,
-    /// Burn rate: share of bad ones over the share allowed.
+    /// Burn rate: the share of bad events divided by the allowed share.
     pub rate: f64,
 }
 
-/// Burn of every objective.
+/// Burn rates of all objectives.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BurnReport {
     /// Time since the entry started.
     #[serde(with = "humantime_serde")]
     pub up: Duration,
-    /// Objectives with their burn.
+    /// Burn rates by objective and indicator.
     pub objectives: Vec<ObjectiveBurn>,
-    /// Length of one step of the histories.
+    /// Time between two values of the histories.
     #[serde(with = "humantime_serde")]
     pub step: Duration,
 }
 
-/// Events and bad ones among them, by indicator.
+/// Number of events and of bad events, by indicator.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Tally {
+struct EventCounts {
     total: [u32; 3],
     bad: [u32; 3],
 }
 
-impl Tally {
+impl EventCounts {
     fn add(&mut self, indicator: Indicator, bad: bool) {
-        let at = indicator as usize;
-        self.total[at] = self.total[at].saturating_add(1);
-        self.bad[at] = self.bad[at].saturating_add(u32::from(bad));
+        let column = indicator as usize;
+        self.total[column] = self.total[column].saturating_add(1);
+        self.bad[column] = self.bad[column].saturating_add(u32::from(bad));
     }
 }
 
-/// Buckets of one length, newest last, only those with events.
+/// Time series of buckets of equal length, newest last. Empty buckets are not
+/// stored.
 #[derive(Clone, Debug, Default)]
 struct Series {
-    buckets: VecDeque<(u64, Tally)>,
+    buckets: VecDeque<(u64, EventCounts)>,
 }
 
 impl Series {
-    fn at(&mut self, number: u64, kept: usize) -> &mut Tally {
-        if self.buckets.back().is_none_or(|(last, _)| *last < number) {
-            self.buckets.push_back((number, Tally::default()));
+    fn bucket_mut(&mut self, index: u64, max_buckets: usize) -> &mut EventCounts {
+        if self.buckets.back().is_none_or(|(last, _)| *last < index) {
+            self.buckets.push_back((index, EventCounts::default()));
         }
-        while self.buckets.len() > kept {
+        while self.buckets.len() > max_buckets {
             self.buckets.pop_front();
         }
         let last = self.buckets.len() - 1;
@@ -172,42 +175,43 @@
     }
 
     fn sum(&self, from: u64, indicator: Indicator) -> (u64, u64) {
-        let at = indicator as usize;
+        let column = indicator as usize;
         self.buckets
             .iter()
             .rev()
-            .take_while(|(number, _)| *number >= from)
-            .fold((0, 0), |(total, bad), (_, tally)| {
+            .take_while(|(index, _)| *index >= from)
+            .fold((0, 0), |(total, bad), (_, counts)| {
                 (
-                    total + u64::from(tally.total[at]),
-                    bad + u64::from(tally.bad[at]),
+                    total + u64::from(counts.total[column]),
+                    bad + u64::from(counts.bad[column]),
                 )
             })
     }
 }
 
-/// Events of one organisation's class.
+/// Events of one organisation and class.
 #[derive(Clone, Debug)]
-struct Objective {
+struct ObjectiveEvents {
     target: Target,
     fine: Series,
     coarse: Series,
 }
 
-/// Burn of every organisation's objectives.
+/// Tracks the burn rates of all objectives.
 #[derive(Clone, Debug, Default)]
 pub struct Burn {
-    objectives: IndexMap<(OrgId, ClassId), Objective>,
+    objectives: IndexMap<(OrgId, ClassId), ObjectiveEvents>,
     left_out: u64,
 }
 
 impl Burn {
-    /// Starts without events.
+    /// Creates a tracker without events.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the objectives of a fleet file; events of those that stay are kept.
+    /// Applies the objectives of a fleet file. Events of objectives that remain
+    /// are kept.
     pub fn configure(&mut self, fleet: &Fleet) {
         let mut objectives = IndexMap::new();
         self.left_out = 0;
@@ -220,7 +224,7 @@
                 let key = (org.name.clone(), target.class.clone());
                 let known = self.objectives.swap_remove(&key);
                 let (fine, coarse) = known.map_or_else(Default::default, |o| (o.fine, o.coarse));
-                let objective = Objective {
+                let objective = ObjectiveEvents {
                     target: target.clone(),
                     fine,
                     coarse,
@@ -231,8 +235,9 @@
         self.objectives = objectives;
     }
 
-    /// Counts a request that ended: its latency if it was answered whole within
-    /// its deadline. A refusal counts as not answered.
+    /// Records a request that ended, with its latency if it was answered
+    /// completely within its deadline. A refused request counts as not
+    /// answered.
     pub fn ended(&mut self, now: MonoTime, org: &OrgId, class: &ClassId, whole: Option<Duration>) {
         let Some(objective) = self.objectives.get_mut(&(org.clone(), class.clone())) else {
             return;
@@ -244,14 +249,14 @@
         }
     }
 
-    /// Counts a rated answer.
+    /// Records a rated answer.
     pub fn rated(&mut self, now: MonoTime, org: &OrgId, class: &ClassId, good: bool) {
         if let Some(objective) = self.objectives.get_mut(&(org.clone(), class.clone())) {
             objective.add(now, Indicator::Quality, !good);
         }
     }
 
-    /// Reports the burn of every objective, or of one organisation's.
+    /// Returns the burn rates of all objectives, or of one organisation.
     pub fn report(&self, now: MonoTime, only: Option<&str>) -> BurnReport {
         let mut objectives = Vec::new();
         for ((org, class), objective) in &self.objectives {
@@ -272,23 +277,24 @@
         BurnReport {
             up: now,
             objectives,
-            step: COARSE,
+            step: COARSE_BUCKET,
         }
     }
 
-    /// Gives the objectives that were left out because there are too many.
+    /// Returns the number of objectives that were ignored because there are too
+    /// many.
     pub fn left_out(&self) -> u64 {
         self.left_out
     }
 }
 
-impl Objective {
+impl ObjectiveEvents {
     fn add(&mut self, now: MonoTime, indicator: Indicator, bad: bool) {
         self.fine
-            .at(number(now, FINE), FINE_KEPT)
+            .bucket_mut(bucket_index(now, FINE_BUCKET), MAX_FINE_BUCKETS)
             .add(indicator, bad);
         self.coarse
-            .at(number(now, COARSE), COARSE_KEPT)
+            .bucket_mut(bucket_index(now, COARSE_BUCKET), MAX_COARSE_BUCKETS)
             .add(indicator, bad);
     }
 
@@ -312,15 +318,16 @@
                 alerts,
             }
         };
-        PAIRS.into_iter().map(pair).collect()
+        WINDOW_PAIRS.into_iter().map(pair).collect()
     }
 
     fn window(&self, now: MonoTime, window: Duration, indicator: Indicator) -> WindowBurn {
         let from = now.saturating_sub(window);
-        let (total, bad) = if window <= FINE * FINE_KEPT as u32 {
-            self.fine.sum(number(from, FINE), indicator)
+        let (total, bad) = if window <= FINE_BUCKET * MAX_FINE_BUCKETS as u32 {
+            self.fine.sum(bucket_index(from, FINE_BUCKET), indicator)
         } else {
-            self.coarse.sum(number(from, COARSE), indicator)
+            self.coarse
+                .sum(bucket_index(from, COARSE_BUCKET), indicator)
         };
         WindowBurn {
             window,
@@ -331,25 +338,26 @@
     }
 
     fn history(&self, now: MonoTime, indicator: Indicator) -> Vec<f64> {
-        let last = number(now, COARSE);
-        let first = last.saturating_sub(COARSE_KEPT as u64 - 1);
+        let last = bucket_index(now, COARSE_BUCKET);
+        let first = last.saturating_sub(MAX_COARSE_BUCKETS as u64 - 1);
         let mut rates = vec![0.0; (last - first + 1) as usize];
-        let at = indicator as usize;
-        for (bucket, tally) in &self.coarse.buckets {
-            if (first..=last).contains(bucket) {
-                let (total, bad) = (tally.total[at].into(), tally.bad[at].into());
-                rates[(bucket - first) as usize] = rate(total, bad, self.share(indicator));
+        let column = indicator as usize;
+        for (index, counts) in &self.coarse.buckets {
+            if (first..=last).contains(index) {
+                let (total, bad) = (counts.total[column].into(), counts.bad[column].into());
+                rates[(index - first) as usize] = rate(total, bad, self.share(indicator));
             }
         }
         rates
     }
 }
 
-fn number(at: MonoTime, length: Duration) -> u64 {
+fn bucket_index(at: MonoTime, length: Duration) -> u64 {
     at.as_secs() / length.as_secs()
 }
 
-/// Gives the share of bad events over the share that the objective allows.
+/// Returns the share of bad events divided by the share that the objective
+/// allows.
 fn rate(total: u64, bad: u64, objective: f64) -> f64 {
     if total == 0 {
         return 0.0;
--- a/sesamebeam_core/src/policy/exposure.rs
+++ b/sesamebeam_core/src/policy/exposure.rs
@@ -1,15 +1,16 @@
-//! Trust in versions: who may see a version, and when it is held.
+//! Staged exposure of versions during roll-outs, and automatic holds.
 //!
-//! A version that rolls out takes routine idempotent work first; urgent work
-//! and requests that must run at most once follow after evidence. Each version,
-//! settled ones too, is under a sequential test over ratings, failures and
-//! slowness. Crossing its limit holds the version at this entry at once; the
-//! reports of [`Exposure::take_evidence`] let the control group hold it
-//! everywhere.
+//! A version that is rolling out first receives routine idempotent requests.
+//! Urgent requests and non-idempotent requests follow once there is enough
+//! evidence. Every version, including settled ones, is monitored by sequential
+//! tests of ratings, failures and slowness. If a test crosses its limit, this
+//! entry holds the version immediately; the reports from
+//! [`Exposure::take_evidence`] allow the control group to hold it on all
+//! entries.
 //!
-//! Rule for sessions: a session that is pinned to a version goes on while the
-//! version is merely held; only a withdrawal ends the pin. New sessions and
-//! requests without a session do not get a held version.
+//! A session that is pinned to a version continues while the version is held;
+//! only withdrawal of the version ends the pin. New sessions and requests
+//! without a session do not use a held version.
 
 mod evidence;
 
@@ -18,8 +19,8 @@
 use indexmap::IndexMap;
 
 use self::evidence::{
-    Stream,
-    Trial, //
+    SequentialTest,
+    VersionTrust, //
 };
 use super::{
     hash,
@@ -46,45 +47,50 @@
     },
 };
 
-/// Level for hard requests, relative to the usual one, before it is known.
-const HARD_LEVEL: f64 = 0.8;
+/// Assumed quality on escalated requests relative to the usual quality, until
+/// there is enough evidence.
+const ESCALATED_LEVEL_FACTOR: f64 = 0.8;
 
-/// Settings of trust and of the sequential test.
+/// Settings of exposure and of the sequential tests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExposureConfig {
-    /// Whether routine work goes first; without, every class may use a version
-    /// that rolls out.
+    /// Whether routine requests go first; otherwise requests of every class may
+    /// use a version that is rolling out.
     pub in_order: bool,
     /// Whether the sequential test holds versions.
     pub test: bool,
-    /// Probability of holding a good version during its roll-out that the test
-    /// stays below.
-    pub false_holds: f64,
-    /// Observations of one version within which that bound is kept by the part
-    /// of the test that starts anew all the time.
+    /// Upper bound of the probability that a test holds a good version during
+    /// its roll-out.
+    pub false_hold_probability: f64,
+    /// Number of observations of one version within which the CUSUM part of a
+    /// test, which restarts continually, keeps that bound.
     pub horizon: f64,
-    /// Distance below the expected level that is still good.
+    /// Tolerated shortfall from the expected quality.
     pub margin: f64,
-    /// Ratings in a class from which a settled version is measured by itself.
-    pub known: f64,
-    /// Quality, relative to that level, which the test bets on.
+    /// Number of ratings in a class from which a settled version is compared
+    /// with its own past quality.
+    pub min_own_ratings: f64,
+    /// Quality of a bad version relative to that of a just acceptable one. The
+    /// test's alternative hypothesis.
     pub bad_factor: f64,
-    /// Share of failures that a good version may have.
+    /// Acceptable share of failures.
     pub failures: f64,
-    /// Share of slow answers that a good version may have.
+    /// Acceptable share of slow answers.
     pub slow: f64,
-    /// Answers that count as slow: this many times the time per token of the
-    /// model's settled versions.
+    /// An answer is slow if its time per token exceeds that of the model's
+    /// settled versions by this factor.
     pub slow_factor: f64,
-    /// Rated answers before urgent idempotent work is let through.
+    /// Number of rated answers after which urgent idempotent requests are
+    /// permitted.
     pub urgent_after: u32,
-    /// Rated answers before requests that run at most once are let through.
-    pub once_after: u32,
+    /// Number of rated answers after which non-idempotent requests are
+    /// permitted.
+    pub non_idempotent_after: u32,
     /// Share of answers of settled versions that is sent for rating.
-    pub sample: f64,
-    /// Time within which two versions that cross the same limit have a cause
-    /// outside of them.
-    pub together: Duration,
+    pub rating_sample: f64,
+    /// Time within which two versions that cross the same limit are assumed to
+    /// have a common external cause.
+    pub external_cause_window: Duration,
 }
 
 impl Default for ExposureConfig {
@@ -92,370 +98,384 @@
         Self {
             in_order: true,
             test: true,
-            false_holds: 0.01,
+            false_hold_probability: 0.01,
             horizon: 500.0,
             margin: 0.03,
-            known: 80.0,
+            min_own_ratings: 80.0,
             bad_factor: 0.5,
             failures: 0.03,
             slow: 0.3,
             slow_factor: 2.5,
             urgent_after: 20,
-            once_after: 40,
-            sample: 0.25,
-            together: Duration::from_secs(60),
+            non_idempotent_after: 40,
+            rating_sample: 0.25,
+            external_cause_window: Duration::from_secs(60),
         }
     }
 }
 
-/// What was seen of one answer of a version.
+/// An observation of one answer of a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
-    /// It was rated.
+    /// The answer was rated.
     Rated {
-        /// Whether it was good.
+        /// Whether the rating was good.
         good: bool,
     },
-    /// It was rated as the second answer of a cascade, to a hard request.
+    /// The answer was the second of a cascade, to a hard request, and was
+    /// rated.
     Redone {
-        /// Whether it was good.
+        /// Whether the rating was good.
         good: bool,
     },
-    /// It arrived whole.
+    /// The complete answer arrived.
     Whole {
-        /// Time from sending to the end.
+        /// Time from sending the request to the end of the answer.
         took: Duration,
-        /// Tokens generated.
+        /// Number of generated tokens.
         tokens: u32,
     },
-    /// It failed by the version's fault.
+    /// The request failed because of the version.
     Failed,
-    /// A backend server died while it ran the version. Counted once a death,
-    /// however many requests were on board.
+    /// A backend server crashed while it ran the version. Counted once per
+    /// crash, regardless of the number of requests in flight.
     Crashed,
 }
 
-/// Whether a request may use a version.
+/// Decision on whether a request may use a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
-    /// It may.
+    /// The request may use the version.
     Allowed,
-    /// It may, although the version is held, because its session is pinned.
+    /// The request may use the version although it is held, because its session
+    /// is pinned to it.
     Pinned,
     /// The version is held.
     Held,
     /// The version is withdrawn or unknown.
     Withdrawn,
-    /// The roll-out has not come to this request yet.
+    /// The request is outside the current share of the roll-out.
     NotYet,
-    /// The version has not earned this class of work yet.
+    /// The version does not have enough evidence for this class yet.
     Untrusted,
 }
 
 impl Permit {
-    /// Tells whether the request may use the version.
+    /// Returns whether the request may use the version.
     pub fn allows(self) -> bool {
         matches!(self, Self::Allowed | Self::Pinned)
     }
 }
 
-/// Why a version was held.
+/// Reason for holding a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldReason {
-    /// Its answers are rated bad.
+    /// Its answers are rated badly.
     Ratings,
     /// Its requests fail or crash backend servers.
     Failures,
     /// Its answers are slow.
     Slowness,
-    /// The control group holds it.
+    /// The control group, or another entry of the failure domain, holds it.
     Fleet,
 }
 
 impl HoldReason {
-    /// Number of reasons.
+    /// Number of variants.
     const COUNT: usize = 4;
 }
 
-/// Trust in every version, at one entry.
+/// Exposure state of all versions, on one entry.
 #[derive(Clone, Debug)]
 pub struct Exposure {
     cfg: ExposureConfig,
-    trials: IndexMap<VersionId, Trial>,
-    /// Usual time per token of settled versions, in seconds, by model.
-    pace: IndexMap<VersionId, f64>,
-    /// Until when a limit crossed has a cause outside of the versions.
-    outside_until: [MonoTime; HoldReason::COUNT],
+    versions: IndexMap<VersionId, VersionTrust>,
+    /// Moving average of the time per token of settled versions, in seconds, by
+    /// model.
+    time_per_token: IndexMap<VersionId, f64>,
+    /// Time until which crossed limits are attributed to a common external
+    /// cause, by reason.
+    external_cause_until: [MonoTime; HoldReason::COUNT],
 }
 
 impl Exposure {
-    /// Starts without evidence.
+    /// Creates an instance without evidence.
     pub fn new(cfg: ExposureConfig) -> Self {
         Self {
             cfg,
-            trials: IndexMap::new(),
-            pace: IndexMap::new(),
-            outside_until: [MonoTime::ZERO; HoldReason::COUNT],
+            versions: IndexMap::new(),
+            time_per_token: IndexMap::new(),
+            external_cause_until: [MonoTime::ZERO; HoldReason::COUNT],
         }
     }
 
-    /// Takes the versions of a fleet file. What is known of a version is kept
-    /// as long as the file lists it.
+    /// Applies the versions of a fleet file. The state of a version is kept as
+    /// long as the file lists it.
     pub fn configure(&mut self, fleet: &Fleet) {
-        let mut trials = IndexMap::new();
+        let mut versions = IndexMap::new();
         for model in &fleet.models {
             for version in &model.versions {
                 let full = crate::ids::join_version(&model.name, &version.name);
-                let mut trial = self.trials.swap_remove(&full).unwrap_or_default();
-                trial.enter(version.state);
-                trials.insert(full, trial);
+                let mut trust = self.versions.swap_remove(&full).unwrap_or_default();
+                trust.set_state(version.state);
+                versions.insert(full, trust);
             }
         }
-        self.trials = trials;
+        self.versions = versions;
     }
 
-    /// Takes the control group's state: fleet-wide holds and shares.
+    /// Applies the control group's state: fleet-wide holds and roll-out shares.
     pub fn live(&mut self, live: &Live) {
-        for (version, trial) in &mut self.trials {
-            trial.fleet_hold = live.held.contains(version);
-            trial.share = 0.0;
+        for (version, trust) in &mut self.versions {
+            trust.fleet_hold = live.held.contains(version);
+            trust.share = 0.0;
         }
         for view in &live.rollouts {
-            let Some(trial) = self.trials.get_mut(&view.version) else {
+            let Some(trust) = self.versions.get_mut(&view.version) else {
                 continue;
             };
-            trial.share = match view.state {
+            trust.share = match view.state {
                 RolloutState::Loading => 0.0,
                 RolloutState::At(_) => view.share.clamp(0.0, 1.0),
                 RolloutState::Held => 0.0,
                 RolloutState::Done => 1.0,
             };
-            trial.fleet_hold |= view.state == RolloutState::Held;
+            trust.fleet_hold |= view.state == RolloutState::Held;
             let (good, bad) = view.rated;
-            trial.fleet_rated = good.saturating_add(bad);
+            trust.fleet_ratings = good.saturating_add(bad);
         }
     }
 
-    /// Tells whether a request may use a version.
+    /// Returns whether a request may use a version.
     ///
-    /// `draw_key` is the session's name, or the request's number without one:
-    /// a session stays on the same side of a roll-out's share.
+    /// `draw_key` is the name of the session, or the request identifier if
+    /// there is no session. A session thus stays on the same side of a
+    /// roll-out's share.
     pub fn permit(&self, version: &str, class: &Class, draw_key: &[u8], pinned: bool) -> Permit {
-        let Some(trial) = self.trials.get(version) else {
+        let Some(trust) = self.versions.get(version) else {
             return Permit::Withdrawn;
         };
-        if trial.state == VersionState::Withdrawn {
+        if trust.state == VersionState::Withdrawn {
             return Permit::Withdrawn;
         }
         if pinned {
-            return if trial.is_held() {
+            return if trust.is_held() {
                 Permit::Pinned
             } else {
                 Permit::Allowed
             };
         }
-        if trial.is_held() {
+        if trust.is_held() {
             return Permit::Held;
         }
-        if trial.state == VersionState::Settled {
+        if trust.state == VersionState::Settled {
             return Permit::Allowed;
         }
-        if hash::unit(draw_key, version) >= trial.share {
+        if hash::unit(draw_key, version) >= trust.share {
             return Permit::NotYet;
         }
-        if self.cfg.in_order && trial.rated() < self.needed(class) {
+        if self.cfg.in_order && trust.rating_count() < self.required_ratings(class) {
             return Permit::Untrusted;
         }
         Permit::Allowed
     }
 
-    /// Learns from one answer; tells why the version is now held, if it is.
+    /// Records an observation. Returns the reason if it causes the version to
+    /// be held.
     ///
-    /// `quality` gives the level that the version's answers are measured by.
+    /// `quality` provides the quality level against which answers are tested.
     pub fn observe(
         &mut self,
         now: MonoTime,
         version: &VersionId,
         class: &str,
-        seen: Observation,
+        observation: Observation,
         quality: &Quality,
     ) -> Option<HoldReason> {
-        let slow = self.slow(version, seen);
-        let level = self.level(version, class, quality);
-        let redo_level = self.redo_level(version, class, level, quality);
+        let slow = self.is_slow(version, observation);
+        let quality_level = self.quality_level(version, class, quality);
+        let escalated_level = self.escalated_level(version, class, quality_level, quality);
         let cfg = &self.cfg;
-        let trial = self.trials.get_mut(version)?;
-        let was_held = trial.held.is_some();
-        match seen {
+        let trust = self.versions.get_mut(version)?;
+        let was_held = trust.held.is_some();
+        match observation {
             Observation::Rated { good } => {
-                trial.count_rating(good);
-                trial.ratings.bet(good, level, level * cfg.bad_factor);
+                trust.count_rating(good);
+                trust
+                    .ratings
+                    .add(good, quality_level, quality_level * cfg.bad_factor);
             }
             Observation::Redone { good } => {
-                trial.count_rating(good);
-                trial
-                    .redone
-                    .bet(good, redo_level, redo_level * cfg.bad_factor);
+                trust.count_rating(good);
+                trust.escalated_ratings.add(
+                    good,
+                    escalated_level,
+                    escalated_level * cfg.bad_factor,
+                );
             }
             Observation::Whole { .. } => {
                 let ok = 1.0 - cfg.failures;
-                trial.failures.bet(true, ok, 1.0 - cfg.failures * 6.0);
+                trust.failures.add(true, ok, 1.0 - cfg.failures * 6.0);
                 let fast = 1.0 - cfg.slow;
                 if let Some(slow) = slow {
-                    trial.slowness.bet(!slow, fast, 1.0 - cfg.slow * 2.5);
+                    trust.slowness.add(!slow, fast, 1.0 - cfg.slow * 2.5);
                 }
             }
             Observation::Failed | Observation::Crashed => {
-                trial.errors = trial.errors.saturating_add(1);
+                trust.errors = trust.errors.saturating_add(1);
                 let ok = 1.0 - cfg.failures;
-                trial.failures.bet(false, ok, 1.0 - cfg.failures * 6.0);
+                trust.failures.add(false, ok, 1.0 - cfg.failures * 6.0);
             }
         }
         if !cfg.test || was_held {
             return None;
         }
-        let early = (3.0 / cfg.false_holds).ln();
-        let late = (3.0 * cfg.horizon / cfg.false_holds).ln();
-        let rolling = trial.state == VersionState::Rolling;
-        let crossed = |stream: &Stream| stream.crossed(rolling, early, late);
-        let reason = if crossed(&trial.ratings) || crossed(&trial.redone) {
+        let rollout_limit = (3.0 / cfg.false_hold_probability).ln();
+        let cusum_limit = (3.0 * cfg.horizon / cfg.false_hold_probability).ln();
+        let rolling = trust.state == VersionState::Rolling;
+        let crossed = |test: &SequentialTest| test.crossed(rolling, rollout_limit, cusum_limit);
+        let reason = if crossed(&trust.ratings) || crossed(&trust.escalated_ratings) {
             HoldReason::Ratings
-        } else if crossed(&trial.failures) {
+        } else if crossed(&trust.failures) {
             HoldReason::Failures
-        } else if crossed(&trial.slowness) {
+        } else if crossed(&trust.slowness) {
             HoldReason::Slowness
         } else {
             return None;
         };
-        self.cross(now, version, reason)
+        self.hold_unless_external(now, version, reason)
     }
 
-    /// Holds a version that crossed a limit, unless the cause lies outside.
+    /// Holds a version that crossed a limit, unless the cause is external.
     ///
-    /// An outage fails the requests of every version, and a broken rating
-    /// service rates all of them bad. Held one by one, no version would be left
-    /// to serve. Two versions do not turn bad within a minute: the second one
-    /// to cross the same limit lets the first one go.
-    fn cross(
+    /// An outage fails the requests of all versions, and a faulty rating
+    /// service rates all of them badly. If each were held, no version would be
+    /// left to serve requests. Two versions do not degrade independently within
+    /// a minute, so the second one to cross the same limit releases the first.
+    fn hold_unless_external(
         &mut self,
         now: MonoTime,
         version: &VersionId,
         reason: HoldReason,
     ) -> Option<HoldReason> {
-        let together = self.cfg.together;
-        let lately = |trial: &Trial| matches!(trial.held, Some((why, at)) if why == reason && now.saturating_sub(at) < together);
-        let outside = now < self.outside_until[reason as usize] || self.trials.values().any(lately);
-        if !outside && self.is_last(version) {
-            self.trials.get_mut(version)?.forget(reason);
+        let external_cause_window = self.cfg.external_cause_window;
+        let held_recently = |trust: &VersionTrust| matches!(trust.held, Some((why, at)) if why == reason && now.saturating_sub(at) < external_cause_window);
+        let external_cause = now < self.external_cause_until[reason as usize]
+            || self.versions.values().any(held_recently);
+        if !external_cause && self.is_last_usable(version) {
+            self.versions.get_mut(version)?.reset_tests(reason);
             return None;
         }
-        if !outside {
-            let trial = self.trials.get_mut(version)?;
-            trial.held = Some((reason, now));
-            trial.report_hold = true;
+        if !external_cause {
+            let trust = self.versions.get_mut(version)?;
+            trust.held = Some((reason, now));
+            trust.hold_changed = true;
             return Some(reason);
         }
-        self.outside_until[reason as usize] = now + together;
-        for trial in self.trials.values_mut() {
-            if lately(trial) {
-                trial.held = None;
-                trial.report_hold = true;
+        self.external_cause_until[reason as usize] = now + external_cause_window;
+        for trust in self.versions.values_mut() {
+            if held_recently(trust) {
+                trust.held = None;
+                trust.hold_changed = true;
             }
-            trial.forget(reason);
+            trust.reset_tests(reason);
         }
         None
     }
 
-    /// Tells whether a version is the last settled one of its model that is not
-    /// held. It is not held by evidence: with it every request would be refused,
-    /// which is worse than answers that are possibly bad.
-    fn is_last(&self, version: &str) -> bool {
+    /// Returns whether a version is the last settled version of its model that
+    /// is not held. Such a version is not held by the tests: refusing every
+    /// request is worse than returning answers that may be bad.
+    fn is_last_usable(&self, version: &str) -> bool {
         let model = model_of(version);
-        let usable = |(name, trial): (&VersionId, &Trial)| {
+        let usable = |(name, trust): (&VersionId, &VersionTrust)| {
             name != version
                 && model_of(name) == model
-                && trial.state == VersionState::Settled
-                && !trial.is_held()
+                && trust.state == VersionState::Settled
+                && !trust.is_held()
         };
-        let settled = |t: &Trial| t.state == VersionState::Settled;
-        self.trials.get(version).is_some_and(settled) && !self.trials.iter().any(usable)
+        let settled = |t: &VersionTrust| t.state == VersionState::Settled;
+        self.versions.get(version).is_some_and(settled) && !self.versions.iter().any(usable)
     }
 
-    /// Gives the share of a version's answers that is sent for rating: all of a
-    /// version that rolls out or looks bad, a sample of the others.
+    /// Returns the share of a version's answers that is sent for rating: all
+    /// answers of versions that are rolling out or look bad, and a sample of
+    /// the others.
     pub fn sample_share(&self, version: &str) -> f64 {
-        match self.trials.get(version) {
-            Some(trial) if trial.state == VersionState::Settled && !trial.looks_bad() => {
-                self.cfg.sample
+        match self.versions.get(version) {
+            Some(trust) if trust.state == VersionState::Settled && !trust.is_suspicious() => {
+                self.cfg.rating_sample
             }
             _ => 1.0,
         }
     }
 
-    /// Lets go of holds by ratings made since a time, because the rating
-    /// service turned out to be wrong. Holds by failures stay.
+    /// Releases holds by ratings made since a time, because the rating service
+    /// was found to be faulty. Holds for other reasons remain.
     pub fn release_ratings_since(&mut self, since: MonoTime) -> Vec<VersionId> {
         let mut released = Vec::new();
-        for (version, trial) in &mut self.trials {
-            if matches!(trial.held, Some((HoldReason::Ratings, at)) if at >= since) {
-                trial.held = None;
+        for (version, trust) in &mut self.versions {
+            if matches!(trust.held, Some((HoldReason::Ratings, at)) if at >= since) {
+                trust.held = None;
                 released.push(version.clone());
             }
-            trial.forget(HoldReason::Ratings);
+            trust.reset_tests(HoldReason::Ratings);
         }
         released
     }
 
-    /// Holds a version because another entry of the failure domain does.
+    /// Holds a version because another entry of the failure domain holds it.
     pub fn hold(&mut self, now: MonoTime, version: &str) {
-        if let Some(trial) = self.trials.get_mut(version)
-            && trial.held.is_none()
+        if let Some(trust) = self.versions.get_mut(version)
+            && trust.held.is_none()
         {
-            trial.held = Some((HoldReason::Fleet, now));
+            trust.held = Some((HoldReason::Fleet, now));
         }
     }
 
-    /// Tells why a version is held, if it is.
+    /// Returns the reason for which a version is held, if it is.
     pub fn held(&self, version: &str) -> Option<HoldReason> {
-        let trial = self.trials.get(version)?;
-        match trial.held {
+        let trust = self.versions.get(version)?;
+        match trust.held {
             Some((reason, _)) => Some(reason),
-            None => trial.fleet_hold.then_some(HoldReason::Fleet),
+            None => trust.fleet_hold.then_some(HoldReason::Fleet),
         }
     }
 
-    /// Lists the versions that this entry's own test holds.
+    /// Returns the versions held on this entry. Fleet-wide holds by the control
+    /// group are not included.
     pub fn held_here(&self) -> Vec<VersionId> {
-        self.trials
+        self.versions
             .iter()
-            .filter(|(_, trial)| trial.held.is_some())
+            .filter(|(_, trust)| trust.held.is_some())
             .map(|(version, _)| version.clone())
             .collect()
     }
 
-    /// Takes what was seen since the last call, for the control group.
+    /// Returns the evidence since the last call, to be reported to the control
+    /// group.
     pub fn take_evidence(&mut self, from: &InstanceId) -> Vec<Evidence> {
         let mut reports = Vec::new();
-        for (version, trial) in &mut self.trials {
-            if !trial.has_news() {
+        for (version, trust) in &mut self.versions {
+            if !trust.needs_report() {
                 continue;
             }
             reports.push(Evidence {
                 from: from.clone(),
                 version: version.clone(),
-                good: std::mem::take(&mut trial.good),
-                bad: std::mem::take(&mut trial.bad),
-                errors: std::mem::take(&mut trial.errors),
-                hold: trial.held.is_some(),
+                good: std::mem::take(&mut trust.good),
+                bad: std::mem::take(&mut trust.bad),
+                errors: std::mem::take(&mut trust.errors),
+                hold: trust.held.is_some(),
             });
-            trial.report_hold = false;
+            trust.hold_changed = false;
         }
         reports
     }
 
-    fn needed(&self, class: &Class) -> u32 {
+    fn required_ratings(&self, class: &Class) -> u32 {
         if !class.idempotent {
-            self.cfg.once_after
+            self.cfg.non_idempotent_after
         } else if class.priority == Priority::Urgent {
             self.cfg.urgent_after
         } else {
@@ -463,57 +483,67 @@
         }
     }
 
-    /// Gives the share of good answers below which a version is bad: what a
-    /// settled version itself has shown for long, or else what its model's best
-    /// settled version shows or its own prior, less a margin.
-    fn level(&self, version: &str, class: &str, quality: &Quality) -> f64 {
+    /// Returns the lowest acceptable share of good answers: the past quality of
+    /// a settled version with enough evidence, or else the lower of its prior
+    /// and the best settled version of the same model, less the margin.
+    fn quality_level(&self, version: &str, class: &str, quality: &Quality) -> f64 {
         let settled = self
-            .trials
+            .versions
             .get(version)
             .is_some_and(|t| t.state == VersionState::Settled);
-        if settled && quality.evidence(class, version) >= self.cfg.known {
+        if settled && quality.evidence(class, version) >= self.cfg.min_own_ratings {
             let own = quality.expected(class, version) - self.cfg.margin;
             return own.clamp(0.1, 0.98);
         }
         let prior = quality.prior(version).unwrap_or(0.5);
         let model = model_of(version);
         let sibling = self
-            .trials
+            .versions
             .iter()
-            .filter(|(name, trial)| {
-                trial.state == VersionState::Settled && *name != version && model_of(name) == model
+            .filter(|(name, trust)| {
+                trust.state == VersionState::Settled && *name != version && model_of(name) == model
             })
             .map(|(name, _)| quality.expected(class, name))
             .max_by(f64::total_cmp);
-        let expected = sibling.map_or(prior, |level| level.min(prior));
+        let expected = sibling.map_or(prior, |quality| quality.min(prior));
         (expected - self.cfg.margin).clamp(0.1, 0.98)
     }
 
-    /// Gives the level for second answers of cascades. Hard requests get fewer
-    /// good answers from any version, and by how many is known only in time.
-    fn redo_level(&self, version: &str, class: &str, level: f64, quality: &Quality) -> f64 {
-        if quality.evidence_redo(class, version) < self.cfg.known / 2.0 {
-            return level * HARD_LEVEL;
+    /// Returns the acceptable share of good answers for escalated requests.
+    /// Every version gives fewer good answers to hard requests, and by how much
+    /// becomes known only with evidence.
+    fn escalated_level(
+        &self,
+        version: &str,
+        class: &str,
+        quality_level: f64,
+        quality: &Quality,
+    ) -> f64 {
+        if quality.evidence_redo(class, version) < self.cfg.min_own_ratings / 2.0 {
+            return quality_level * ESCALATED_LEVEL_FACTOR;
         }
         let own = quality.moments_redo(class, version, 1.0).mean - self.cfg.margin;
         own.clamp(0.1, 0.98)
     }
 
-    /// Tells whether an answer was slow for its model, and learns the pace of
-    /// settled versions.
-    fn slow(&mut self, version: &str, seen: Observation) -> Option<bool> {
-        let Observation::Whole { took, tokens } = seen else {
+    /// Returns whether an answer was slow for its model, and updates the time
+    /// per token of settled versions.
+    fn is_slow(&mut self, version: &str, observation: Observation) -> Option<bool> {
+        let Observation::Whole { took, tokens } = observation else {
             return None;
         };
-        let each = took.as_secs_f64() / f64::from(tokens.max(1));
+        let per_token = took.as_secs_f64() / f64::from(tokens.max(1));
         let model = model_of(version);
-        let settled = self.trials.get(version)?.state == VersionState::Settled;
-        let usual = self.pace.get(model).copied();
+        let settled = self.versions.get(version)?.state == VersionState::Settled;
+        let usual = self.time_per_token.get(model).copied();
         if settled {
-            let pace = self.pace.entry(VersionId::from(model)).or_insert(each);
-            *pace += 0.02 * (each - *pace);
+            let time_per_token = self
+                .time_per_token
+                .entry(VersionId::from(model))
+                .or_insert(per_token);
+            *time_per_token += 0.02 * (per_token - *time_per_token);
         }
-        usual.map(|usual| each > usual * self.cfg.slow_factor)
+        usual.map(|usual| per_token > usual * self.cfg.slow_factor)
     }
 }
 
--- a/sesamebeam_core/src/policy/exposure/evidence.rs
+++ b/sesamebeam_core/src/policy/exposure/evidence.rs
@@ -1,4 +1,4 @@
-//! What is known of one version, and the sequential test on it.
+//! Evidence about one version, and its sequential tests.
 
 use super::HoldReason;
 use crate::{
@@ -6,101 +6,106 @@
     ids::MonoTime, //
 };
 
-/// Log likelihood ratio from which a version looks bad and is rated in full.
-const LOOKS_BAD: f64 = 0.5;
+/// Log-likelihood ratio from which a version looks bad and all its answers are
+/// rated.
+const SUSPICIOUS_LOG_RATIO: f64 = 0.5;
 
-/// Bets on one kind of observation.
+/// Sequential test of one kind of observation.
 ///
-/// Each observation multiplies a stake by the likelihood under "bad" over the
-/// likelihood under "just good enough". While the version is good the stake is
-/// a supermartingale, so it passes 1/p with a probability of at most p (Ville's
-/// inequality), whenever one looks. `sum` holds the logarithm since the start
-/// of the roll-out. `reset` starts anew at every time that it would fall below
-/// zero (Page's CUSUM), which sees a version that turns bad after a long good
-/// time; a limit of ln(n/p) keeps its false alarms in n observations below p.
+/// Each observation multiplies the likelihood ratio of "bad" over "just good
+/// enough". For a good version the ratio is a supermartingale, so the
+/// probability that it ever exceeds 1/p is at most p (Ville's inequality),
+/// regardless of how often it is checked. `log_ratio` is its logarithm since
+/// the start of the roll-out. `cusum` is reset whenever it would fall below
+/// zero (Page's CUSUM), which detects a version that degrades after a long good
+/// period; a limit of ln(n/p) keeps the probability of a false alarm within n
+/// observations below p.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Stream {
-    sum: f64,
-    reset: f64,
+pub(super) struct SequentialTest {
+    log_ratio: f64,
+    cusum: f64,
 }
 
-impl Stream {
-    /// Takes one observation. `level` is the share of good ones that is just
-    /// good enough, `bad` the share that is bet on.
-    pub(super) fn bet(&mut self, good: bool, level: f64, bad: f64) {
+impl SequentialTest {
+    /// Adds an observation. `level` is the share of good observations that is
+    /// just acceptable, `bad` the share of the alternative hypothesis.
+    pub(super) fn add(&mut self, good: bool, level: f64, bad: f64) {
         let ratio = match good {
             true => bad / level,
             false => (1.0 - bad) / (1.0 - level),
         };
-        let log = ratio.max(1e-6).ln();
-        self.sum += log;
-        self.reset = (self.reset + log).max(0.0);
+        let step = ratio.max(1e-6).ln();
+        self.log_ratio += step;
+        self.cusum = (self.cusum + step).max(0.0);
     }
 
-    /// Tells whether the version is found bad.
-    pub(super) fn crossed(&self, rolling: bool, early: f64, late: f64) -> bool {
-        (rolling && self.sum >= early) || self.reset >= late
+    /// Returns whether the version is found to be bad: whether the log-likelihood
+    /// ratio reaches its limit during a roll-out, or the CUSUM its own at any
+    /// time.
+    pub(super) fn crossed(&self, rolling: bool, rollout_limit: f64, cusum_limit: f64) -> bool {
+        (rolling && self.log_ratio >= rollout_limit) || self.cusum >= cusum_limit
     }
 }
 
-/// What is known of one version.
+/// State and evidence of one version.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(super) struct Trial {
-    /// Life of the version in the fleet file.
+pub(super) struct VersionTrust {
+    /// State of the version in the fleet file.
     pub(super) state: VersionState,
-    /// Share of eligible requests while it rolls out.
+    /// Share of eligible requests that use it during its roll-out.
     pub(super) share: f64,
     /// Whether the control group holds it.
     pub(super) fleet_hold: bool,
-    /// Rated answers at this step, fleet-wide.
-    pub(super) fleet_rated: u32,
-    /// Why and since when this entry holds it.
+    /// Number of rated answers at this step of the roll-out, fleet-wide.
+    pub(super) fleet_ratings: u32,
+    /// Reason and start of the hold on this entry.
     pub(super) held: Option<(HoldReason, MonoTime)>,
-    /// Whether the hold is yet to be reported.
-    pub(super) report_hold: bool,
+    /// Whether a change of the hold has not been reported yet.
+    pub(super) hold_changed: bool,
     /// Good ratings since the last report.
     pub(super) good: u32,
     /// Bad ratings since the last report.
     pub(super) bad: u32,
     /// Failures since the last report.
     pub(super) errors: u32,
-    /// Ratings since the roll-out began, here.
-    seen: u32,
-    /// Bets on ratings.
-    pub(super) ratings: Stream,
-    /// Bets on ratings of second answers of cascades.
-    pub(super) redone: Stream,
-    /// Bets on failures.
-    pub(super) failures: Stream,
-    /// Bets on slowness.
-    pub(super) slowness: Stream,
+    /// Number of ratings on this entry since the roll-out began.
+    local_ratings: u32,
+    /// Test of ratings.
+    pub(super) ratings: SequentialTest,
+    /// Test of ratings of second answers of cascades.
+    pub(super) escalated_ratings: SequentialTest,
+    /// Test of failures.
+    pub(super) failures: SequentialTest,
+    /// Test of slowness.
+    pub(super) slowness: SequentialTest,
 }
 
-impl Trial {
-    /// Enters a state of the fleet file. A version that begins to roll out, or
-    /// that operators declare settled after a hold, starts its test anew.
-    pub(super) fn enter(&mut self, state: VersionState) {
+impl VersionTrust {
+    /// Applies the state in the fleet file. A change of state, such as the
+    /// start of a roll-out or operators declaring a held version settled,
+    /// releases the hold and restarts the tests.
+    pub(super) fn set_state(&mut self, state: VersionState) {
         if self.state == state {
             return;
         }
         self.state = state;
         self.held = None;
-        self.seen = 0;
-        self.ratings = Stream::default();
-        self.redone = Stream::default();
-        self.failures = Stream::default();
-        self.slowness = Stream::default();
+        self.local_ratings = 0;
+        self.ratings = SequentialTest::default();
+        self.escalated_ratings = SequentialTest::default();
+        self.failures = SequentialTest::default();
+        self.slowness = SequentialTest::default();
     }
 
-    /// Starts one kind of bets anew.
-    pub(super) fn forget(&mut self, reason: HoldReason) {
+    /// Restarts the tests of one kind.
+    pub(super) fn reset_tests(&mut self, reason: HoldReason) {
         match reason {
             HoldReason::Ratings => {
-                self.ratings = Stream::default();
-                self.redone = Stream::default();
+                self.ratings = SequentialTest::default();
+                self.escalated_ratings = SequentialTest::default();
             }
-            HoldReason::Failures => self.failures = Stream::default(),
-            HoldReason::Slowness => self.slowness = Stream::default(),
+            HoldReason::Failures => self.failures = SequentialTest::default(),
+            HoldReason::Slowness => self.slowness = SequentialTest::default(),
             HoldReason::Fleet => {}
         }
     }
@@ -110,34 +115,35 @@
     }
 
     pub(super) fn count_rating(&mut self, good: bool) {
-        self.seen = self.seen.saturating_add(1);
+        self.local_ratings = self.local_ratings.saturating_add(1);
         match good {
             true => self.good = self.good.saturating_add(1),
             false => self.bad = self.bad.saturating_add(1),
         }
     }
 
-    /// Gives the rated answers that trust is built on.
-    pub(super) fn rated(&self) -> u32 {
-        self.seen.max(self.fleet_rated)
+    /// Returns the number of rated answers that count as evidence.
+    pub(super) fn rating_count(&self) -> u32 {
+        self.local_ratings.max(self.fleet_ratings)
     }
 
-    pub(super) fn looks_bad(&self) -> bool {
-        let worst = self
+    pub(super) fn is_suspicious(&self) -> bool {
+        let max_cusum = self
             .ratings
-            .reset
-            .max(self.redone.reset)
-            .max(self.failures.reset);
-        self.held.is_some() || worst >= LOOKS_BAD
+            .cusum
+            .max(self.escalated_ratings.cusum)
+            .max(self.failures.cusum);
+        self.held.is_some() || max_cusum >= SUSPICIOUS_LOG_RATIO
     }
 
-    /// Tells whether the control group should hear of the version.
+    /// Returns whether there is anything to report to the control group.
     ///
-    /// Of a settled version only a hold is news: the control group gates steps
-    /// of roll-outs by counts, and 720 entries that told theirs of 27 versions
-    /// every second would be 19,000 log entries a second.
-    pub(super) fn has_news(&self) -> bool {
+    /// For settled versions only a change of the hold is reported. The control
+    /// group needs counts only to gate the steps of roll-outs; if 720 entries
+    /// reported the counts of 27 versions every second, the control group would
+    /// append 19,000 log entries per second.
+    pub(super) fn needs_report(&self) -> bool {
         let counted = self.good > 0 || self.bad > 0 || self.errors > 0;
-        self.report_hold || counted && self.state == VersionState::Rolling
+        self.hold_changed || counted && self.state == VersionState::Rolling
     }
 }
--- a/sesamebeam_core/src/policy/plan.rs
+++ b/sesamebeam_core/src/policy/plan.rs
@@ -1,4 +1,4 @@
-//! Choice of the cheapest plan that meets the quality target.
+//! Selection of the cheapest plan that meets the quality target.
 
 use std::time::Duration;
 
@@ -21,40 +21,46 @@
     ids::VersionId,
 };
 
-/// Standard deviations below the target from which a plan is hopeless.
-const HOPELESS: f64 = 4.0;
+/// Number of standard deviations below the target at which a plan is considered
+/// hopeless.
+const HOPELESS_DEVIATIONS: f64 = 4.0;
 
-/// Requests that scores are kept for while ratings come in.
-const REUSES: u32 = 32;
+/// Number of requests for which cached scores may be reused although ratings
+/// have arrived since.
+const MAX_STALE_USES: u32 = 32;
 
-/// Sets of candidates whose scores are kept.
-const MAX_KEPT: usize = 1024;
+/// Maximum number of cached score sets.
+const MAX_CACHED: usize = 1024;
 
-/// Cascades of one class that are scored and explained.
-const MOST_CASCADES: usize = 16;
+/// Maximum number of cascades that are scored and reported per request.
+const MAX_CASCADES: usize = 16;
 
-/// Least confidence of a cascade that is ever tried.
-const WORTH_A_TRIAL: f64 = 0.02;
+/// Smallest confidence at which a cascade that misses the target is kept as a
+/// possible trial.
+const MIN_TRIAL_CONFIDENCE: f64 = 0.02;
 
-/// Odd multiplier that mixes hashes.
-const MIX: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Odd multiplier used to combine hashes.
+const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Settings of the choice.
+/// Settings of plan selection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanConfig {
     /// Whether cascades are considered.
     pub cascades: bool,
-    /// Share of the requests that would try a cheaper plan if it were certain
-    /// to meet the target; 0 turns trials off.
+    /// Share of requests that would try a cheaper plan if that plan were
+    /// certain to meet the target; 0 disables trials.
     pub explore: f64,
-    /// Share of good answers that the rating service accepts.
+    /// Share of good answers that the rating service accepts (true positive
+    /// rate).
     pub rater_accepts_good: f64,
-    /// Share of bad answers that the rating service accepts.
+    /// Share of bad answers that the rating service accepts (false positive
+    /// rate).
     pub rater_accepts_bad: f64,
-    /// Quality of the stronger version on what the first one failed, relative
-    /// to its quality overall: hard requests are hard for both.
+    /// Quality of the stronger version on requests that the first version
+    /// failed, relative to its overall quality. Hard requests are hard for
+    /// both.
     pub hard_factor: f64,
-    /// Cost of one rating, in the unit of versions.
+    /// Cost of one rating, in the same unit as the cost of versions.
     pub rating_cost: f64,
 }
 
@@ -71,23 +77,23 @@
     }
 }
 
-/// How a request is run.
+/// Plan for running a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// By one version.
+    /// Run a single version.
     Single(VersionId),
-    /// By a cheap version first; if the rating service finds its answer bad,
-    /// by a stronger one.
+    /// Run a cheap version first and, if the rating service finds its answer
+    /// bad, a stronger one.
     Cascade {
-        /// Version that answers first.
+        /// Version that runs first.
         first: VersionId,
-        /// Version that answers if the first answer is bad.
+        /// Version that runs if the first answer is bad.
         then: VersionId,
     },
 }
 
 impl Plan {
-    /// Gives the version that runs first.
+    /// Returns the version that runs first.
     pub fn first(&self) -> &VersionId {
         match self {
             Self::Single(version) => version,
@@ -96,46 +102,47 @@
     }
 }
 
-/// A version that a request may use.
+/// A version that the request may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// Full name.
     pub version: VersionId,
     /// Cost of 1000 generated tokens.
     pub cost: f64,
-    /// Expected time until the whole answer; zero if unknown.
+    /// Expected time until the complete answer; zero if unknown.
     pub takes: Duration,
 }
 
-/// What the choice is made from.
+/// Input of plan selection.
 #[derive(Clone, Debug)]
 pub struct PlanInput<'a> {
     /// Class of the request.
     pub class: &'a Class,
-    /// The organisation's objective, if it has one.
+    /// Quality target of the organisation, if it has one.
     pub target: Option<&'a Target>,
-    /// Versions allowed, loaded, not withdrawn and let through by exposure.
+    /// Versions that are allowed, loaded, not withdrawn and permitted by
+    /// exposure.
     pub candidates: &'a [Candidate],
-    /// Time left until the deadline.
+    /// Time remaining until the deadline.
     pub left: Duration,
-    /// Whether the rating service answers at once at present.
+    /// Whether the rating service currently rates answers synchronously.
     pub rater_answers: bool,
-    /// Point in [0, 1) from a hash of the request, for trials.
+    /// Number in [0, 1) from a hash of the request, used for trials.
     pub draw: f64,
 }
 
-/// Why a plan was chosen.
+/// Reason why a plan was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// The cheapest that meets the target.
+    /// The cheapest plan that meets the target.
     Cheapest,
-    /// None meets the target; this one is the likeliest to.
+    /// No plan meets the target; this one is the most likely to meet it.
     BestAvailable,
-    /// A trial of a cheaper version.
+    /// A trial of a cheaper plan, or of a version that is rolling out.
     Trial,
 }
 
-/// One plan that was considered.
+/// A plan that was considered, with its score.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scored {
     /// The plan.
@@ -146,102 +153,106 @@
     pub quality: f64,
     /// Probability that the target is met.
     pub confidence: f64,
-    /// Whether it fits in the time left.
+    /// Whether it is expected to finish within the remaining time.
     pub fits: bool,
-    /// Whether it meets the target at the stated confidence.
+    /// Whether it meets the target with the required confidence.
     pub meets: bool,
 }
 
-/// The plan chosen, with what it was chosen from.
+/// The selected plan and the plans that were considered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
     /// The plan.
     pub plan: Plan,
-    /// Why it was chosen.
+    /// Reason for the selection.
     pub reason: Reason,
-    /// Everything that was considered, in order.
+    /// All plans that were considered, in order of scoring.
     pub scored: Vec<Scored>,
 }
 
-/// Chooses plans.
+/// Selects plans.
 ///
-/// Scores are kept for a few requests of the same class, target and candidates:
-/// scoring every cascade of 27 versions takes far longer than all the rest of a
-/// decision, and a rating or two in between change little.
+/// Scores are cached for several requests with the same class, target and
+/// candidates. Scoring all cascades of 27 versions takes far longer than the
+/// rest of a decision, and a few ratings in between change the scores only
+/// slightly.
 #[derive(Clone, Debug)]
 pub struct Planner {
     cfg: PlanConfig,
-    kept: IndexMap<u64, Kept>,
+    cache: IndexMap<u64, CachedScores>,
 }
 
-/// Scores kept for the next requests.
+/// Cached scores of one class, target and set of candidates.
 #[derive(Clone, Debug)]
-struct Kept {
-    /// State of the posteriors that they were made from.
+struct CachedScores {
+    /// Generation of the quality estimates that the scores are based on.
     generation: u64,
     uses: u32,
     scored: Vec<Scored>,
-    /// Positions of each plan's versions among the candidates.
-    steps: Vec<(usize, Option<usize>)>,
+    /// Indices of each plan's versions among the candidates.
+    versions_used: Vec<(usize, Option<usize>)>,
 }
 
 impl Planner {
-    /// Takes the settings.
+    /// Creates a planner with an empty score cache.
     pub fn new(cfg: PlanConfig) -> Self {
         Self {
             cfg,
-            kept: IndexMap::new(),
+            cache: IndexMap::new(),
         }
     }
 
-    /// Chooses the cheapest plan that meets the target, or the best available;
-    /// none if there is no candidate.
+    /// Selects the cheapest plan that meets the target, or else the best
+    /// available one. Returns `None` if there is no candidate.
     pub fn plan(&mut self, quality: &Quality, input: &PlanInput<'_>) -> Option<Planned> {
         let scored = self.scored(quality, input);
-        let (at, reason) = self.choose(quality, input, &scored)?;
+        let (index, reason) = self.choose(quality, input, &scored)?;
         Some(Planned {
-            plan: scored[at].plan.clone(),
+            plan: scored[index].plan.clone(),
             reason,
             scored,
         })
     }
 
-    /// Gives the scores, kept or new, with what fits in the time left.
+    /// Returns cached or new scores, updated with the plans that fit in the
+    /// remaining time.
     fn scored(&mut self, quality: &Quality, input: &PlanInput<'_>) -> Vec<Scored> {
         let key = self.key(quality, input);
         let generation = quality.generation();
-        let fresh = |kept: &Kept| kept.generation == generation || kept.uses < REUSES;
-        if !self.kept.get(&key).is_some_and(fresh) {
-            let (scored, steps) = self.score(quality, input);
-            if self.kept.len() >= MAX_KEPT {
-                self.kept.swap_remove_index(0);
+        let is_fresh =
+            |cached: &CachedScores| cached.generation == generation || cached.uses < MAX_STALE_USES;
+        if !self.cache.get(&key).is_some_and(is_fresh) {
+            let (scored, versions_used) = self.score(quality, input);
+            if self.cache.len() >= MAX_CACHED {
+                self.cache.swap_remove_index(0);
             }
-            self.kept.insert(
+            self.cache.insert(
                 key,
-                Kept {
+                CachedScores {
                     generation,
                     uses: 0,
                     scored,
-                    steps,
+                    versions_used,
                 },
             );
         }
-        let kept = &mut self.kept[&key];
-        kept.uses += 1;
-        let mut scored = kept.scored.clone();
-        for (scored, (first, then)) in scored.iter_mut().zip(&kept.steps) {
+        let cached = &mut self.cache[&key];
+        cached.uses += 1;
+        let mut scored = cached.scored.clone();
+        for (scored, (first, then)) in scored.iter_mut().zip(&cached.versions_used) {
             let then = then.map_or(Duration::ZERO, |then| input.candidates[then].takes);
             scored.fits = input.candidates[*first].takes + then <= input.left;
         }
         scored
     }
 
-    /// Hashes everything that scores depend on but the posteriors.
+    /// Hashes all inputs of the scores except the quality estimates.
     fn key(&self, quality: &Quality, input: &PlanInput<'_>) -> u64 {
-        let (target, wanted) = goal(input.target);
+        let (target, min_confidence) = quality_target(input.target);
         let mut key = hash::rendezvous(&input.class.name, &target.to_le_bytes());
-        let mut mix = |number: u64| key = (key ^ number).wrapping_mul(MIX).rotate_left(29);
-        mix(wanted.to_bits());
+        let mut mix =
+            |number: u64| key = (key ^ number).wrapping_mul(HASH_MULTIPLIER).rotate_left(29);
+        mix(min_confidence.to_bits());
         mix(u64::from(self.may_cascade(quality, input)));
         for candidate in input.candidates {
             mix(hash::name(candidate.version.as_bytes()));
@@ -267,21 +278,22 @@
                 plan,
                 candidate.cost,
                 *moments,
-                goal(input.target),
+                quality_target(input.target),
             ));
         }
-        let mut steps: Vec<_> = (0..scored.len()).map(|at| (at, None)).collect();
+        let mut versions_used: Vec<_> = (0..scored.len()).map(|index| (index, None)).collect();
         if self.may_cascade(quality, input) {
             for (first, then, plan) in self.score_cascades(quality, input, &moments, &scored) {
-                steps.push((first, Some(then)));
+                versions_used.push((first, Some(then)));
                 scored.push(plan);
             }
         }
-        (scored, steps)
+        (scored, versions_used)
     }
 
-    /// Scores the cascades that could be chosen or tried, cheapest first, up to
-    /// the first that meets the target. Dearer ones would only cost time.
+    /// Scores the cascades that could be selected or tried, in order of cost,
+    /// up to the first that meets the target. More expensive cascades need not
+    /// be scored.
     fn score_cascades(
         &self,
         quality: &Quality,
@@ -289,47 +301,47 @@
         moments: &[Moments],
         singles: &[Scored],
     ) -> Vec<(usize, usize, Scored)> {
-        let most =
-            least(singles, |s| s.meets, |s| s.cost).map_or(f64::INFINITY, |at| singles[at].cost);
+        let max_cost = min_by(singles, |s| s.meets, |s| s.cost)
+            .map_or(f64::INFINITY, |index| singles[index].cost);
         let mut cascades = Vec::new();
         for (then, strong) in input.candidates.iter().enumerate() {
             let class = &input.class.name;
-            let redo = quality.moments_redo(class, &strong.version, self.cfg.hard_factor);
+            let escalated = quality.moments_redo(class, &strong.version, self.cfg.hard_factor);
             for (first, cheap) in input.candidates.iter().enumerate() {
                 if cheap.cost >= strong.cost || moments[first].mean >= moments[then].mean {
                     continue;
                 }
-                let (both, rejected) = self.cascade(moments[first], redo);
+                let (combined, rejected) = self.cascade_moments(moments[first], escalated);
                 let cost = cheap.cost + self.cfg.rating_cost + rejected * strong.cost;
-                if cost < most {
-                    cascades.push((cost, first, then, both));
+                if cost < max_cost {
+                    cascades.push((cost, first, then, combined));
                 }
             }
         }
         cascades.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut scored: Vec<(usize, usize, Scored)> = Vec::new();
-        for (cost, first, then, both) in cascades {
+        for (cost, first, then, combined) in cascades {
             let plan = Plan::Cascade {
                 first: input.candidates[first].version.clone(),
                 then: input.candidates[then].version.clone(),
             };
-            let plan = Scored::new(plan, cost, both, goal(input.target));
+            let plan = Scored::new(plan, cost, combined, quality_target(input.target));
             let meets = plan.meets;
-            if meets || plan.confidence >= WORTH_A_TRIAL {
+            if meets || plan.confidence >= MIN_TRIAL_CONFIDENCE {
                 scored.push((first, then, plan));
             }
-            if meets || scored.len() >= MOST_CASCADES {
+            if meets || scored.len() >= MAX_CASCADES {
                 break;
             }
         }
         scored
     }
 
-    /// Tells whether a request may be run by a second version.
+    /// Returns whether a request may be run by a second version.
     ///
-    /// A non-idempotent one never is: its first run may already have had its
-    /// effect. Without a trusted rating service nobody could tell a bad first
-    /// answer, so the plan falls back to single versions.
+    /// Non-idempotent requests are excluded because the first run may already
+    /// have had an effect. Without a trusted rating service a bad first answer
+    /// cannot be detected, so only single versions are considered.
     fn may_cascade(&self, quality: &Quality, input: &PlanInput<'_>) -> bool {
         self.cfg.cascades
             && input.class.cascade
@@ -338,46 +350,52 @@
             && !quality.rater_distrusted()
     }
 
-    /// Gives the quality of a cascade and the share of first answers rejected.
+    /// Returns the quality of a cascade and the share of first answers that are
+    /// rejected.
     ///
-    /// `redo` is the quality of the stronger version on what the first failed.
-    fn cascade(&self, first: Moments, redo: Moments) -> (Moments, f64) {
-        let (hit, miss) = (self.cfg.rater_accepts_good, self.cfg.rater_accepts_bad);
-        let rejected = 1.0 - first.mean * hit - (1.0 - first.mean) * miss;
-        let mean = first.mean * hit + rejected * redo.mean;
-        let by_first = hit - (hit - miss) * redo.mean;
-        let var = by_first * by_first * first.var + rejected * rejected * redo.var;
+    /// `escalated` is the quality of the stronger version on requests whose
+    /// first answer was rejected.
+    fn cascade_moments(&self, first: Moments, escalated: Moments) -> (Moments, f64) {
+        let (true_positive_rate, false_positive_rate) =
+            (self.cfg.rater_accepts_good, self.cfg.rater_accepts_bad);
+        let rejected =
+            1.0 - first.mean * true_positive_rate - (1.0 - first.mean) * false_positive_rate;
+        let mean = first.mean * true_positive_rate + rejected * escalated.mean;
+        let first_weight =
+            true_positive_rate - (true_positive_rate - false_positive_rate) * escalated.mean;
+        let var = first_weight * first_weight * first.var + rejected * rejected * escalated.var;
         (Moments { mean, var }, rejected)
     }
 
-    /// Chooses the cheapest that meets the target, or a trial.
+    /// Selects the cheapest plan that meets the target, or a trial.
     ///
-    /// Without trials a version that had bad luck early, or that nobody used
-    /// yet in a class, would never be rated there and the cost would stay high.
+    /// Without trials, a version that was rated badly early on, or that has not
+    /// been used in a class yet, would never be rated there, and the cost would
+    /// stay high.
     fn choose(
         &self,
         quality: &Quality,
         input: &PlanInput<'_>,
         scored: &[Scored],
     ) -> Option<(usize, Reason)> {
-        if let Some(at) = self.rollout(quality, scored) {
-            return Some((at, Reason::Trial));
+        if let Some(index) = self.rollout_candidate(quality, scored) {
+            return Some((index, Reason::Trial));
         }
-        let (at, reason) = match least(scored, |s| s.meets && s.fits, |s| s.cost) {
-            Some(at) => (at, Reason::Cheapest),
-            None => (likeliest(scored)?, Reason::BestAvailable),
+        let (index, reason) = match min_by(scored, |s| s.meets && s.fits, |s| s.cost) {
+            Some(index) => (index, Reason::Cheapest),
+            None => (most_likely(scored)?, Reason::BestAvailable),
         };
-        if let Some(at) = self.trial(input, scored, scored[at].cost) {
-            return Some((at, Reason::Trial));
+        if let Some(index) = self.trial_candidate(input, scored, scored[index].cost) {
+            return Some((index, Reason::Trial));
         }
-        Some((at, reason))
+        Some((index, reason))
     }
 
-    /// Chooses a version that rolls out and still lacks evidence.
+    /// Selects a version that is rolling out and still lacks evidence.
     ///
-    /// Exposure lets it through on its share of requests only. Compared by cost
-    /// it might never be used, and its roll-out would stand still.
-    fn rollout(&self, quality: &Quality, scored: &[Scored]) -> Option<usize> {
+    /// Exposure permits it for its share of requests only. If it were selected
+    /// by cost it might never be used, and its roll-out would not progress.
+    fn rollout_candidate(&self, quality: &Quality, scored: &[Scored]) -> Option<usize> {
         if self.cfg.explore <= 0.0 {
             return None;
         }
@@ -387,23 +405,30 @@
         })
     }
 
-    /// Chooses a cheaper plan to try on this request, if its draw says so.
+    /// Selects a cheaper plan to try on this request, depending on its random
+    /// draw.
     ///
-    /// A plan's share of trials is in proportion to the probability that it
-    /// meets the target, so that nothing hopeless is tried often and nothing
-    /// possible is given up for good. While the rating service does not answer,
-    /// a trial would let unrated answers through and teach nothing.
-    fn trial(&self, input: &PlanInput<'_>, scored: &[Scored], cost: f64) -> Option<usize> {
+    /// The share of trials of a plan is proportional to the probability that it
+    /// meets the target, so that unpromising plans are rarely tried and no plan
+    /// that might meet the target is abandoned. While the rating service does
+    /// not answer, trials are disabled because they would return unrated
+    /// answers and produce no evidence.
+    fn trial_candidate(
+        &self,
+        input: &PlanInput<'_>,
+        scored: &[Scored],
+        cost: f64,
+    ) -> Option<usize> {
         if !input.rater_answers {
             return None;
         }
         let tried = |s: &Scored| input.draw < self.cfg.explore * s.confidence;
-        least(scored, |s| s.fits && s.cost < cost && tried(s), |s| s.cost)
+        min_by(scored, |s| s.fits && s.cost < cost && tried(s), |s| s.cost)
     }
 }
 
 impl Scored {
-    fn new(plan: Plan, cost: f64, moments: Moments, (target, wanted): (f64, f64)) -> Self {
+    fn new(plan: Plan, cost: f64, moments: Moments, (target, min_confidence): (f64, f64)) -> Self {
         let confidence = confidence(moments, target);
         Self {
             plan,
@@ -411,11 +436,11 @@
             quality: moments.mean,
             confidence,
             fits: true,
-            meets: confidence >= wanted,
+            meets: confidence >= min_confidence,
         }
     }
 
-    /// Gives the plan's name for people, such as `a@1 > b@2`.
+    /// Returns a display name of the plan, such as `a@1 > b@2`.
     pub fn label(&self) -> SmolStr {
         match &self.plan {
             Plan::Single(version) => version.clone(),
@@ -424,9 +449,10 @@
     }
 }
 
-/// Fits a Beta distribution to mean and variance and asks it for the target.
+/// Returns the probability that the target is met, from a Beta distribution
+/// with the given mean and variance.
 fn confidence(moments: Moments, target: f64) -> f64 {
-    if moments.mean + HOPELESS * moments.var.sqrt() < target {
+    if moments.mean + HOPELESS_DEVIATIONS * moments.var.sqrt() < target {
         return 0.0;
     }
     let mean = moments.mean.clamp(1e-6, 1.0 - 1e-6);
@@ -434,24 +460,25 @@
     share_above(mean * n, (1.0 - mean) * n, target)
 }
 
-fn goal(target: Option<&Target>) -> (f64, f64) {
+fn quality_target(target: Option<&Target>) -> (f64, f64) {
     target.map_or((0.0, 0.0), |target| (target.quality, target.confidence))
 }
 
-/// Finds the plan that likeliest meets the target, and among the hopeless the
-/// one of the best quality.
-fn likeliest(scored: &[Scored]) -> Option<usize> {
+/// Returns the index of the plan that is most likely to meet the target. Ties,
+/// such as among plans with zero confidence, are broken by quality.
+fn most_likely(scored: &[Scored]) -> Option<usize> {
     let key = |s: &Scored| -(s.confidence + s.quality / 1000.0);
-    least(scored, |s| s.fits, key).or_else(|| least(scored, |_| true, key))
+    min_by(scored, |s| s.fits, key).or_else(|| min_by(scored, |_| true, key))
 }
 
-/// Finds the first of the least among those that a filter lets through.
-fn least(
+/// Returns the index of the first plan with the smallest key among those that
+/// pass the filter.
+fn min_by(
     scored: &[Scored],
     keep: impl Fn(&Scored) -> bool,
     key: impl Fn(&Scored) -> f64,
 ) -> Option<usize> {
     (0..scored.len())
-        .filter(|&at| keep(&scored[at]))
+        .filter(|&index| keep(&scored[index]))
         .min_by(|&a, &b| key(&scored[a]).total_cmp(&key(&scored[b])))
 }
--- a/sesamebeam_core/src/policy/quality.rs
+++ b/sesamebeam_core/src/policy/quality.rs
@@ -1,9 +1,11 @@
-//! Posterior quality of each version in each class, from late, sampled ratings.
+//! Bayesian quality estimates per version and class, from delayed ratings of
+//! sampled answers.
 //!
-//! The share of good answers has a Beta posterior. Its prior is the one of the
-//! fleet file, joined by a little of what the version showed in other classes.
-//! Evidence is forgotten with time and with newer ratings, so that a version
-//! that turns bad is seen, and a silent rating service makes plans careful.
+//! The share of good answers has a Beta posterior. Its prior combines the prior
+//! in the fleet file with a limited weight of evidence from other classes.
+//! Evidence decays with time and with newer ratings, so that a version whose
+//! quality drops is detected and plans become cautious when the rating service
+//! stops responding.
 
 use std::{
     collections::VecDeque,
@@ -34,46 +36,52 @@
     message::server::Rating,
 };
 
-/// Answers awaiting a rating that are remembered; the oldest is forgotten first.
-const MAX_SAMPLED: usize = 8192;
+/// Maximum number of answers awaiting a rating. The oldest is evicted first.
+const MAX_PENDING: usize = 8192;
 
-/// Difference allowed between the rater's clock and ours.
+/// Tolerated clock difference between the rating service and this entry.
 const CLOCK_SLACK: Duration = Duration::from_secs(5);
 
-/// Ratings by which the rating service itself is judged.
+/// Number of recent ratings used to validate the rating service.
 const RATER_WINDOW: usize = 32;
 
-/// Ratings of one version in the window before it speaks about the rater.
-const RATER_MIN: u32 = 6;
+/// Minimum number of ratings of one version in the window before it is used to
+/// validate the rating service.
+const RATER_MIN_RATINGS: u32 = 6;
 
-/// Deviation, in standard deviations, that a sound rater does not show.
-const RATER_DEVIATION: f64 = 3.0;
+/// Deviation, in standard deviations, above which the rating service is
+/// considered faulty.
+const RATER_MAX_DEVIATION: f64 = 3.0;
 
-/// Answers by which a version must be off before it speaks about the rater: one
-/// bad answer of a very good version is already many standard deviations.
-const RATER_LEAST: f64 = 3.0;
+/// Minimum deviation in number of answers. A single bad answer of a very good
+/// version is already many standard deviations.
+const RATER_MIN_OFFSET: f64 = 3.0;
 
-/// Settings of the posteriors.
+/// Settings of the quality estimates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QualityConfig {
-    /// Whether ratings are learnt from; without, the priors stand.
+    /// Whether ratings update the estimates; otherwise only the priors are
+    /// used.
     pub learn: bool,
-    /// Whether the rating service itself is judged.
+    /// Whether a faulty rating service is detected.
     pub judge_rater: bool,
-    /// Time after which half of the evidence is forgotten.
+    /// Half-life of the evidence.
     pub half_life: Duration,
-    /// Ratings that evidence counts at most; older ones fade.
-    pub memory: f64,
-    /// Ratings that the fleet file's prior is worth.
+    /// Maximum weight of the evidence in a class, in ratings. Older ratings
+    /// decay when it is reached.
+    pub max_evidence: f64,
+    /// Weight of the prior in the fleet file, in ratings.
     pub prior_weight: f64,
-    /// Ratings that the evidence of other classes is worth at most.
-    pub other_weight: f64,
-    /// Ratings below which evidence is thin and every answer is rated.
-    pub thin: f64,
-    /// Score from which an answer is good.
+    /// Maximum weight of evidence from other classes, in ratings.
+    pub other_classes_weight: f64,
+    /// Number of ratings below which evidence is insufficient and every answer
+    /// is rated.
+    pub min_evidence: f64,
+    /// Smallest score of a good answer.
     pub good_score: f64,
-    /// Time for which a rating service found wrong is not listened to.
-    pub distrust: Duration,
+    /// Time for which ratings are ignored after the rating service was found to
+    /// be faulty.
+    pub distrust_duration: Duration,
 }
 
 impl Default for QualityConfig {
@@ -82,60 +90,64 @@
             learn: true,
             judge_rater: true,
             half_life: Duration::from_secs(3600),
-            memory: 400.0,
+            max_evidence: 400.0,
             prior_weight: 4.0,
-            other_weight: 12.0,
-            thin: 100.0,
+            other_classes_weight: 12.0,
+            min_evidence: 100.0,
             good_score: 0.5,
-            distrust: Duration::from_secs(120),
+            distrust_duration: Duration::from_secs(120),
         }
     }
 }
 
-/// What became of a rating.
+/// Outcome of a rating.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rated {
-    /// It was learnt from.
+    /// The estimates were updated.
     Counted {
         /// Whether the answer was good.
         good: bool,
-        /// Whether the answer was the second of a cascade: the request was a
-        /// hard one, so it says nothing of the version's usual quality.
+        /// Whether the answer was the second of a cascade. Such requests are
+        /// hard ones, so the rating does not reflect the version's usual
+        /// quality.
         redo: bool,
     },
-    /// It was not learnt from.
+    /// The rating was ignored.
     Ignored(Ignored),
 }
 
-/// Why a rating was ignored.
+/// Reason why a rating was ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ignored {
     /// The score is not a number from 0 to 1.
     OutOfRange,
-    /// The request was not sent for rating, was rated before, or is forgotten.
+    /// The request was not sent for rating, was already rated or has been
+    /// evicted.
     Unknown,
-    /// Class or version is not that of the request.
+    /// The class or version does not match that of the request.
     Mismatch,
-    /// It says that the answer is older than the request, or tells of one to come.
+    /// The stated age is greater than the time since the request was sampled,
+    /// or the request was sampled after the current time.
     Future,
-    /// The rating service contradicts what is known of several versions at once.
+    /// The rating service is considered faulty because its ratings contradict
+    /// the estimates of several versions at once.
     Distrusted,
 }
 
-/// Ratings by what became of them, since the start.
+/// Counts of ratings since the start, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RatingCounts {
-    /// Learnt from.
+    /// Accepted.
     pub counted: u64,
     /// Score out of range.
     pub out_of_range: u64,
-    /// Request unknown.
+    /// Unknown request.
     pub unknown: u64,
-    /// Class or version not that of the request.
+    /// Class or version does not match the request.
     pub mismatch: u64,
-    /// From the future.
+    /// Inconsistent age.
     pub future: u64,
-    /// Rating service distrusted.
+    /// Rating service considered faulty.
     pub distrusted: u64,
 }
 
@@ -146,9 +158,9 @@
     bad: f64,
 }
 
-/// An answer that was sent for rating.
+/// An answer that awaits its rating.
 #[derive(Clone, Debug, PartialEq)]
-struct Sampled {
+struct PendingRating {
     class: ClassId,
     version: VersionId,
     redo: bool,
@@ -164,22 +176,23 @@
     pub var: f64,
 }
 
-/// Posterior quality of each version in each class.
+/// Quality estimates per version and class.
 #[derive(Clone, Debug)]
 pub struct Quality {
     cfg: QualityConfig,
-    /// Versions that roll out.
+    /// Versions that are rolling out.
     rolling: IndexSet<VersionId>,
-    /// Priors of the fleet file by version.
+    /// Priors in the fleet file by version.
     priors: IndexMap<VersionId, f64>,
     /// Evidence by version, then class.
-    cells: IndexMap<VersionId, IndexMap<ClassId, Counts>>,
-    /// Evidence on requests whose first answer in a cascade was bad.
-    redone: IndexMap<VersionId, IndexMap<ClassId, Counts>>,
-    sampled: IndexMap<RequestId, Sampled>,
-    sampled_order: VecDeque<RequestId>,
-    faded_at: MonoTime,
-    /// Last ratings: version and how far each was from what was expected.
+    usual_evidence: IndexMap<VersionId, IndexMap<ClassId, Counts>>,
+    /// Evidence from second answers of cascades, by version, then class.
+    escalated_evidence: IndexMap<VersionId, IndexMap<ClassId, Counts>>,
+    pending: IndexMap<RequestId, PendingRating>,
+    pending_order: VecDeque<RequestId>,
+    decayed_at: MonoTime,
+    /// Recent ratings: version, deviation from the expected value and expected
+    /// variance.
     recent: VecDeque<(VersionId, f64, f64)>,
     distrust_until: Option<MonoTime>,
     counts: RatingCounts,
@@ -187,17 +200,17 @@
 }
 
 impl Quality {
-    /// Starts without evidence.
+    /// Creates an instance without evidence.
     pub fn new(cfg: QualityConfig) -> Self {
         Self {
             cfg,
             rolling: IndexSet::new(),
             priors: IndexMap::new(),
-            cells: IndexMap::new(),
-            redone: IndexMap::new(),
-            sampled: IndexMap::new(),
-            sampled_order: VecDeque::new(),
-            faded_at: MonoTime::ZERO,
+            usual_evidence: IndexMap::new(),
+            escalated_evidence: IndexMap::new(),
+            pending: IndexMap::new(),
+            pending_order: VecDeque::new(),
+            decayed_at: MonoTime::ZERO,
             recent: VecDeque::new(),
             distrust_until: None,
             counts: RatingCounts::default(),
@@ -205,8 +218,8 @@
         }
     }
 
-    /// Takes the versions and priors of a fleet file; evidence of versions that
-    /// it no longer lists is dropped.
+    /// Applies the versions and priors of a fleet file. Evidence of versions
+    /// that are no longer listed is dropped.
     pub fn configure(&mut self, fleet: &Fleet) {
         self.priors.clear();
         self.rolling.clear();
@@ -220,13 +233,14 @@
             }
         }
         let priors = &self.priors;
-        self.cells.retain(|version, _| priors.contains_key(version));
-        self.redone
+        self.usual_evidence
+            .retain(|version, _| priors.contains_key(version));
+        self.escalated_evidence
             .retain(|version, _| priors.contains_key(version));
         self.generation += 1;
     }
 
-    /// Remembers an answer that is sent for rating.
+    /// Registers an answer that is sent for rating.
     pub fn sampled(
         &mut self,
         now: MonoTime,
@@ -234,13 +248,13 @@
         class: &ClassId,
         version: &VersionId,
     ) {
-        self.await_rating(now, request, class, version, false);
+        self.add_pending(now, request, class, version, false);
     }
 
-    /// Remembers the second answer of a cascade that is sent for rating.
+    /// Registers the second answer of a cascade that is sent for rating.
     ///
-    /// It is learnt from apart: a cascade hands only hard requests on, and
-    /// their ratings would make the stronger version look bad.
+    /// Its rating is kept separate: cascades pass on only hard requests, and
+    /// their ratings would lower the estimate of the stronger version.
     pub fn sampled_redo(
         &mut self,
         now: MonoTime,
@@ -248,10 +262,10 @@
         class: &ClassId,
         version: &VersionId,
     ) {
-        self.await_rating(now, request, class, version, true);
+        self.add_pending(now, request, class, version, true);
     }
 
-    fn await_rating(
+    fn add_pending(
         &mut self,
         now: MonoTime,
         request: RequestId,
@@ -259,24 +273,24 @@
         version: &VersionId,
         redo: bool,
     ) {
-        while self.sampled_order.len() >= MAX_SAMPLED {
-            if let Some(oldest) = self.sampled_order.pop_front() {
-                self.sampled.swap_remove(&oldest);
+        while self.pending_order.len() >= MAX_PENDING {
+            if let Some(oldest) = self.pending_order.pop_front() {
+                self.pending.swap_remove(&oldest);
             }
         }
-        let sampled = Sampled {
+        let pending = PendingRating {
             class: class.clone(),
             version: version.clone(),
             redo,
             at: now,
         };
-        self.sampled.insert(request, sampled);
-        self.sampled_order.push_back(request);
+        self.pending.insert(request, pending);
+        self.pending_order.push_back(request);
     }
 
-    /// Learns from a rating, or counts why it is ignored.
+    /// Applies a rating, or counts why it is ignored.
     pub fn rate(&mut self, now: MonoTime, rating: &Rating) -> Rated {
-        let rated = self.judge(now, rating);
+        let rated = self.check_and_learn(now, rating);
         match rated {
             Rated::Counted { .. } => self.counts.counted += 1,
             Rated::Ignored(Ignored::OutOfRange) => self.counts.out_of_range += 1,
@@ -288,8 +302,8 @@
         rated
     }
 
-    /// Learns from an answer that was rated at once, as the first step of a
-    /// cascade is.
+    /// Applies the score of an answer that was rated synchronously, such as the
+    /// first answer of a cascade.
     pub fn rate_now(
         &mut self,
         now: MonoTime,
@@ -313,18 +327,22 @@
         rated
     }
 
-    /// Forgets evidence by its age. Called at least every few seconds.
+    /// Applies the decay of evidence with time. Must be called every few
+    /// seconds.
     pub fn tick(&mut self, now: MonoTime) {
-        let step = now.saturating_sub(self.faded_at);
+        let step = now.saturating_sub(self.decayed_at);
         if step < Duration::from_secs(1) {
             return;
         }
-        self.faded_at = now;
-        let keep = 0.5f64.powf(step.as_secs_f64() / self.cfg.half_life.as_secs_f64().max(1.0));
-        let cells = self.cells.values_mut().chain(self.redone.values_mut());
-        for counts in cells.flat_map(|classes| classes.values_mut()) {
-            counts.good *= keep;
-            counts.bad *= keep;
+        self.decayed_at = now;
+        let retained = 0.5f64.powf(step.as_secs_f64() / self.cfg.half_life.as_secs_f64().max(1.0));
+        let all_evidence = self
+            .usual_evidence
+            .values_mut()
+            .chain(self.escalated_evidence.values_mut());
+        for counts in all_evidence.flat_map(|classes| classes.values_mut()) {
+            counts.good *= retained;
+            counts.bad *= retained;
         }
         if self.distrust_until.is_some_and(|until| now >= until) {
             self.distrust_until = None;
@@ -333,36 +351,37 @@
         self.generation += 1;
     }
 
-    /// Tells whether the rating service is distrusted at present.
+    /// Returns whether the rating service is currently considered faulty.
     pub fn rater_distrusted(&self) -> bool {
         self.distrust_until.is_some()
     }
 
-    /// Gives the probability that at least `target` of the answers are good.
+    /// Returns the probability that at least a share of `target` of the answers
+    /// are good.
     pub fn confidence_met(&self, class: &str, version: &str, target: f64) -> f64 {
         let posterior = self.posterior(class, version);
         share_above(posterior.good, posterior.bad, target)
     }
 
-    /// Gives the expected share of good answers.
+    /// Returns the expected share of good answers.
     pub fn expected(&self, class: &str, version: &str) -> f64 {
         self.moments(class, version).mean
     }
 
-    /// Gives mean and variance of the share of good answers.
+    /// Returns the mean and variance of the share of good answers.
     pub fn moments(&self, class: &str, version: &str) -> Moments {
         let Counts { good, bad } = self.posterior(class, version);
         beta_moments(good, bad)
     }
 
-    /// Gives mean and variance of the share of good answers to requests whose
-    /// first answer in a cascade was bad. Before evidence, `hard_factor` times
-    /// the usual quality.
+    /// Returns the mean and variance of the share of good answers to requests
+    /// whose first answer in a cascade was bad. Without evidence, the mean is
+    /// the usual quality times `hard_factor`.
     pub fn moments_redo(&self, class: &str, version: &str, hard_factor: f64) -> Moments {
         let usual = self.moments(class, version).mean * hard_factor;
         let weight = self.cfg.prior_weight;
         let seen = self
-            .redone
+            .escalated_evidence
             .get(version)
             .and_then(|classes| classes.get(class));
         let seen = seen.copied().unwrap_or_default();
@@ -372,76 +391,76 @@
         )
     }
 
-    /// Gives how many ratings the evidence of a version in a class is worth.
+    /// Returns the weight of the evidence for a version in a class, in ratings.
     pub fn evidence(&self, class: &str, version: &str) -> f64 {
-        self.cells
+        self.usual_evidence
             .get(version)
             .and_then(|classes| classes.get(class))
             .map_or(0.0, |counts| counts.good + counts.bad)
     }
 
-    /// Gives the share of a version's answers in a class that is worth a rating:
-    /// all of them while there is little evidence, else `usual`.
+    /// Returns the share of a version's answers in a class that should be
+    /// rated: all of them while evidence is insufficient, otherwise `usual`.
     pub fn sample_share(&self, class: &str, version: &str, usual: f64) -> f64 {
-        match self.evidence(class, version) < self.cfg.thin {
+        match self.evidence(class, version) < self.cfg.min_evidence {
             true => 1.0,
             false => usual,
         }
     }
 
-    /// Gives how many ratings the evidence of a version on second answers of
-    /// cascades is worth.
+    /// Returns the weight of the evidence from second answers of cascades, in
+    /// ratings.
     pub fn evidence_redo(&self, class: &str, version: &str) -> f64 {
         let counts = self
-            .redone
+            .escalated_evidence
             .get(version)
             .and_then(|classes| classes.get(class));
         counts.map_or(0.0, |counts| counts.good + counts.bad)
     }
 
-    /// Tells whether a version rolls out and has too little evidence, over all
-    /// classes, to be compared with others.
+    /// Returns whether a version is rolling out and has too little evidence,
+    /// over all classes, to be compared with others.
     pub fn wants_evidence(&self, version: &str) -> bool {
         if !self.rolling.contains(version) {
             return false;
         }
-        let classes = self.cells.get(version).into_iter().flatten();
+        let classes = self.usual_evidence.get(version).into_iter().flatten();
         classes
             .map(|(_, counts)| counts.good + counts.bad)
             .sum::<f64>()
-            < self.cfg.thin
+            < self.cfg.min_evidence
     }
 
-    /// Gives the prior of a version in the fleet file.
+    /// Returns the prior of a version in the fleet file.
     pub fn prior(&self, version: &str) -> Option<f64> {
         self.priors.get(version).copied()
     }
 
-    /// Counts ratings by what became of them.
+    /// Returns the counts of ratings by outcome.
     pub fn counts(&self) -> RatingCounts {
         self.counts
     }
 
-    /// Changes whenever an answer of this struct may have changed.
+    /// Returns a counter that changes whenever the estimates may have changed.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    fn judge(&mut self, now: MonoTime, rating: &Rating) -> Rated {
+    fn check_and_learn(&mut self, now: MonoTime, rating: &Rating) -> Rated {
         if !(0.0..=1.0).contains(&rating.score) {
             return Rated::Ignored(Ignored::OutOfRange);
         }
-        let Some(sampled) = self.sampled.get(&rating.request) else {
+        let Some(pending) = self.pending.get(&rating.request) else {
             return Rated::Ignored(Ignored::Unknown);
         };
-        if sampled.class != rating.class || sampled.version != rating.version {
+        if pending.class != rating.class || pending.version != rating.version {
             return Rated::Ignored(Ignored::Mismatch);
         }
-        if sampled.at > now || rating.age > now.saturating_sub(sampled.at) + CLOCK_SLACK {
+        if pending.at > now || rating.age > now.saturating_sub(pending.at) + CLOCK_SLACK {
             return Rated::Ignored(Ignored::Future);
         }
-        let redo = sampled.redo;
-        self.sampled.swap_remove(&rating.request);
+        let redo = pending.redo;
+        self.pending.swap_remove(&rating.request);
         self.learn(now, &rating.class, &rating.version, rating.score, redo)
     }
 
@@ -455,7 +474,7 @@
     ) -> Rated {
         let good = score >= self.cfg.good_score;
         if !redo {
-            self.judge_rater(now, class, version, good);
+            self.detect_rater_fault(now, class, version, good);
         }
         if self.distrust_until.is_some() {
             return Rated::Ignored(Ignored::Distrusted);
@@ -467,18 +486,18 @@
     }
 
     fn add(&mut self, class: &ClassId, version: &VersionId, good: bool, redo: bool) {
-        let cells = if redo {
-            &mut self.redone
+        let evidence = if redo {
+            &mut self.escalated_evidence
         } else {
-            &mut self.cells
+            &mut self.usual_evidence
         };
-        let classes = cells.entry(version.clone()).or_default();
+        let classes = evidence.entry(version.clone()).or_default();
         let counts = classes.entry(class.clone()).or_default();
-        let n = counts.good + counts.bad;
-        if n >= self.cfg.memory {
-            let keep = (self.cfg.memory - 1.0) / n;
-            counts.good *= keep;
-            counts.bad *= keep;
+        let total = counts.good + counts.bad;
+        if total >= self.cfg.max_evidence {
+            let retained = (self.cfg.max_evidence - 1.0) / total;
+            counts.good *= retained;
+            counts.bad *= retained;
         }
         match good {
             true => counts.good += 1.0,
@@ -487,12 +506,20 @@
         self.generation += 1;
     }
 
-    /// Compares the last ratings with what was expected of each version.
+    /// Compares recent ratings with the values expected for each version.
     ///
-    /// One version that turns bad moves alone. A rating service that goes wrong
-    /// moves all of them the same way at once, and would otherwise get every
-    /// version held; two versions far off on the same side are enough to tell.
-    fn judge_rater(&mut self, now: MonoTime, class: &ClassId, version: &VersionId, good: bool) {
+    /// If the quality of one version drops, only its ratings change. A faulty
+    /// rating service changes the ratings of all versions in the same direction
+    /// at once, which would cause every version to be held. Two versions with a
+    /// large deviation in the same direction are treated as a faulty rating
+    /// service.
+    fn detect_rater_fault(
+        &mut self,
+        now: MonoTime,
+        class: &ClassId,
+        version: &VersionId,
+        good: bool,
+    ) {
         if !self.cfg.judge_rater {
             return;
         }
@@ -504,44 +531,44 @@
         let var = (expected * (1.0 - expected)).max(0.01);
         self.recent
             .push_back((version.clone(), seen - expected, var));
-        // Not prolonged while it lasts: what looks like a wrong rater for good is
-        // a change of the answers, and must be learnt from in the end.
-        if self.distrust_until.is_none() && self.rater_is_off() {
-            self.distrust_until = Some(now + self.cfg.distrust);
+        // Not extended while it lasts: if the deviation persists, the answers
+        // have really changed and the estimates must follow in the end.
+        if self.distrust_until.is_none() && self.rater_deviates() {
+            self.distrust_until = Some(now + self.cfg.distrust_duration);
             self.generation += 1;
         }
     }
 
-    fn rater_is_off(&self) -> bool {
+    fn rater_deviates(&self) -> bool {
         let mut sums: IndexMap<&VersionId, (f64, f64, u32)> = IndexMap::new();
-        for (version, off, var) in &self.recent {
+        for (version, offset, var) in &self.recent {
             let sum = sums.entry(version).or_default();
-            *sum = (sum.0 + off, sum.1 + var, sum.2 + 1);
+            *sum = (sum.0 + offset, sum.1 + var, sum.2 + 1);
         }
-        let far = |sign: f64| {
+        let outliers = |sign: f64| {
             sums.values()
-                .filter(|(_, _, n)| *n >= RATER_MIN)
-                .filter(|(off, _, _)| sign * off >= RATER_LEAST)
-                .filter(|(off, var, _)| sign * off / var.sqrt() > RATER_DEVIATION)
+                .filter(|(_, _, ratings)| *ratings >= RATER_MIN_RATINGS)
+                .filter(|(offset, _, _)| sign * offset >= RATER_MIN_OFFSET)
+                .filter(|(offset, var, _)| sign * offset / var.sqrt() > RATER_MAX_DEVIATION)
                 .count()
         };
-        far(1.0) >= 2 || far(-1.0) >= 2
+        outliers(1.0) >= 2 || outliers(-1.0) >= 2
     }
 
     fn posterior(&self, class: &str, version: &str) -> Counts {
         let prior = self.priors.get(version).copied().unwrap_or(0.5);
         let mut own = Counts::default();
         let mut other = Counts::default();
-        if let Some(classes) = self.cells.get(version) {
+        if let Some(classes) = self.usual_evidence.get(version) {
             for (name, counts) in classes {
                 let sum = if name == class { &mut own } else { &mut other };
                 sum.good += counts.good;
                 sum.bad += counts.bad;
             }
         }
-        let n = other.good + other.bad;
-        let scale = if n > self.cfg.other_weight {
-            self.cfg.other_weight / n
+        let total = other.good + other.bad;
+        let scale = if total > self.cfg.other_classes_weight {
+            self.cfg.other_classes_weight / total
         } else {
             1.0
         };
@@ -552,7 +579,7 @@
     }
 }
 
-/// Gives the probability that a share with a Beta distribution is at least `target`.
+/// Returns the probability that a Beta-distributed share is at least `target`.
 pub fn share_above(good: f64, bad: f64, target: f64) -> f64 {
     if target <= 0.0 {
         return 1.0;
@@ -564,10 +591,10 @@
 }
 
 fn beta_moments(good: f64, bad: f64) -> Moments {
-    let n = good + bad;
-    let mean = good / n;
+    let total = good + bad;
+    let mean = good / total;
     Moments {
         mean,
-        var: mean * (1.0 - mean) / (n + 1.0),
+        var: mean * (1.0 - mean) / (total + 1.0),
     }
 }
--- a/sesamebeam_core/src/policy/retry.rs
+++ b/sesamebeam_core/src/policy/retry.rs
@@ -1,8 +1,8 @@
-//! Budgets of retries and hedges.
+//! Retry and hedging budgets.
 //!
-//! In an outage every request fails; retried freely, the work multiplies just
-//! when there is least room for it. A budget that only fresh requests fill
-//! bounds the attempts per request.
+//! In an outage every request fails, and unlimited retries multiply the load
+//! just when capacity is lowest. Only first attempts add to the budget, which
+//! bounds the number of attempts per request.
 
 use std::time::Duration;
 
@@ -19,21 +19,23 @@
     },
 };
 
-/// Settings of the budgets.
+/// Settings of the retry and hedging budgets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryConfig {
-    /// Whether retries are bounded.
+    /// Whether the retry budget is enforced.
     pub bounded: bool,
-    /// Retries that one fresh request pays for.
+    /// Retries added to the budget by each first attempt.
     pub retries_per_request: f64,
-    /// Retries that an organisation can save up.
-    pub saved: f64,
-    /// Retries that all organisations together can save up.
-    pub saved_by_all: f64,
-    /// Hedges that one fresh urgent request pays for; 0 turns hedging off.
+    /// Largest budget that an organisation can accumulate. Also limits the
+    /// hedging budget.
+    pub max_budget: f64,
+    /// Largest budget that all organisations together can accumulate.
+    pub max_total_budget: f64,
+    /// Hedges added to the budget by each hedgeable first attempt; 0 disables
+    /// hedging.
     pub hedges_per_request: f64,
-    /// Hedge only after this share of the class's answers would have come.
-    pub hedge_after: f64,
+    /// Quantile of the class's response times after which a request is hedged.
+    pub hedge_quantile: f64,
 }
 
 impl Default for RetryConfig {
@@ -41,115 +43,125 @@
         Self {
             bounded: true,
             retries_per_request: 0.05,
-            saved: 5.0,
-            saved_by_all: 8.0,
+            max_budget: 5.0,
+            max_total_budget: 8.0,
             hedges_per_request: 0.04,
-            hedge_after: 0.95,
+            hedge_quantile: 0.95,
         }
     }
 }
 
-/// Retries that each organisation may still make.
+/// Remaining retry budget of each organisation.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     cfg: RetryConfig,
-    saved: IndexMap<OrgId, f64>,
-    /// Retries saved by all organisations together. Without it, each of many
-    /// organisations would spend its savings in the same outage.
-    saved_by_all: f64,
+    remaining: IndexMap<OrgId, f64>,
+    /// Remaining budget of all organisations together. Without it, each of many
+    /// organisations would spend its own budget in the same outage.
+    total_remaining: f64,
 }
 
 impl RetryBudget {
-    /// Starts with one retry for each organisation.
+    /// Creates a budget with one retry for each organisation and one in total.
     pub fn new(cfg: RetryConfig) -> Self {
         Self {
             cfg,
-            saved: IndexMap::new(),
-            saved_by_all: 1.0,
+            remaining: IndexMap::new(),
+            total_remaining: 1.0,
         }
     }
 
-    /// Counts a fresh request, which pays into the budget.
+    /// Records a first attempt, which adds to the budget.
     pub fn request(&mut self, org: &OrgId) {
-        let saved = self.saved.entry(org.clone()).or_insert(1.0);
-        *saved = (*saved + self.cfg.retries_per_request).min(self.cfg.saved);
-        let all = self.saved_by_all + self.cfg.retries_per_request;
-        self.saved_by_all = all.min(self.cfg.saved_by_all);
+        let remaining = self.remaining.entry(org.clone()).or_insert(1.0);
+        *remaining = (*remaining + self.cfg.retries_per_request).min(self.cfg.max_budget);
+        let total = self.total_remaining + self.cfg.retries_per_request;
+        self.total_remaining = total.min(self.cfg.max_total_budget);
     }
 
-    /// Takes a retry from the budget, if there is one.
+    /// Withdraws one retry, if the budget allows it.
     pub fn try_retry(&mut self, org: &OrgId) -> bool {
         if !self.cfg.bounded {
             return true;
         }
-        let saved = self.saved.entry(org.clone()).or_insert(1.0);
-        self.saved_by_all >= 1.0 && take_one(saved) && take_one(&mut self.saved_by_all)
+        let remaining = self.remaining.entry(org.clone()).or_insert(1.0);
+        self.total_remaining >= 1.0
+            && withdraw_one(remaining)
+            && withdraw_one(&mut self.total_remaining)
     }
 }
 
-/// Hedges that may still be made, and when.
+/// Remaining hedging budget and the delay before a hedge.
 ///
-/// A hedge runs a second time what may already be running, so only idempotent
-/// urgent requests are hedged.
+/// A hedge may run a request twice, so only urgent requests of idempotent
+/// classes are hedged.
 #[derive(Clone, Debug)]
 pub struct HedgeBudget {
     cfg: RetryConfig,
-    saved: f64,
-    /// Time by which `hedge_after` of the answers came, by class, in seconds.
+    remaining: f64,
+    /// Estimated `hedge_quantile` of the response times of each class, in
+    /// seconds.
     delays: IndexMap<ClassId, f64>,
 }
 
 impl HedgeBudget {
-    /// Starts without a saved hedge.
+    /// Creates an empty budget.
     pub fn new(cfg: RetryConfig) -> Self {
         Self {
             cfg,
-            saved: 0.0,
+            remaining: 0.0,
             delays: IndexMap::new(),
         }
     }
 
-    /// Counts a fresh request, which pays into the budget if it could be hedged.
+    /// Records a first attempt, which adds to the budget if the class can be
+    /// hedged.
     pub fn request(&mut self, class: &Class) {
-        if hedgeable(class) {
-            self.saved = (self.saved + self.cfg.hedges_per_request).min(self.cfg.saved);
+        if can_be_hedged(class) {
+            self.remaining =
+                (self.remaining + self.cfg.hedges_per_request).min(self.cfg.max_budget);
         }
     }
 
-    /// Learns from the time of a whole answer.
+    /// Updates the delay estimate of a class with the response time of a
+    /// complete answer.
     pub fn answered(&mut self, class: &ClassId, took: Duration) {
         let seconds = took.as_secs_f64();
         let delay = self.delays.entry(class.clone()).or_insert(seconds);
         let step = 0.05 * delay.max(1e-3);
         match seconds > *delay {
-            true => *delay += step * self.cfg.hedge_after,
-            false => *delay -= step * (1.0 - self.cfg.hedge_after),
+            true => *delay += step * self.cfg.hedge_quantile,
+            false => *delay -= step * (1.0 - self.cfg.hedge_quantile),
         }
     }
 
-    /// Gives the time after which a request is hedged; none if it never is.
+    /// Returns the time after which a request is hedged, or `None` if it never
+    /// is.
     pub fn delay(&self, class: &Class) -> Option<Duration> {
-        if !hedgeable(class) || self.cfg.hedges_per_request <= 0.0 {
+        if !can_be_hedged(class) || self.cfg.hedges_per_request <= 0.0 {
             return None;
         }
         let delay = self.delays.get(&class.name)?;
         Some(Duration::from_secs_f64(*delay))
     }
 
-    /// Takes a hedge from the budget, if the request may have one.
+    /// Withdraws one hedge, if the class can be hedged and the budget allows
+    /// it.
     pub fn try_hedge(&mut self, class: &Class) -> bool {
-        hedgeable(class) && self.cfg.hedges_per_request > 0.0 && take_one(&mut self.saved)
+        can_be_hedged(class)
+            && self.cfg.hedges_per_request > 0.0
+            && withdraw_one(&mut self.remaining)
     }
 }
 
-fn hedgeable(class: &Class) -> bool {
+fn can_be_hedged(class: &Class) -> bool {
     class.idempotent && class.priority == Priority::Urgent
 }
 
-fn take_one(saved: &mut f64) -> bool {
-    if *saved < 1.0 {
+fn withdraw_one(remaining: &mut f64) -> bool {
+    if *remaining < 1.0 {
         return false;
     }
-    *saved -= 1.0;
+    *remaining -= 1.0;
     true
 }
