--- a/sesamebeam_core/src/policy/servers.rs
+++ b/sesamebeam_core/src/policy/servers.rs
@@ -1,10 +1,12 @@
-//! Membership of backend servers, from what they announce.
+//! Membership of backend servers, based on their announcements.
 //!
-//! A backend server is in while its lease lasts. Announcements are ordered by
-//! incarnation and sequence number; what is older changes nothing. One that is
-//! silent for a lease is out. Many of one failure domain that fall silent
-//! together are a cut between them and this entry, not as many deaths: they are
-//! kept as unreachable and are back with their first announcement.
+//! A backend server is a member while its lease lasts. Announcements are
+//! ordered by incarnation and sequence number, and stale ones are ignored. A
+//! backend server that is silent for the length of a lease expires. If many
+//! backend servers of one failure domain fall silent together, a network
+//! partition between them and this entry is assumed rather than as many
+//! crashes: they are kept as unreachable and rejoin with their first
+//! announcement.
 
 use std::time::Duration;
 
@@ -35,27 +37,29 @@
     message::server::Announcement,
 };
 
-/// Versions that one announcement may list.
+/// Maximum number of versions in one announcement.
 const MAX_VERSIONS: usize = 256;
 
 /// Settings of membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServersConfig {
-    /// Silence after which a backend server is out.
+    /// Silence after which a backend server expires.
     pub lease: Duration,
-    /// Whether many silent at once are taken as a cut.
+    /// Whether the simultaneous silence of many backend servers is treated as a
+    /// network partition.
     pub see_cuts: bool,
-    /// Share of a failure domain's backend servers whose silence is a cut.
-    pub cut_share: f64,
-    /// Fewest silent backend servers that are a cut.
-    pub cut_least: usize,
-    /// Time for which those behind a cut are kept.
-    pub keep: Duration,
-    /// Backend servers of one pool that this entry uses; the rest is left to
-    /// other entries.
+    /// Share of a failure domain's backend servers that must be silent for a
+    /// partition to be assumed.
+    pub partition_share: f64,
+    /// Minimum number of silent backend servers for a partition to be assumed.
+    pub partition_min_servers: usize,
+    /// Time for which backend servers behind a partition are kept.
+    pub unreachable_retention: Duration,
+    /// Maximum number of backend servers of one pool that this entry uses. The
+    /// others are left to other entries.
     pub subset: usize,
-    /// Backend servers that are remembered.
-    pub most: usize,
+    /// Maximum number of backend servers.
+    pub max_servers: usize,
 }
 
 impl Default for ServersConfig {
@@ -63,41 +67,43 @@
         Self {
             lease: Duration::from_secs(6),
             see_cuts: true,
-            cut_share: 0.5,
-            cut_least: 3,
-            keep: Duration::from_secs(2 * 3600),
+            partition_share: 0.5,
+            partition_min_servers: 3,
+            unreachable_retention: Duration::from_secs(2 * 3600),
             subset: 700,
-            most: 20_000,
+            max_servers: 20_000,
         }
     }
 }
 
-/// What an announcement changed.
+/// Effect of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Announced {
-    /// A backend server that was not known, or was out.
+    /// A backend server that was unknown or had expired.
     New,
-    /// One that was behind a cut is back.
+    /// A backend server behind a partition became reachable again.
     Back,
-    /// A known one, in a new life; what ran in the old one is lost.
+    /// A known backend server with a new incarnation. Requests that ran in the
+    /// old one are lost.
     Restarted {
-        /// The life that is over.
+        /// The incarnation that ended.
         old: Incarnation,
     },
-    /// Versions or leaving changed.
+    /// The versions or the leaving flag changed.
     Changed,
-    /// It is leaving from now on.
+    /// The backend server started to leave.
     Leaving,
-    /// Only its load and lease.
+    /// Only the load and the lease were updated.
     Refreshed,
-    /// Older than what is known: nothing.
+    /// The announcement is older than the last known one and was ignored.
     Old,
-    /// Nothing, for a fault of the announcement.
+    /// The announcement is invalid and was ignored.
     Ignored(Fault),
 }
 
 impl Announced {
-    /// Tells whether other entries of the failure domain should hear of it.
+    /// Returns whether the announcement is passed on to other entries of the
+    /// failure domain.
     pub fn spreads(self) -> bool {
         match self {
             Self::New | Self::Back | Self::Restarted { .. } | Self::Changed | Self::Leaving => true,
@@ -106,12 +112,12 @@
     }
 }
 
-/// Why an announcement is ignored.
+/// Reason why an announcement is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The configuration does not know the failure domain.
+    /// The failure domain is not in the configuration.
     Domain,
-    /// The configuration does not know the pool.
+    /// The pool is not in the configuration.
     Pool,
     /// The incarnation is zero.
     Incarnation,
@@ -119,12 +125,12 @@
     TooMany,
 }
 
-/// Announcements by what became of them, since the start.
+/// Counts of announcements since the start, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnouncementCounts {
-    /// Taken.
+    /// Accepted.
     pub taken: u64,
-    /// Older than what is known.
+    /// Older than the last known one.
     pub old: u64,
     /// Unknown failure domain.
     pub domain: u64,
@@ -132,27 +138,27 @@
     pub pool: u64,
     /// Incarnation zero.
     pub incarnation: u64,
-    /// Too many.
+    /// Too many backend servers or versions.
     pub too_many: u64,
-    /// Unknown versions, left out of announcements that were taken.
+    /// Unknown versions that were removed from accepted announcements.
     pub versions: u64,
 }
 
-/// What time changed.
+/// Membership change caused by the passage of time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerEvent {
-    /// Silent for a lease: out.
+    /// The lease of a backend server ended.
     Out(ServerAddr),
-    /// Behind a cut: not chosen, but kept.
+    /// A backend server is behind a partition: it is kept but not selected.
     Unreachable(ServerAddr),
     /// Many backend servers of a failure domain fell silent together.
     Cut(DomainId),
 }
 
-/// Whether a backend server can be reached.
+/// Reachability of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reach {
-    In,
+enum Reachability {
+    Reachable,
     Unreachable,
 }
 
@@ -160,11 +166,11 @@
 #[derive(Clone, Debug)]
 struct Member {
     last: Announcement,
-    heard: MonoTime,
-    reach: Reach,
+    last_contact: MonoTime,
+    reachability: Reachability,
 }
 
-/// Backend servers that announced themselves.
+/// Table of the backend servers that have announced themselves.
 #[derive(Clone, Debug)]
 pub struct Servers {
     cfg: ServersConfig,
@@ -172,14 +178,15 @@
     pools: IndexMap<PoolId, PoolKind>,
     versions: IndexSet<VersionId>,
     members: IndexMap<ServerAddr, Member>,
-    /// Last life of those that are out, against late announcements.
-    gone: IndexMap<ServerAddr, (Incarnation, u64)>,
-    spread: IndexSet<ServerAddr>,
+    /// Incarnation and sequence number of former members, to detect
+    /// announcements that arrive late.
+    former_members: IndexMap<ServerAddr, (Incarnation, u64)>,
+    pending_deltas: IndexSet<ServerAddr>,
     counts: AnnouncementCounts,
 }
 
 impl Servers {
-    /// Starts without backend servers.
+    /// Creates an empty table.
     pub fn new(cfg: ServersConfig) -> Self {
         Self {
             cfg,
@@ -187,14 +194,15 @@
             pools: IndexMap::new(),
             versions: IndexSet::new(),
             members: IndexMap::new(),
-            gone: IndexMap::new(),
-            spread: IndexSet::new(),
+            former_members: IndexMap::new(),
+            pending_deltas: IndexSet::new(),
             counts: AnnouncementCounts::default(),
         }
     }
 
-    /// Takes failure domains, pools and versions of a fleet file. Backend
-    /// servers of a pool that is gone are out; they are listed.
+    /// Applies the failure domains, pools and versions of a fleet file. Removes
+    /// backend servers of pools or failure domains that are no longer
+    /// configured and returns them.
     pub fn configure(&mut self, fleet: &Fleet) -> Vec<ServerAddr> {
         self.domains = fleet.domains.iter().cloned().collect();
         self.pools = fleet
@@ -222,11 +230,12 @@
         out
     }
 
-    /// Takes an announcement, from the backend server or from another entry.
+    /// Applies an announcement received from the backend server or from another
+    /// entry.
     pub fn announce(&mut self, now: MonoTime, announcement: &Announcement) -> Announced {
         let announced = match self.fault(announcement) {
             Some(fault) => Announced::Ignored(fault),
-            None => self.take(now, announcement),
+            None => self.apply(now, announcement),
         };
         match announced {
             Announced::Old => self.counts.old += 1,
@@ -237,78 +246,82 @@
             _ => self.counts.taken += 1,
         }
         if announced.spreads() {
-            self.spread.insert(announcement.addr);
+            self.pending_deltas.insert(announcement.addr);
         }
         announced
     }
 
-    /// Counts an answer of a backend server as a sign of life.
+    /// Renews the lease of a backend server because it answered a request.
     ///
-    /// Announcements and requests take different ways: when only the way of
-    /// announcements is cut, backend servers that answer must not be expelled.
+    /// Announcements and requests use different network paths. If only the path
+    /// of announcements fails, backend servers that still answer must not
+    /// expire.
     pub fn heard(&mut self, now: MonoTime, addr: ServerAddr) {
         if let Some(member) = self.members.get_mut(&addr) {
-            member.heard = member.heard.max(now);
+            member.last_contact = member.last_contact.max(now);
         }
     }
 
-    /// Drops those whose lease is over, or keeps them as unreachable if the
-    /// silence looks like a cut.
+    /// Removes backend servers whose lease has ended, or keeps them as
+    /// unreachable if a partition is likely.
     pub fn tick(&mut self, now: MonoTime) -> Vec<ServerEvent> {
         let mut events = Vec::new();
         let silent: Vec<ServerAddr> = self
             .members
             .iter()
-            .filter(|(_, m)| m.reach == Reach::In && self.silence(now, m) > self.cfg.lease)
+            .filter(|(_, m)| {
+                m.reachability == Reachability::Reachable && self.silence(now, m) > self.cfg.lease
+            })
             .map(|(addr, _)| *addr)
             .collect();
-        let mut cut = IndexSet::new();
+        let mut partitioned = IndexSet::new();
         for addr in &silent {
             let domain = self.members[addr].last.domain.clone();
-            if !cut.contains(&domain) && self.is_cut(now, &domain) {
+            if !partitioned.contains(&domain) && self.is_partitioned(now, &domain) {
                 events.push(ServerEvent::Cut(domain.clone()));
-                cut.insert(domain);
+                partitioned.insert(domain);
             }
         }
         for addr in silent {
             let member = &mut self.members[&addr];
-            if cut.contains(&member.last.domain) && !member.last.leaving {
-                member.reach = Reach::Unreachable;
+            if partitioned.contains(&member.last.domain) && !member.last.leaving {
+                member.reachability = Reachability::Unreachable;
                 events.push(ServerEvent::Unreachable(addr));
             } else {
-                self.expel(addr);
+                self.expire(addr);
                 events.push(ServerEvent::Out(addr));
             }
         }
-        self.drop_kept(now, &mut events);
+        self.expire_unreachable(now, &mut events);
         events
     }
 
-    /// Gives the last announcement of a backend server that is in.
+    /// Returns the last announcement of a reachable member.
     pub fn get(&self, addr: ServerAddr) -> Option<&Announcement> {
         let member = self.members.get(&addr)?;
-        (member.reach == Reach::In).then_some(&member.last)
+        (member.reachability == Reachability::Reachable).then_some(&member.last)
     }
 
-    /// Lists the backend servers that are in.
+    /// Returns the last announcements of all reachable members.
     pub fn all(&self) -> impl Iterator<Item = &Announcement> {
         self.members
             .values()
-            .filter(|member| member.reach == Reach::In)
+            .filter(|member| member.reachability == Reachability::Reachable)
             .map(|member| &member.last)
     }
 
-    /// Takes the announcements that other entries should hear of.
+    /// Removes and returns the announcements that are to be sent to other
+    /// entries.
     pub fn take_deltas(&mut self) -> Vec<Announcement> {
-        let spread = std::mem::take(&mut self.spread);
-        spread
+        let pending_deltas = std::mem::take(&mut self.pending_deltas);
+        pending_deltas
             .iter()
             .filter_map(|addr| self.get(*addr).cloned())
             .collect()
     }
 
-    /// Chooses the backend servers of a pool that an entry uses: the same ones
-    /// after a restart, and spread evenly over the entries.
+    /// Selects the backend servers of a pool that an entry uses. The selection
+    /// is stable across restarts and even over the entries.
     pub fn subset(&self, entry: &InstanceId, pool: &str) -> Vec<ServerAddr> {
         let mut ranked: Vec<(u64, ServerAddr)> = self
             .all()
@@ -323,7 +336,7 @@
         ranked.into_iter().map(|(_, addr)| addr).collect()
     }
 
-    /// Counts announcements by what became of them.
+    /// Returns the counts of announcements by outcome.
     pub fn counts(&self) -> AnnouncementCounts {
         self.counts
     }
@@ -338,96 +351,100 @@
         if !self.pools.contains_key(&announcement.pool) {
             return Some(Fault::Pool);
         }
-        let full =
-            self.members.len() >= self.cfg.most && !self.members.contains_key(&announcement.addr);
+        let full = self.members.len() >= self.cfg.max_servers
+            && !self.members.contains_key(&announcement.addr);
         (full || announcement.versions.len() > MAX_VERSIONS).then_some(Fault::TooMany)
     }
 
-    fn take(&mut self, now: MonoTime, announcement: &Announcement) -> Announced {
+    fn apply(&mut self, now: MonoTime, announcement: &Announcement) -> Announced {
         let addr = announcement.addr;
         let Some(member) = self.members.get(&addr) else {
-            return self.take_new(now, announcement);
+            return self.add_member(now, announcement);
         };
         let last = &member.last;
-        let newer_life = announcement.incarnation != last.incarnation;
-        if newer_life && self.was_before(addr, announcement.incarnation) {
+        let new_incarnation = announcement.incarnation != last.incarnation;
+        if new_incarnation && self.has_ended(addr, announcement.incarnation) {
             return Announced::Old;
         }
-        if !newer_life && announcement.seq <= last.seq {
+        if !new_incarnation && announcement.seq <= last.seq {
             return Announced::Old;
         }
         let old = last.incarnation;
-        let was_leaving = last.leaving && !newer_life;
-        let next = self.cleaned(announcement, was_leaving);
+        let was_leaving = last.leaving && !new_incarnation;
+        let updated = self.sanitized(announcement, was_leaving);
         let member = &mut self.members[&addr];
-        let same = member.last.versions == next.versions && member.last.leaving == next.leaving;
-        let back = member.reach == Reach::Unreachable;
+        let unchanged =
+            member.last.versions == updated.versions && member.last.leaving == updated.leaving;
+        let was_unreachable = member.reachability == Reachability::Unreachable;
         let announced = match () {
-            () if newer_life => Announced::Restarted { old },
-            () if back => Announced::Back,
-            () if next.leaving && !was_leaving => Announced::Leaving,
-            () if same => Announced::Refreshed,
+            () if new_incarnation => Announced::Restarted { old },
+            () if was_unreachable => Announced::Back,
+            () if updated.leaving && !was_leaving => Announced::Leaving,
+            () if unchanged => Announced::Refreshed,
             () => Announced::Changed,
         };
         let last_seq = member.last.seq;
         *member = Member {
-            last: next,
-            heard: now,
-            reach: Reach::In,
+            last: updated,
+            last_contact: now,
+            reachability: Reachability::Reachable,
         };
-        if newer_life {
-            self.bury(addr, old, last_seq);
+        if new_incarnation {
+            self.record_former_member(addr, old, last_seq);
         }
         announced
     }
 
-    fn take_new(&mut self, now: MonoTime, announcement: &Announcement) -> Announced {
+    fn add_member(&mut self, now: MonoTime, announcement: &Announcement) -> Announced {
         let addr = announcement.addr;
-        if let Some((incarnation, seq)) = self.gone.get(&addr)
+        if let Some((incarnation, seq)) = self.former_members.get(&addr)
             && *incarnation == announcement.incarnation
             && announcement.seq <= *seq
         {
             return Announced::Old;
         }
-        let last = self.cleaned(announcement, false);
+        let last = self.sanitized(announcement, false);
         let member = Member {
             last,
-            heard: now,
-            reach: Reach::In,
+            last_contact: now,
+            reachability: Reachability::Reachable,
         };
         self.members.insert(addr, member);
         Announced::New
     }
 
-    /// Tells whether a life of an address ended before the present one began.
+    /// Returns whether an incarnation of an address ended before the present
+    /// one began.
     ///
-    /// Incarnations are random, so their order says nothing: an announcement of
-    /// the old life that comes late would else bring it back.
-    fn was_before(&self, addr: ServerAddr, incarnation: Incarnation) -> bool {
-        self.gone
+    /// Incarnations are random and cannot be ordered. Without this check a late
+    /// announcement of an old incarnation would replace the present one.
+    fn has_ended(&self, addr: ServerAddr, incarnation: Incarnation) -> bool {
+        self.former_members
             .get(&addr)
             .is_some_and(|(old, _)| *old == incarnation)
     }
 
-    /// Leaves out versions that the configuration does not know, and keeps a
-    /// life that is leaving from coming back.
-    fn cleaned(&mut self, announcement: &Announcement, was_leaving: bool) -> Announcement {
-        let mut next = announcement.clone();
-        next.versions
+    /// Removes versions that are not configured, and keeps the leaving flag set
+    /// once an incarnation is leaving.
+    fn sanitized(&mut self, announcement: &Announcement, was_leaving: bool) -> Announcement {
+        let mut updated = announcement.clone();
+        updated
+            .versions
             .retain(|version| self.versions.contains(version));
-        self.counts.versions += (announcement.versions.len() - next.versions.len()) as u64;
-        next.leaving |= was_leaving;
-        next
+        self.counts.versions += (announcement.versions.len() - updated.versions.len()) as u64;
+        updated.leaving |= was_leaving;
+        updated
     }
 
     fn silence(&self, now: MonoTime, member: &Member) -> Duration {
-        now.saturating_sub(member.heard)
+        now.saturating_sub(member.last_contact)
     }
 
-    /// Tells whether the silence in a failure domain is a cut. Announcements
-    /// come at different times, so those overdue by half a lease count as
-    /// silent too: the first whose lease ends would else look alone.
-    fn is_cut(&self, now: MonoTime, domain: &str) -> bool {
+    /// Returns whether a failure domain is likely behind a partition.
+    /// Announcements arrive at different times, so backend servers that are
+    /// overdue by half a lease count as silent too. Otherwise the first whose
+    /// lease ends would look like a single failure.
+    fn is_partitioned(&self, now: MonoTime, domain: &str) -> bool {
         if !self.cfg.see_cuts {
             return false;
         }
@@ -438,34 +455,43 @@
         };
         let all = staying().count();
         let silent = staying()
-            .filter(|m| m.reach == Reach::Unreachable || self.silence(now, m) > self.cfg.lease / 2)
+            .filter(|m| {
+                m.reachability == Reachability::Unreachable
+                    || self.silence(now, m) > self.cfg.lease / 2
+            })
             .count();
-        silent >= self.cfg.cut_least && silent as f64 >= all as f64 * self.cfg.cut_share
+        silent >= self.cfg.partition_min_servers
+            && silent as f64 >= all as f64 * self.cfg.partition_share
     }
 
-    fn drop_kept(&mut self, now: MonoTime, events: &mut Vec<ServerEvent>) {
-        let over: Vec<ServerAddr> = self
+    fn expire_unreachable(&mut self, now: MonoTime, events: &mut Vec<ServerEvent>) {
+        let expired: Vec<ServerAddr> = self
             .members
             .iter()
-            .filter(|(_, m)| m.reach == Reach::Unreachable && self.silence(now, m) > self.cfg.keep)
+            .filter(|(_, m)| {
+                m.reachability == Reachability::Unreachable
+                    && self.silence(now, m) > self.cfg.unreachable_retention
+            })
             .map(|(addr, _)| *addr)
             .collect();
-        for addr in over {
-            self.expel(addr);
+        for addr in expired {
+            self.expire(addr);
             events.push(ServerEvent::Out(addr));
         }
     }
 
-    fn expel(&mut self, addr: ServerAddr) {
+    fn expire(&mut self, addr: ServerAddr) {
         if let Some(member) = self.members.swap_remove(&addr) {
-            self.bury(addr, member.last.incarnation, member.last.seq);
+            self.record_former_member(addr, member.last.incarnation, member.last.seq);
         }
     }
 
-    fn bury(&mut self, addr: ServerAddr, incarnation: Incarnation, seq: u64) {
-        if self.gone.len() >= self.cfg.most && !self.gone.contains_key(&addr) {
-            self.gone.swap_remove_index(0);
+    fn record_former_member(&mut self, addr: ServerAddr, incarnation: Incarnation, seq: u64) {
+        if self.former_members.len() >= self.cfg.max_servers
+            && !self.former_members.contains_key(&addr)
+        {
+            self.former_members.swap_remove_index(0);
         }
-        self.gone.insert(addr, (incarnation, seq));
+        self.former_members.insert(addr, (incarnation, seq));
     }
 }
--- a/sesamebeam_core/src/policy/suspects.rs
+++ b/sesamebeam_core/src/policy/suspects.rs
@@ -1,12 +1,13 @@
-//! Requests that crash backend servers, told from those that were only beside.
+//! Detection of requests that crash backend servers.
 //!
-//! A request is known by the fingerprint of its body, so that a resend with a
-//! new key or through another entry is the same suspect. When a backend server
-//! dies, every request on it is suspected. A suspect runs again only where no
-//! other suspect runs, so a second crash has one suspect on board and singles
-//! it out; the others on board are not suspected then. A suspect that completes
-//! is cleared, and so is any fingerprint that completed lately: a common
-//! question is on board of many crashes by chance.
+//! Requests are identified by a fingerprint of their body, so a request that is
+//! resent with a new key or through another entry is recognised. When a backend
+//! server crashes, every request in flight on it becomes a suspect. Suspects
+//! are isolated from each other, so a second crash has only one suspect in
+//! flight and identifies it; other requests in flight are not suspected then. A
+//! suspect that completes is cleared. Fingerprints that completed recently are
+//! never suspected, because a common request is in flight during many crashes
+//! by coincidence.
 
 use std::time::Duration;
 
@@ -26,27 +27,28 @@
     },
 };
 
-/// Settings of suspicion.
+/// Settings of crash detection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SuspectsConfig {
-    /// Whether crashes are traced to requests.
+    /// Whether crashes are attributed to requests.
     pub trace: bool,
-    /// Whether a suspect is kept away from other suspects.
+    /// Whether suspects run isolated from each other.
     pub isolate: bool,
-    /// Crashes after which a fingerprint is quarantined here; the control group
-    /// quarantines it everywhere.
-    pub crashes: u32,
-    /// Time after which a suspicion is forgotten.
-    pub forget: Duration,
-    /// Backend servers that die within [`SuspectsConfig::together`] before it
-    /// counts as an outage, of which no request is suspected.
-    pub outage: usize,
-    /// Time within which deaths count as together.
-    pub together: Duration,
-    /// Fingerprints of completed requests that are remembered.
-    pub completed: usize,
-    /// Suspects that are remembered.
-    pub remembered: usize,
+    /// Number of crashes after which this entry quarantines a fingerprint. The
+    /// control group quarantines it on all entries.
+    pub crashes_to_quarantine: u32,
+    /// Time after which a suspicion expires.
+    pub suspicion_ttl: Duration,
+    /// Number of backend servers that must crash within
+    /// [`SuspectsConfig::outage_window`] for the crashes to be treated as an
+    /// outage, which is not attributed to requests.
+    pub outage_crashes: usize,
+    /// Time within which crashes are counted as one outage.
+    pub outage_window: Duration,
+    /// Maximum number of completed fingerprints that are remembered.
+    pub max_completed: usize,
+    /// Maximum number of suspects.
+    pub max_suspects: usize,
 }
 
 impl Default for SuspectsConfig {
@@ -54,81 +56,85 @@
         Self {
             trace: true,
             isolate: true,
-            crashes: 2,
-            forget: Duration::from_secs(3600),
-            outage: 4,
-            together: Duration::from_secs(3),
-            completed: 16_384,
-            remembered: 4096,
+            crashes_to_quarantine: 2,
+            suspicion_ttl: Duration::from_secs(3600),
+            outage_crashes: 4,
+            outage_window: Duration::from_secs(3),
+            max_completed: 16_384,
+            max_suspects: 4096,
         }
     }
 }
 
-/// How a request stands.
+/// Whether a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing speaks against it.
+    /// The request is not suspected.
     Clear,
-    /// It was on board of a crash: it runs only where no other suspect does.
+    /// The request was in flight during a crash and must be isolated from other
+    /// suspects.
     Suspect,
-    /// It crashes backend servers and is not run.
+    /// The request crashes backend servers and must not run.
     Quarantined,
 }
 
-/// What is known of a suspect.
+/// Evidence against a suspect.
 #[derive(Clone, Debug, Default)]
 struct Suspicion {
     crashes: u32,
-    since: MonoTime,
-    /// Backend servers on which it runs now.
+    last_crash: MonoTime,
+    /// Backend servers on which it is currently running.
     running: Vec<ServerLife>,
 }
 
-/// Fingerprints on board of crashes.
+/// Tracks the fingerprints of requests that were in flight during crashes.
 #[derive(Clone, Debug)]
 pub struct Suspects {
     cfg: SuspectsConfig,
     suspects: IndexMap<Digest, Suspicion>,
-    /// Quarantined by the control group.
-    fleet: IndexSet<Digest>,
-    /// Quarantined here before the control group knows.
-    local: IndexSet<Digest>,
+    /// Fingerprints quarantined by the control group.
+    fleet_quarantine: IndexSet<Digest>,
+    /// Fingerprints quarantined by this entry, before the control group does
+    /// so.
+    local_quarantine: IndexSet<Digest>,
     completed: IndexSet<Digest>,
     completed_cursor: usize,
-    deaths: Vec<(MonoTime, Vec<Digest>)>,
+    recent_crashes: Vec<(MonoTime, Vec<Digest>)>,
 }
 
 impl Suspects {
-    /// Starts without suspicion.
+    /// Creates a tracker without suspects.
     pub fn new(cfg: SuspectsConfig) -> Self {
         Self {
             cfg,
             suspects: IndexMap::new(),
-            fleet: IndexSet::new(),
-            local: IndexSet::new(),
+            fleet_quarantine: IndexSet::new(),
+            local_quarantine: IndexSet::new(),
             completed: IndexSet::new(),
             completed_cursor: 0,
-            deaths: Vec::new(),
+            recent_crashes: Vec::new(),
         }
     }
 
-    /// Takes the control group's quarantine.
+    /// Replaces the quarantine of the control group.
     pub fn quarantine(&mut self, fingerprints: impl IntoIterator<Item = Digest>) {
-        self.fleet = fingerprints.into_iter().collect();
+        self.fleet_quarantine = fingerprints.into_iter().collect();
     }
 
-    /// Takes suspects of another entry of the failure domain.
+    /// Adds suspects reported by another entry of the failure domain.
     pub fn alarm(&mut self, now: MonoTime, fingerprints: impl IntoIterator<Item = Digest>) {
         for fingerprint in fingerprints {
             if !self.completed.contains(&fingerprint) {
-                self.suspect(now, fingerprint, 1);
+                self.add_suspicion(now, fingerprint, 1);
             }
         }
     }
 
-    /// Tells how a request stands.
+    /// Returns whether a request may run.
     pub fn standing(&self, fingerprint: Digest) -> Standing {
-        if self.fleet.contains(&fingerprint) || self.local.contains(&fingerprint) {
+        if self.fleet_quarantine.contains(&fingerprint)
+            || self.local_quarantine.contains(&fingerprint)
+        {
             Standing::Quarantined
         } else if self.suspects.contains_key(&fingerprint) {
             Standing::Suspect
@@ -137,8 +143,8 @@
         }
     }
 
-    /// Lists the backend servers on which a suspect may not run now, because
-    /// another suspect does.
+    /// Returns the backend servers on which a suspect must not run now because
+    /// another suspect is running there.
     pub fn occupied(&self, fingerprint: Digest) -> Vec<ServerLife> {
         if !self.cfg.isolate || !self.suspects.contains_key(&fingerprint) {
             return Vec::new();
@@ -152,20 +158,20 @@
             .collect()
     }
 
-    /// Counts a request that was sent.
+    /// Records that a request was sent.
     pub fn started(&mut self, fingerprint: Digest, server: ServerLife) {
         if let Some(suspicion) = self.suspects.get_mut(&fingerprint) {
             suspicion.running.push(server);
         }
     }
 
-    /// Counts a request that ended while its backend server lived. Whole
-    /// answers clear the request.
+    /// Records that a request ended without a crash of its backend server. A
+    /// complete answer clears the request.
     pub fn finished(&mut self, fingerprint: Digest, server: ServerLife, whole: bool) {
         if whole {
             self.suspects.swap_remove(&fingerprint);
-            self.local.swap_remove(&fingerprint);
-            self.remember(fingerprint);
+            self.local_quarantine.swap_remove(&fingerprint);
+            self.record_completed(fingerprint);
             return;
         }
         if let Some(suspicion) = self.suspects.get_mut(&fingerprint)
@@ -175,16 +181,16 @@
         }
     }
 
-    /// Takes the death of a backend server with the requests on board, and
-    /// gives the report for the control group if any is suspected.
+    /// Records a crash of a backend server with the requests in flight on it.
+    /// Returns the report for the control group if any request is suspected.
     ///
-    /// Only a proved death counts (a new incarnation, a refused connection):
-    /// silence may be a cut.
+    /// Only confirmed crashes may be passed (a new incarnation, a refused
+    /// connection), because silence may be caused by a network partition.
     pub fn died(
         &mut self,
         now: MonoTime,
         server: ServerLife,
-        on_board: &[Digest],
+        in_flight: &[Digest],
     ) -> Option<CrashReport> {
         if !self.cfg.trace {
             return None;
@@ -195,49 +201,51 @@
         if self.is_outage(now) {
             return None;
         }
-        let blamed = self.blame(on_board);
-        for fingerprint in &blamed {
-            self.suspect(now, *fingerprint, 1);
+        let suspected = self.attribute(in_flight);
+        for fingerprint in &suspected {
+            self.add_suspicion(now, *fingerprint, 1);
             let crashes = self.suspects[fingerprint].crashes;
-            if blamed.len() == 1 && crashes >= self.cfg.crashes {
-                self.local.insert(*fingerprint);
+            if suspected.len() == 1 && crashes >= self.cfg.crashes_to_quarantine {
+                self.local_quarantine.insert(*fingerprint);
             }
         }
-        self.deaths.push((now, blamed.clone()));
-        if blamed.is_empty() {
+        self.recent_crashes.push((now, suspected.clone()));
+        if suspected.is_empty() {
             return None;
         }
         Some(CrashReport {
             server,
-            suspects: blamed,
+            suspects: suspected,
         })
     }
 
-    /// Forgets old suspicions.
+    /// Removes expired suspicions.
     pub fn tick(&mut self, now: MonoTime) {
-        let forget = self.cfg.forget;
-        self.suspects
-            .retain(|_, s| !s.running.is_empty() || now.saturating_sub(s.since) < forget);
+        let suspicion_ttl = self.cfg.suspicion_ttl;
+        self.suspects.retain(|_, s| {
+            !s.running.is_empty() || now.saturating_sub(s.last_crash) < suspicion_ttl
+        });
         let suspects = &self.suspects;
-        self.local
+        self.local_quarantine
             .retain(|fingerprint| suspects.contains_key(fingerprint));
     }
 
-    /// Lists the suspects, for the other entries of the failure domain.
+    /// Returns the suspects, to be shared with the other entries of the failure
+    /// domain.
     pub fn suspected(&self) -> Vec<Digest> {
         self.suspects.keys().copied().collect()
     }
 
-    /// Chooses whom a crash is blamed on: known suspects if any were on board,
-    /// else all that did not complete lately.
-    fn blame(&self, on_board: &[Digest]) -> Vec<Digest> {
-        let mut known: Vec<Digest> = on_board
+    /// Selects the requests that a crash is attributed to: those already
+    /// suspected, or else all that have not completed recently.
+    fn attribute(&self, in_flight: &[Digest]) -> Vec<Digest> {
+        let mut known: Vec<Digest> = in_flight
             .iter()
             .copied()
             .filter(|fingerprint| self.suspects.contains_key(fingerprint))
             .collect();
         if known.is_empty() {
-            known = on_board
+            known = in_flight
                 .iter()
                 .copied()
                 .filter(|fingerprint| !self.completed.contains(fingerprint))
@@ -248,40 +256,43 @@
         known
     }
 
-    fn suspect(&mut self, now: MonoTime, fingerprint: Digest, crashes: u32) {
-        if self.suspects.len() >= self.cfg.remembered && !self.suspects.contains_key(&fingerprint) {
+    fn add_suspicion(&mut self, now: MonoTime, fingerprint: Digest, crashes: u32) {
+        if self.suspects.len() >= self.cfg.max_suspects && !self.suspects.contains_key(&fingerprint)
+        {
             self.suspects.shift_remove_index(0);
         }
         let suspicion = self.suspects.entry(fingerprint).or_default();
         suspicion.crashes = suspicion.crashes.saturating_add(crashes);
-        suspicion.since = now;
+        suspicion.last_crash = now;
     }
 
-    /// Tells whether so many backend servers died together that no single
-    /// request explains it; what was blamed on requests meanwhile is dropped.
+    /// Returns whether so many backend servers crashed together that no single
+    /// request explains it. In that case, suspicions from the recent crashes
+    /// are discarded.
     fn is_outage(&mut self, now: MonoTime) -> bool {
-        let together = self.cfg.together;
-        self.deaths
-            .retain(|(at, _)| now.saturating_sub(*at) <= together);
-        if self.deaths.len() + 1 < self.cfg.outage {
+        let outage_window = self.cfg.outage_window;
+        self.recent_crashes
+            .retain(|(at, _)| now.saturating_sub(*at) <= outage_window);
+        if self.recent_crashes.len() + 1 < self.cfg.outage_crashes {
             return false;
         }
-        for (_, blamed) in std::mem::take(&mut self.deaths) {
-            for fingerprint in blamed {
+        for (_, suspected) in std::mem::take(&mut self.recent_crashes) {
+            for fingerprint in suspected {
                 self.suspects.swap_remove(&fingerprint);
-                self.local.swap_remove(&fingerprint);
+                self.local_quarantine.swap_remove(&fingerprint);
             }
         }
-        // The rest of the outage is recognised by what is kept here.
-        self.deaths = vec![(now, Vec::new()); self.cfg.outage];
+        // Crashes that follow in the same outage are recognised by these
+        // entries.
+        self.recent_crashes = vec![(now, Vec::new()); self.cfg.outage_crashes];
         true
     }
 
-    fn remember(&mut self, fingerprint: Digest) {
+    fn record_completed(&mut self, fingerprint: Digest) {
         if self.completed.contains(&fingerprint) {
             return;
         }
-        if self.completed.len() >= self.cfg.completed {
+        if self.completed.len() >= self.cfg.max_completed {
             self.completed_cursor = (self.completed_cursor + 1) % self.completed.len();
             self.completed.swap_remove_index(self.completed_cursor);
         }
--- a/sesamebeam_core/tests/policy/admission.rs
+++ b/sesamebeam_core/tests/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Queues, fair shares and refusals.
+//! Tests of admission queues, fair sharing and refusals.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     },
 };
 
-use crate::make::{
+use crate::fixtures::{
     fleet,
     secs, //
 };
@@ -39,7 +39,8 @@
     }
 }
 
-/// Runs everything for a second each and gives the order of starts.
+/// Runs every request for one second and returns the order in which queued
+/// requests start.
 fn drain(
     admission: &mut Admission,
     mut now: MonoTime,
@@ -92,7 +93,8 @@
 #[test]
 fn fair_shares() {
     // A large organisation has queued a hundred requests before a small one
-    // asks for ten. The small one gets every second slot, not the end.
+    // submits ten. The small one must get every second slot rather than wait
+    // for the end of the queue.
     let mut admission = admission(1);
     for n in 0..100 {
         admission.offer(secs(0), ticket(n, "large", Priority::Normal, 6000));
@@ -139,8 +141,9 @@
 
 #[test]
 fn given_up_at_once() {
-    // A request waits behind one that takes far longer than was expected. Its
-    // caller is told as soon as it cannot be in time, not at its deadline.
+    // A request is queued behind one that takes much longer than expected. It
+    // must expire as soon as it can no longer meet its deadline, not at the
+    // deadline.
     let mut admission = admission(1);
     admission.offer(secs(0), ticket(1, "large", Priority::Normal, 600));
     assert_eq!(
@@ -156,8 +159,9 @@
 
 #[test]
 fn deferrable_in_time() {
-    // Normal work never ends. A deferrable request is not starved: when its
-    // last chance to start comes near, it goes ahead.
+    // Guards against starvation of deferrable requests: under a continuous load
+    // of normal requests, a deferrable one must start before its latest start
+    // time.
     let mut admission = admission(1);
     admission.offer(secs(0), ticket(1, "large", Priority::Normal, 6000));
     admission.offer(secs(0), ticket(2, "small", Priority::Deferrable, 20));
--- a/sesamebeam_core/tests/policy/bad_input.rs
+++ b/sesamebeam_core/tests/policy/bad_input.rs
@@ -1,4 +1,5 @@
-//! Whatever backend servers and the rating service send: no panic.
+//! Property tests: no input from backend servers or the rating service causes a
+//! panic.
 
 use std::time::Duration;
 
@@ -38,7 +39,7 @@
     },
 };
 
-use crate::make::{
+use crate::fixtures::{
     addr,
     announcement,
     fleet,
--- a/sesamebeam_core/tests/policy/balance.rs
+++ b/sesamebeam_core/tests/policy/balance.rs
@@ -1,4 +1,4 @@
-//! Choice of backend servers.
+//! Tests of load balancing.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     addr,
     announcement,
     fleet,
@@ -57,7 +57,7 @@
     Some(balance.pick(secs(60), input)?.server.addr)
 }
 
-/// Returns the life of a backend server that the tests announce.
+/// Returns the incarnation under which the tests announce a backend server.
 fn life(number: u16) -> ServerLife {
     ServerLife {
         addr: addr(number),
@@ -82,13 +82,13 @@
     let mut balance = balance(2, 2);
     for _ in 0..4 {
         let addr = pick(&mut balance, &INPUT).expect("there is room");
-        assert!(addr < crate::make::addr(2), "{addr}");
+        assert!(addr < crate::fixtures::addr(2), "{addr}");
         balance.started(addr, None, false);
     }
     let spilled = (0..12).any(|_| {
         let addr = pick(&mut balance, &INPUT).expect("there is room");
         balance.started(addr, None, false);
-        addr >= crate::make::addr(2)
+        addr >= crate::fixtures::addr(2)
     });
     assert!(spilled);
 }
@@ -132,8 +132,9 @@
 
 #[test]
 fn late_report() {
-    // Four requests ran when the load was measured and ended since. Counted as
-    // work of other entries, they would make the backend server look full.
+    // Four requests were running when the load was measured and have ended
+    // since. If they were counted as load from other entries, the backend
+    // server would look full.
     let mut balance = balance(1, 0);
     balance.load(secs(10), addr(0), Load::default());
     (0..4).for_each(|_| balance.started(addr(0), None, false));
@@ -150,8 +151,9 @@
 
 #[test]
 fn slow_start() {
-    // A backend server that comes up looks idle to every entry at once. While
-    // it is new it gets a small part only, else it would be flooded.
+    // A backend server that joins looks idle to every entry at the same time.
+    // During slow start it must receive only a small share, so that it is not
+    // overloaded.
     let mut balance = balance(3, 0);
     (0..3).for_each(|number| {
         (0..2).for_each(|_| balance.started(addr(number), None, false));
@@ -176,8 +178,9 @@
 
 #[test]
 fn asked_for_a_pause() {
-    // Guards against sends in a pause, whatever else is heard from there, and against a
-    // pause that a new life inherits.
+    // Guards against requests sent during a pause, whatever else is received
+    // from the backend server, and against a pause inherited by a new
+    // incarnation.
     let mut balance = balance(2, 0);
     let pause = |seconds| Some(Duration::from_secs(seconds));
     balance.pause(secs(60), life(0), pause(3));
--- a/sesamebeam_core/tests/policy/burn.rs
+++ b/sesamebeam_core/tests/policy/burn.rs
@@ -1,4 +1,4 @@
-//! Burn of objectives.
+//! Tests of the burn rates of objectives.
 
 use sesamebeam_core::policy::burn::{
     Burn,
@@ -6,7 +6,7 @@
     ObjectiveBurn, //
 };
 
-use crate::make::{
+use crate::fixtures::{
     fleet,
     secs, //
 };
@@ -17,7 +17,7 @@
     burn
 }
 
-/// Counts a request each second, every `bad_each`th of them not answered.
+/// Records one request per second, of which every `bad_each`th is not answered.
 fn run(burn: &mut Burn, from: u64, until: u64, bad_each: u64) {
     for second in from..until {
         let whole = (second % bad_each != 0).then(|| secs(1));
@@ -36,7 +36,8 @@
 
 #[test]
 fn steady_rate() {
-    // One in a hundred is allowed and one in fifty fails: a rate of two.
+    // The objective allows one failure in a hundred requests and one in fifty
+    // fails, which is a burn rate of two.
     let mut burn = burn();
     run(&mut burn, 0, 7200, 50);
     let whole = whole(&burn, 7200);
@@ -48,7 +49,8 @@
 
 #[test]
 fn short_spike() {
-    // A spike that is over burns the long window only: no alert any more.
+    // After a spike has ended, only the long window still burns, so the alert
+    // must clear.
     let mut burn = burn();
     run(&mut burn, 0, 1800, 2);
     assert!(whole(&burn, 1800).alerts());
--- a/sesamebeam_core/tests/policy/exposure.rs
+++ b/sesamebeam_core/tests/policy/exposure.rs
@@ -1,4 +1,4 @@
-//! Trust in versions and the sequential test.
+//! Tests of staged exposure and the sequential tests.
 
 use rand::{
     RngExt,
@@ -32,13 +32,13 @@
     },
 };
 
-use crate::make::{
+use crate::fixtures::{
     class,
     fleet,
     secs, //
 };
 
-fn make() -> (Exposure, Quality) {
+fn new_exposure() -> (Exposure, Quality) {
     let mut quality = Quality::new(QualityConfig::default());
     quality.configure(&fleet());
     let mut exposure = Exposure::new(ExposureConfig::default());
@@ -59,15 +59,16 @@
     }
 }
 
-/// Observes ratings of a version until it is held, at most `most`.
-fn until_held(
+/// Records ratings of a version until it is held, at most `limit`. Returns the
+/// number of ratings needed.
+fn ratings_until_held(
     (exposure, quality): &mut (Exposure, Quality),
     rng: &mut StdRng,
     version: &str,
     good: f64,
-    most: u32,
+    limit: u32,
 ) -> Option<u32> {
-    for nth in 1..=most {
+    for nth in 1..=limit {
         let seen = Observation::Rated {
             good: rng.random::<f64>() < good,
         };
@@ -83,9 +84,10 @@
 
 #[test]
 fn trust_in_order() {
-    // A version that rolls out may write a job sheet only after 40 rated
-    // answers to routine requests; a bad one is held by then.
-    let (mut exposure, quality) = make();
+    // A version that is rolling out must not receive non-idempotent requests
+    // (here a job sheet) before 40 rated answers to routine requests; a bad
+    // version is held by then.
+    let (mut exposure, quality) = new_exposure();
     let routine = class("ask", Priority::Normal, true);
     let urgent = class("status", Priority::Urgent, true);
     let sheet = class("sheet", Priority::Urgent, false);
@@ -111,7 +113,7 @@
 
 #[test]
 fn same_share() {
-    let (mut exposure, _) = make();
+    let (mut exposure, _) = new_exposure();
     exposure.live(&live(0.25));
     let routine = class("ask", Priority::Normal, true);
     let allowed = |exposure: &Exposure| -> Vec<u32> {
@@ -134,7 +136,10 @@
 fn bad_rollout() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut times: Vec<u32> = (0..200)
-        .map(|_| until_held(&mut make(), &mut rng, "beam@next", 0.45, 400).unwrap_or(u32::MAX))
+        .map(|_| {
+            ratings_until_held(&mut new_exposure(), &mut rng, "beam@next", 0.45, 400)
+                .unwrap_or(u32::MAX)
+        })
         .collect();
     times.sort_unstable();
     assert!(times[100] <= 40, "{}", times[100]);
@@ -144,23 +149,27 @@
 fn false_holds() {
     let mut rng = StdRng::seed_from_u64(2);
     let held = (0..1000)
-        .filter(|_| until_held(&mut make(), &mut rng, "beam@next", 0.9, 500).is_some())
+        .filter(|_| {
+            ratings_until_held(&mut new_exposure(), &mut rng, "beam@next", 0.9, 500).is_some()
+        })
         .count();
     assert!(held <= 10, "{held} of 1000");
 }
 
 #[test]
 fn bad_long_after() {
-    // A version is good for thousands of answers, which a plain running sum
-    // would count in its favour for as many bad ones. Then it turns bad.
+    // A version degrades after thousands of good answers. A plain running sum
+    // would let the good answers offset as many bad ones and delay the hold.
     let mut rng = StdRng::seed_from_u64(3);
     let mut times = Vec::new();
     for _ in 0..50 {
-        let mut made = make();
-        if until_held(&mut made, &mut rng, "beam@mid", 0.92, 1000).is_some() {
+        let mut made = new_exposure();
+        if ratings_until_held(&mut made, &mut rng, "beam@mid", 0.92, 1000).is_some() {
             continue;
         }
-        times.extend(until_held(&mut made, &mut rng, "beam@mid", 0.45, 400));
+        times.extend(ratings_until_held(
+            &mut made, &mut rng, "beam@mid", 0.45, 400,
+        ));
     }
     times.sort_unstable();
     assert!(
@@ -171,9 +180,9 @@
 
 #[test]
 fn session_stays() {
-    // The rule: a hold keeps new sessions and requests away, a session that is
-    // pinned goes on, and only a withdrawal ends the pin.
-    let (mut exposure, _) = make();
+    // A hold excludes new sessions and requests without a session. A pinned
+    // session continues, and only withdrawal of the version ends the pin.
+    let (mut exposure, _) = new_exposure();
     let routine = class("ask", Priority::Normal, true);
     exposure.hold(secs(1), "beam@mid");
     assert_eq!(
@@ -195,10 +204,11 @@
 
 #[test]
 fn outage_holds_none() {
-    // Every request fails, whatever the version. The first version to cross
-    // the limit is held; the second shows that the cause lies outside, and the
-    // first is let go, so that there is a version left when the outage ends.
-    let (mut exposure, quality) = make();
+    // Every request fails regardless of the version. The first version to cross
+    // the limit is held; the second indicates an external cause, so the first
+    // must be released. Otherwise no version would be available after the
+    // outage.
+    let (mut exposure, quality) = new_exposure();
     for _ in 0..50 {
         for version in ["beam@cheap", "beam@mid", "beam@best"] {
             exposure.observe(
@@ -215,7 +225,7 @@
 
 #[test]
 fn failing_version() {
-    let (mut exposure, quality) = make();
+    let (mut exposure, quality) = new_exposure();
     let held = (0..10).find_map(|_| {
         exposure.observe(
             secs(1),
@@ -230,7 +240,7 @@
 
 #[test]
 fn slow_version() {
-    let (mut exposure, quality) = make();
+    let (mut exposure, quality) = new_exposure();
     let whole = |seconds| Observation::Whole {
         took: secs(seconds),
         tokens: 100,
@@ -245,7 +255,7 @@
 
 #[test]
 fn evidence_once() {
-    let (mut exposure, quality) = make();
+    let (mut exposure, quality) = new_exposure();
     for good in [true, true, false] {
         let seen = Observation::Rated { good };
         exposure.observe(secs(1), &"beam@next".into(), "ask", seen, &quality);
@@ -261,10 +271,10 @@
 
 #[test]
 fn last_one_stays() {
-    // One settled version after the other is found bad, minutes apart, as a
-    // wrong rating service makes them look. The last one is not held: callers
-    // would see every request refused.
-    let (mut exposure, quality) = make();
+    // The settled versions are found bad one after another, minutes apart, as
+    // happens with a faulty rating service. The last one must not be held,
+    // because every request would be refused.
+    let (mut exposure, quality) = new_exposure();
     for (nth, version) in ["beam@cheap", "beam@mid", "beam@best"]
         .into_iter()
         .enumerate()
--- a/sesamebeam_core/tests/policy/make.rs
+++ b/sesamebeam_core/tests/policy/fixtures.rs
@@ -1,4 +1,4 @@
-//! Makes what the tests of the decisions need.
+//! Fixtures for the policy tests.
 
 use std::{
     net::SocketAddr,
@@ -28,7 +28,7 @@
     },
 };
 
-/// Versions of the fleet: name, cost, prior, state.
+/// Versions of the test fleet: name, cost, prior, state.
 const VERSIONS: [(&str, f64, f64, VersionState); 4] = [
     ("cheap", 1.0, 0.8, VersionState::Settled),
     ("mid", 3.0, 0.9, VersionState::Settled),
--- a/sesamebeam_core/tests/policy/main.rs
+++ b/sesamebeam_core/tests/policy/main.rs
@@ -1,11 +1,11 @@
-//! Tests of the decisions, one file a feature.
+//! Tests of the policy module, one file per feature.
 
 mod admission;
 mod bad_input;
 mod balance;
 mod burn;
 mod exposure;
-mod make;
+mod fixtures;
 mod plan;
 mod quality;
 mod retries;
--- a/sesamebeam_core/tests/policy/plan.rs
+++ b/sesamebeam_core/tests/policy/plan.rs
@@ -1,4 +1,4 @@
-//! Choice of plans.
+//! Tests of plan selection.
 
 use sesamebeam_core::{
     fleet::{
@@ -22,14 +22,15 @@
     },
 };
 
-use crate::make::{
+use crate::fixtures::{
     class,
     fleet,
     secs,
     target, //
 };
 
-/// Evidence of good answers in 100, for cheap, mid and best.
+/// Creates quality estimates from the number of good answers in 100 of the
+/// cheap, mid and best versions.
 fn quality(good: [u32; 3]) -> Quality {
     let mut quality = Quality::new(QualityConfig {
         judge_rater: false,
@@ -95,7 +96,7 @@
 
 #[test]
 fn never_twice() {
-    // A cascade would run a job sheet twice and bill its materials twice.
+    // A cascade could run a job sheet twice and bill its materials twice.
     let sheet = class("ask", Priority::Normal, false);
     let planned = plan(&quality([80, 82, 99]), &sheet, 0.88, 0.9, true);
     assert_eq!(planned.plan, Plan::Single("beam@best".into()));
@@ -130,8 +131,8 @@
 
 #[test]
 fn no_time() {
-    // With four seconds left neither a cascade nor any version fits; the best
-    // available is tried all the same and said to be just that.
+    // With four seconds left no version fits. The best available one must still
+    // be tried and reported as such.
     let ask = class("ask", Priority::Normal, true);
     let quality = quality([95, 97, 99]);
     let target = target("ask", 0.85);
--- a/sesamebeam_core/tests/policy/quality.rs
+++ b/sesamebeam_core/tests/policy/quality.rs
@@ -1,4 +1,4 @@
-//! Posteriors of quality.
+//! Tests of the quality estimates.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     fleet,
     rating,
     secs, //
@@ -25,7 +25,8 @@
     quality
 }
 
-/// Rates as many answers of a version, `bad` of them bad, from a number on.
+/// Rates `n` answers of a version, the first `bad` of them as bad, with request
+/// identifiers starting at `first`.
 fn rate(quality: &mut Quality, now: MonoTime, first: u128, version: &str, n: u128, bad: u128) {
     for number in first..first + n {
         quality.sampled(now, number, &"ask".into(), &version.into());
@@ -51,8 +52,8 @@
 
 #[test]
 fn silence_fades() {
-    // The rating service falls silent for hours. What was known is forgotten
-    // by and by, so plans become careful; nothing is blocked.
+    // The rating service stops responding for hours. Evidence decays gradually,
+    // so plans become cautious without being blocked.
     let mut quality = quality();
     rate(&mut quality, secs(1), 0, "beam@mid", 100, 2);
     let before = quality.confidence_met("ask", "beam@mid", 0.9);
@@ -102,9 +103,9 @@
 
 #[test]
 fn wrong_rater() {
-    // The rating service goes wrong and calls every answer bad. Versions known
-    // to be good look bad all at once, which no version does by itself; the
-    // service is not listened to for a while, and then again.
+    // A faulty rating service rates every answer as bad. Versions known to be
+    // good look bad all at once, which must be attributed to the rating
+    // service: its ratings are ignored for a while and then accepted again.
     let mut quality = quality();
     rate(&mut quality, secs(1), 0, "beam@mid", 100, 5);
     rate(&mut quality, secs(1), 200, "beam@best", 100, 2);
--- a/sesamebeam_core/tests/policy/retries.rs
+++ b/sesamebeam_core/tests/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Budgets of retries and hedges.
+//! Tests of the retry and hedging budgets.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 };
 use yare::parameterized;
 
-use crate::make::class;
+use crate::fixtures::class;
 
 #[parameterized(one = { 1 }, ten = { 10 }, hundred = { 100 })]
 fn outage(orgs: usize) {
-    // Every attempt of every request fails. Retried freely, the work would
-    // multiply just when there is least room for it.
+    // Every attempt fails. Without a budget, retries would multiply the load
+    // just when capacity is lowest.
     let mut budget = RetryBudget::new(RetryConfig::default());
     let name = |n: usize| format!("org-{}", n % orgs).into();
     (0..2000).for_each(|n| budget.request(&name(n)));
--- a/sesamebeam_core/tests/policy/servers.rs
+++ b/sesamebeam_core/tests/policy/servers.rs
@@ -1,4 +1,4 @@
-//! Membership of backend servers.
+//! Tests of backend server membership.
 
 use sesamebeam_core::policy::servers::{
     Announced,
@@ -9,7 +9,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     addr,
     announcement,
     fleet,
@@ -47,8 +47,9 @@
 
 #[test]
 fn restarted() {
-    // A backend server restarts on its address. Late announcements of its old
-    // life must not bring it back, whatever their sequence numbers.
+    // A backend server restarts on the same address. Late announcements of its
+    // old incarnation must not replace the new one, whatever their sequence
+    // numbers.
     let mut servers = servers(1);
     let mut next = announcement(0, 1);
     next.incarnation = 3;
@@ -96,10 +97,10 @@
 }
 
 #[test]
-fn cut_expels_none() {
-    // A partition separates this entry from a failure domain: its backend
-    // servers fall silent, each after its own last announcement. They are kept
-    // as unreachable, and are back with their first announcement.
+fn partition_expires_none() {
+    // A network partition separates this entry from a failure domain. Its
+    // backend servers fall silent, each after its own last announcement. They
+    // must be kept as unreachable and rejoin with their first announcement.
     let mut servers = servers(0);
     for number in 0..6u16 {
         let mut far = announcement(number, 1);
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn answers_keep() {
+fn answers_renew_lease() {
     let mut servers = servers(1);
     servers.heard(secs(5), addr(0));
     assert!(servers.tick(secs(10)).is_empty());
--- a/sesamebeam_core/tests/policy/suspects.rs
+++ b/sesamebeam_core/tests/policy/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that crash backend servers.
+//! Tests of the detection of requests that crash backend servers.
 
 use sesamebeam_core::{
     message::record::ServerLife,
@@ -9,12 +9,12 @@
     },
 };
 
-use crate::make::{
+use crate::fixtures::{
     addr,
     secs, //
 };
 
-const KILLER: u128 = 666;
+const CRASHING_REQUEST: u128 = 666;
 
 fn server(number: u16) -> ServerLife {
     ServerLife {
@@ -25,27 +25,28 @@
 
 #[test]
 fn second_crash() {
-    // One request crashes each backend server that runs it. After the first
-    // crash nobody can tell it from the two beside it; all three run again,
-    // each apart from the others. The two complete, and the second crash has
-    // one suspect on board: it is quarantined, the new bystander is not.
+    // One request crashes every backend server that runs it. After the first
+    // crash it cannot be told from the two others in flight, so all three run
+    // again in isolation. The other two complete, and the second crash has only
+    // one suspect in flight: it is quarantined, and the new request beside it
+    // is not.
     let mut suspects = Suspects::new(SuspectsConfig::default());
     let first = suspects
-        .died(secs(1), server(1), &[KILLER, 1, 2])
+        .died(secs(1), server(1), &[CRASHING_REQUEST, 1, 2])
         .expect("suspects");
-    assert_eq!(first.suspects, [1, 2, KILLER]);
-    suspects.started(KILLER, server(2));
+    assert_eq!(first.suspects, [1, 2, CRASHING_REQUEST]);
+    suspects.started(CRASHING_REQUEST, server(2));
     assert_eq!(suspects.occupied(1), [server(2)]);
-    assert!(suspects.occupied(KILLER).is_empty());
-    for innocent in [1, 2] {
-        suspects.started(innocent, server(3));
-        suspects.finished(innocent, server(3), true);
+    assert!(suspects.occupied(CRASHING_REQUEST).is_empty());
+    for bystander in [1, 2] {
+        suspects.started(bystander, server(3));
+        suspects.finished(bystander, server(3), true);
     }
     let second = suspects
-        .died(secs(3), server(2), &[KILLER, 3])
+        .died(secs(3), server(2), &[CRASHING_REQUEST, 3])
         .expect("suspects");
-    assert_eq!(second.suspects, [KILLER]);
-    assert_eq!(suspects.standing(KILLER), Standing::Quarantined);
+    assert_eq!(second.suspects, [CRASHING_REQUEST]);
+    assert_eq!(suspects.standing(CRASHING_REQUEST), Standing::Quarantined);
     assert_eq!(
         [1, 2, 3].map(|fingerprint| suspects.standing(fingerprint)),
         [Standing::Clear; 3]
@@ -54,26 +55,26 @@
 
 #[test]
 fn other_entry() {
-    // The caller sends the request again through another entry, which has
-    // heard of the suspects but saw no crash itself.
+    // The caller resends the request through another entry, which has received
+    // the suspects but has not observed a crash itself.
     let mut suspects = Suspects::new(SuspectsConfig::default());
-    suspects.alarm(secs(1), [KILLER]);
-    assert_eq!(suspects.standing(KILLER), Standing::Suspect);
-    suspects.started(KILLER, server(1));
-    suspects.died(secs(2), server(1), &[KILLER, 5]);
-    assert_eq!(suspects.standing(KILLER), Standing::Quarantined);
+    suspects.alarm(secs(1), [CRASHING_REQUEST]);
+    assert_eq!(suspects.standing(CRASHING_REQUEST), Standing::Suspect);
+    suspects.started(CRASHING_REQUEST, server(1));
+    suspects.died(secs(2), server(1), &[CRASHING_REQUEST, 5]);
+    assert_eq!(suspects.standing(CRASHING_REQUEST), Standing::Quarantined);
     assert_eq!(suspects.standing(5), Standing::Clear);
 }
 
 #[test]
 fn common_question() {
-    // A question that is asked all day is on board of most crashes. It has
-    // completed lately, so it is never blamed.
+    // A frequent request is in flight during most crashes. It must never be
+    // suspected, because it has completed recently.
     let mut suspects = Suspects::new(SuspectsConfig::default());
     suspects.finished(1, server(1), true);
-    for (nth, killer) in [(1, 100), (10, 200)] {
-        let report = suspects.died(secs(nth), server(nth as u16), &[1, killer]);
-        assert_eq!(report.expect("a suspect").suspects, [killer]);
+    for (nth, crashing_request) in [(1, 100), (10, 200)] {
+        let report = suspects.died(secs(nth), server(nth as u16), &[1, crashing_request]);
+        assert_eq!(report.expect("a suspect").suspects, [crashing_request]);
     }
     assert_eq!(suspects.standing(1), Standing::Clear);
 }
@@ -92,8 +93,8 @@
 
 #[test]
 fn outage_blames_none() {
-    // A rack fails: many backend servers die within a second or two. No
-    // request did that, and none may be refused for it afterwards.
+    // A rack fails and many backend servers crash within seconds. No request
+    // caused this, so none may be suspected or refused afterwards.
     let mut suspects = Suspects::new(SuspectsConfig::default());
     for number in 0..8u16 {
         suspects.died(secs(1), server(number), &[u128::from(number), 99]);
@@ -113,8 +114,8 @@
 #[test]
 fn fleet_quarantine() {
     let mut suspects = Suspects::new(SuspectsConfig::default());
-    suspects.quarantine([KILLER]);
-    assert_eq!(suspects.standing(KILLER), Standing::Quarantined);
+    suspects.quarantine([CRASHING_REQUEST]);
+    assert_eq!(suspects.standing(CRASHING_REQUEST), Standing::Quarantined);
     suspects.quarantine([]);
-    assert_eq!(suspects.standing(KILLER), Standing::Clear);
+    assert_eq!(suspects.standing(CRASHING_REQUEST), Standing::Clear);
 }
