--- a/sesamebeam/src/entry.rs
+++ b/sesamebeam/src/entry.rs
@@ -218,7 +218,7 @@
 
     /// Backend servers known here.
     pub fn servers(&self) -> usize {
-        self.hub.with(|core| core.servers().all().count())
+        self.hub.with(|core| core.servers().reachable().count())
     }
 
     /// Waits until a planned stop is over.
@@ -332,7 +332,7 @@
     cfg.explained = settings.limits.explained;
     cfg.has_rater = settings.rating.is_some();
     cfg.policy.servers.lease = timings.server_lease;
-    cfg.policy.admission.longest = settings.limits.queued.max(1);
+    cfg.policy.admission.max_queue_len = settings.limits.queued.max(1);
     cfg
 }
 
--- a/sesamebeam/src/entry/peers.rs
+++ b/sesamebeam/src/entry/peers.rs
@@ -159,7 +159,7 @@
             lease_held: core.view().lease_held(now),
             in_flight: core.in_flight() as u64,
             stopping: core.is_stopping(),
-            servers: core.servers().all().cloned().collect(),
+            servers: core.servers().reachable().cloned().collect(),
         })),
     })
 }
--- a/sesamebeam/src/gateway/send.rs
+++ b/sesamebeam/src/gateway/send.rs
@@ -207,7 +207,7 @@
         match asked {
             Some(Backoff::Pause(pause)) => {
                 log::info!(
-                    server:% = choice.id, pause_ms = pause.asked().as_millis() as u64;
+                    server:% = choice.id, pause_ms = pause.requested().as_millis() as u64;
                     "backend server asks for a pause"
                 );
             }
--- a/sesamebeam/tests/cli_report.rs
+++ b/sesamebeam/tests/cli_report.rs
@@ -38,8 +38,8 @@
         },
     },
     policy::burn::{
-        Burn,
         BurnReport, //
+        BurnTracker,
     },
 };
 
@@ -61,7 +61,7 @@
         targets: vec![target],
         when_cut: Default::default(),
     };
-    let mut burn = Burn::new();
+    let mut burn = BurnTracker::new();
     burn.configure(&FleetValues {
         organisations: vec![org],
         ..FleetValues::default()
@@ -69,7 +69,7 @@
     let now = Duration::from_secs(100_000);
     for n in 0..total {
         let whole = (n >= bad).then_some(Duration::from_millis(10));
-        burn.ended(now, &"crew".into(), &"question".into(), whole);
+        burn.record_request(now, &"crew".into(), &"question".into(), whole);
     }
     burn.report(now, None)
 }
--- a/sesamebeam_bench/benches/decision.rs
+++ b/sesamebeam_bench/benches/decision.rs
@@ -33,7 +33,7 @@
         PolicyConfig,
         admission::{
             Admission,
-            Ticket, //
+            AdmissionRequest, //
         },
         balance::{
             Balance,
@@ -176,30 +176,30 @@
             .map(|(name, at)| Candidate {
                 version: name.clone(),
                 cost: 1.0 + (at / VERSIONS_EACH) as f64 + 10.0 * (at % VERSIONS_EACH) as f64,
-                takes: Duration::from_secs(2),
+                expected_duration: Duration::from_secs(2),
             })
             .collect();
         let input = PlanInput {
             class: &self.class,
             target: Some(&self.target),
             candidates: &candidates,
-            left: Duration::from_secs(30),
-            rater_answers: true,
+            time_left: Duration::from_secs(30),
+            rater_available: true,
             draw: hash::unit(&id, "plan"),
         };
         let planned = self
             .planner
             .plan(&self.quality, &input)
             .expect("there are candidates");
-        let ticket = Ticket {
+        let ticket = AdmissionRequest {
             request: self.next,
             org: ORGS[(self.next as usize % orgs) % ORGS.len()].into(),
             pool: "pool".into(),
             priority: Priority::Normal,
             deadline: NOW + Duration::from_secs(30),
-            takes: Duration::from_secs(2),
+            expected_duration: Duration::from_secs(2),
         };
-        black_box(self.admission.offer(NOW, ticket));
+        black_box(self.admission.submit(NOW, ticket));
         let input = PickInput {
             route: Route::Version(planned.plan.first()),
             prefix: Some(self.next as u64 % 1000),
@@ -207,7 +207,7 @@
             max_tokens: 200,
             priority: Priority::Normal,
             exclude: &[],
-            alone: false,
+            isolated: false,
         };
         let server = self
             .balance
--- a/sesamebeam_bench/src/policy/ablation.rs
+++ b/sesamebeam_bench/src/policy/ablation.rs
@@ -38,37 +38,37 @@
         name: "trials",
         fault: Fault::None,
         load: 0.8,
-        off: |cfg| cfg.plan.explore = 0.0,
+        off: |cfg| cfg.plan.trial_share = 0.0,
     },
     Switch {
         name: "judging the rater",
         fault: Fault::RaterWrong,
         load: 0.8,
-        off: |cfg| cfg.quality.judge_rater = false,
+        off: |cfg| cfg.quality.detect_rater_fault = false,
     },
     Switch {
         name: "order of trust",
         fault: Fault::BadRollout,
         load: 0.8,
-        off: |cfg| cfg.exposure.in_order = false,
+        off: |cfg| cfg.exposure.staged = false,
     },
     Switch {
         name: "sequential test",
         fault: Fault::BadRollout,
         load: 0.8,
-        off: |cfg| cfg.exposure.test = false,
+        off: |cfg| cfg.exposure.sequential_test = false,
     },
     Switch {
         name: "sequential test",
         fault: Fault::TurnsBad,
         load: 0.8,
-        off: |cfg| cfg.exposure.test = false,
+        off: |cfg| cfg.exposure.sequential_test = false,
     },
     Switch {
         name: "few choices",
         fault: Fault::None,
         load: 1.0,
-        off: |cfg| cfg.balance.choices = 1,
+        off: |cfg| cfg.balance.sample_size = 1,
     },
     Switch {
         name: "reported load",
@@ -104,7 +104,7 @@
         name: "slots for urgent",
         fault: Fault::None,
         load: 1.5,
-        off: |cfg| cfg.admission.kept_for_urgent = 0.0,
+        off: |cfg| cfg.admission.urgent_reserve = 0.0,
     },
     Switch {
         name: "refusing early",
@@ -116,7 +116,7 @@
         name: "retry budget",
         fault: Fault::Outage,
         load: 0.8,
-        off: |cfg| cfg.retry.bounded = false,
+        off: |cfg| cfg.retry.enforce_budget = false,
     },
     Switch {
         name: "hedging",
@@ -134,7 +134,7 @@
         name: "crash tracing",
         fault: Fault::Killer,
         load: 0.8,
-        off: |cfg| cfg.suspects.trace = false,
+        off: |cfg| cfg.suspects.attribute_crashes = false,
     },
     Switch {
         name: "isolation",
@@ -146,7 +146,7 @@
         name: "seeing cuts",
         fault: Fault::Cut,
         load: 0.8,
-        off: |cfg| cfg.servers.see_cuts = false,
+        off: |cfg| cfg.servers.detect_partitions = false,
     },
 ];
 
--- a/sesamebeam_bench/src/policy/replay/admission.rs
+++ b/sesamebeam_bench/src/policy/replay/admission.rs
@@ -4,11 +4,11 @@
 
 use sesamebeam_core::policy::{
     admission::{
-        Offered,
-        Ticket, //
+        AdmissionOutcome,
+        AdmissionRequest, //
     },
     plan::Plan,
-    suspects::Standing,
+    suspects::SuspectStatus,
 };
 
 use crate::policy::{
@@ -35,8 +35,8 @@
         let deadline = self.requests[at].deadline;
         self.push(deadline, Event::Deadline(at));
         if self.setting.strategy.is_guarded() {
-            let standing = self.router.suspects.standing(self.requests[at].fingerprint);
-            if standing == Standing::Quarantined {
+            let standing = self.router.suspects.status(self.requests[at].fingerprint);
+            if standing == SuspectStatus::Quarantined {
                 return self.end(at, Outcome::Refused(Refusal::Quarantined));
             }
             self.router.retries.request(&self.requests[at].org);
@@ -50,21 +50,21 @@
         }
         let twice = matches!(self.requests[at].plan, Some(Plan::Cascade { .. }));
         let takes = self.takes[self.requests[at].traffic] * if twice { 1.3 } else { 1.0 };
-        let ticket = Ticket {
+        let ticket = AdmissionRequest {
             request: self.requests[at].id,
             org: self.requests[at].org.clone(),
             pool: self.pool(at),
             priority: class.priority,
             deadline,
-            takes: Duration::from_secs_f64(takes),
+            expected_duration: Duration::from_secs_f64(takes),
         };
-        match self.router.admission.offer(self.now, ticket) {
-            Offered::Run => {
+        match self.router.admission.submit(self.now, ticket) {
+            AdmissionOutcome::Run => {
                 self.requests[at].admitted = true;
                 self.start(at);
             }
-            Offered::Queued => {}
-            Offered::Refused { .. } => self.end(at, Outcome::Refused(Refusal::Admission)),
+            AdmissionOutcome::Queued => {}
+            AdmissionOutcome::Refused { .. } => self.end(at, Outcome::Refused(Refusal::Admission)),
         }
     }
 
@@ -102,7 +102,7 @@
         // A version held while the request waited is not used any more.
         if let Some(plan) = &plan
             && self.setting.strategy == Strategy::Sesamebeam
-            && self.router.exposure.held(plan.first()).is_some()
+            && self.router.exposure.hold_reason(plan.first()).is_some()
             && !self.plan(at)
         {
             return self.end(at, Outcome::Refused(Refusal::NoVersion));
--- a/sesamebeam_bench/src/policy/replay/attempt.rs
+++ b/sesamebeam_bench/src/policy/replay/attempt.rs
@@ -13,7 +13,7 @@
             PickInput,
             Route, //
         },
-        suspects::Standing,
+        suspects::SuspectStatus,
     },
 };
 
@@ -63,10 +63,10 @@
         let class = self.class(at);
         let pool = self.pool(at);
         let request = &self.requests[at];
-        let suspect = self.router.suspects.standing(request.fingerprint) == Standing::Suspect;
+        let suspect = self.router.suspects.status(request.fingerprint) == SuspectStatus::Suspect;
         let mut exclude = request.tried.clone();
         if self.setting.strategy.is_guarded() {
-            let occupied = self.router.suspects.occupied(request.fingerprint);
+            let occupied = self.router.suspects.occupied_servers(request.fingerprint);
             exclude.extend(occupied.iter().map(|life| life.addr));
         }
         let input = PickInput {
@@ -79,7 +79,7 @@
             max_tokens: request.tokens as u32,
             priority: class.priority,
             exclude: &exclude,
-            alone: suspect,
+            isolated: suspect,
         };
         let picked = self
             .router
@@ -115,7 +115,7 @@
             max_tokens: self.requests[at].tokens as u32,
             priority: class.priority,
             exclude: &exclude,
-            alone: false,
+            isolated: false,
         };
         if let Some(server) = self
             .router
--- a/sesamebeam_bench/src/policy/replay/outcome.rs
+++ b/sesamebeam_bench/src/policy/replay/outcome.rs
@@ -7,7 +7,7 @@
     policy::{
         exposure::Observation,
         plan::Plan,
-        suspects::Standing, //
+        suspects::SuspectStatus, //
     },
 };
 
@@ -40,7 +40,7 @@
             return self.whole(at, None);
         };
         self.router.balance.answered(addr);
-        self.router.servers.heard(self.now, addr);
+        self.router.servers.renew_lease(self.now, addr);
         *self.used.entry(version.clone()).or_default() += 1;
         let took = self.now - sent;
         let tokens = self.requests[at].tokens as u32;
@@ -129,7 +129,7 @@
             false => request.attempts < MOST_ATTEMPTS,
         };
         let quarantined =
-            self.router.suspects.standing(request.fingerprint) == Standing::Quarantined;
+            self.router.suspects.status(request.fingerprint) == SuspectStatus::Quarantined;
         if may && !(quarantined && self.setting.strategy.is_guarded()) {
             return self.send(at, step, version);
         }
--- a/sesamebeam_bench/src/policy/replay/rating.rs
+++ b/sesamebeam_bench/src/policy/replay/rating.rs
@@ -9,7 +9,7 @@
     policy::{
         exposure::Observation,
         hash,
-        quality::Rated, //
+        quality::RatingOutcome, //
     },
 };
 
@@ -39,11 +39,14 @@
             let since = self.now.saturating_sub(Duration::from_secs(60));
             self.router.exposure.release_ratings_since(since);
         }
-        if let Rated::Counted { good, redo } = rated
+        if let RatingOutcome::Counted {
+            good,
+            escalated: redo,
+        } = rated
             && let Some(request) = self.by_id.get(&rating.request).copied()
         {
             let seen = match redo {
-                true => Observation::Redone { good },
+                true => Observation::Escalated { good },
                 false => Observation::Rated { good },
             };
             self.observe(request, &rating.version, seen);
@@ -59,7 +62,7 @@
         };
         self.router.rater_answers = true;
         let class = self.class(at).name.clone();
-        if let Rated::Counted { good, .. } = self
+        if let RatingOutcome::Counted { good, .. } = self
             .router
             .quality
             .rate_now(self.now, &class, version, score)
@@ -85,8 +88,11 @@
             Step::Redo => self
                 .router
                 .quality
-                .sampled_redo(self.now, id, &class, version),
-            Step::Only | Step::First => self.router.quality.sampled(self.now, id, &class, version),
+                .await_escalated_rating(self.now, id, &class, version),
+            Step::Only | Step::First => self
+                .router
+                .quality
+                .await_rating(self.now, id, &class, version),
         }
         let Some(score) = self.score(at, version) else {
             return;
--- a/sesamebeam_bench/src/policy/replay/server.rs
+++ b/sesamebeam_bench/src/policy/replay/server.rs
@@ -13,7 +13,7 @@
     },
     policy::{
         exposure::Observation,
-        suspects::Standing, //
+        suspects::SuspectStatus, //
     },
 };
 
@@ -86,11 +86,10 @@
         };
         let on_board = prints(&ran);
         if self.setting.strategy.is_guarded() {
-            self.router.suspects.died(self.now, life, &on_board);
-            let killer = Standing::Quarantined;
+            self.router.suspects.record_crash(self.now, life, &on_board);
+            let killer = SuspectStatus::Quarantined;
             let innocent = self.requests.iter().filter(|r| !r.killer && !r.ended);
-            let wrongly =
-                innocent.filter(|r| self.router.suspects.standing(r.fingerprint) == killer);
+            let wrongly = innocent.filter(|r| self.router.suspects.status(r.fingerprint) == killer);
             self.run.innocents += wrongly.count() as u64;
         }
         self.router.balance.avoid(self.now, life.addr);
--- a/sesamebeam_bench/src/policy/router.rs
+++ b/sesamebeam_bench/src/policy/router.rs
@@ -187,7 +187,7 @@
             })
             .into_iter()
             .collect();
-        router.exposure.live(&router.live);
+        router.exposure.apply_live(&router.live);
         router
     }
 
@@ -242,15 +242,15 @@
             .map(|(version, cost)| Candidate {
                 version: version.clone(),
                 cost: *cost,
-                takes: wanted.takes,
+                expected_duration: wanted.takes,
             })
             .collect();
         let input = PlanInput {
             class: wanted.class,
             target: wanted.target,
             candidates: &candidates,
-            left: wanted.left,
-            rater_answers: self.rater_answers,
+            time_left: wanted.left,
+            rater_available: self.rater_answers,
             draw: hash::unit(key, "trial"),
         };
         let plan = self.planner.plan(&self.quality, &input)?.plan;
@@ -357,7 +357,7 @@
     pub(crate) fn announce(&mut self, now: MonoTime, announcement: &Announcement) -> Announced {
         let announced = self.servers.announce(now, announcement);
         match announced {
-            Announced::Old | Announced::Ignored(_) => {}
+            Announced::Stale | Announced::Ignored(_) => {}
             _ => {
                 if let Some(taken) = self.servers.get(announcement.addr) {
                     self.balance.upsert(now, taken);
@@ -373,10 +373,10 @@
         self.suspects.tick(now);
         for event in self.servers.tick(now) {
             match event {
-                ServerEvent::Out(addr) | ServerEvent::Unreachable(addr) => {
+                ServerEvent::Expired(addr) | ServerEvent::Unreachable(addr) => {
                     self.balance.remove(addr)
                 }
-                ServerEvent::Cut(_) => {}
+                ServerEvent::Partitioned(_) => {}
             }
         }
         for pool in [
@@ -420,6 +420,6 @@
                 self.step_since = now;
             }
         }
-        self.exposure.live(&self.live);
+        self.exposure.apply_live(&self.live);
     }
 }
--- a/sesamebeam_core/src/entry.rs
+++ b/sesamebeam_core/src/entry.rs
@@ -78,8 +78,8 @@
         admission::Admission,
         balance::Balance,
         burn::{
-            Burn,
             BurnReport, //
+            BurnTracker,
         },
         exposure::Exposure,
         plan::Planner,
@@ -233,7 +233,7 @@
     hedges: HedgeBudget,
     suspects: Suspects,
     servers: Servers,
-    burn: Burn,
+    burn: BurnTracker,
     explain: Explain,
     requests: IndexMap<RequestId, Request>,
     pins: IndexMap<PinKey, PinView>,
@@ -287,7 +287,7 @@
             hedges: HedgeBudget::new(policy.retry.clone()),
             suspects: Suspects::new(policy.suspects.clone()),
             servers: Servers::new(policy.servers.clone()),
-            burn: Burn::new(),
+            burn: BurnTracker::new(),
             explain: Explain::new(cfg.explained),
             requests: IndexMap::new(),
             pins: IndexMap::new(),
--- a/sesamebeam_core/src/entry/choose.rs
+++ b/sesamebeam_core/src/entry/choose.rs
@@ -34,8 +34,8 @@
     message::record::ServerLife,
     policy::{
         admission::{
-            Offered,
-            Ticket, //
+            AdmissionOutcome,
+            AdmissionRequest, //
         },
         balance::{
             PickInput,
@@ -45,10 +45,10 @@
         plan::{
             Candidate,
             Plan,
+            PlanChoice, //
             PlanInput,
-            Planned, //
         },
-        suspects::Standing, //
+        suspects::SuspectStatus, //
     },
 };
 
@@ -87,7 +87,7 @@
         now: MonoTime,
         id: RequestId,
         session_model: Option<&ModelId>,
-    ) -> Result<Planned, Reason> {
+    ) -> Result<PlanChoice, Reason> {
         let (candidates, any_allowed) = self.candidates(now, id, session_model);
         let req = self.requests.get(&id).ok_or(Reason::NoServer)?;
         let none = if any_allowed {
@@ -107,8 +107,8 @@
             class,
             target,
             candidates: &candidates,
-            left: req.left(now),
-            rater_answers: self.rater_answers(now),
+            time_left: req.left(now),
+            rater_available: self.rater_answers(now),
             draw: hash::unit(&id.to_le_bytes(), "plan"),
         };
         self.planner.plan(&self.quality, &input).ok_or(none)
@@ -151,7 +151,7 @@
             out.push(Candidate {
                 version: full.clone(),
                 cost: version.cost,
-                takes: self.takes(req.arrival.max_tokens),
+                expected_duration: self.takes(req.arrival.max_tokens),
             });
         }
         (out, any)
@@ -159,7 +159,7 @@
 
     /// Whether a fingerprint crashes backend servers.
     pub(super) fn fingerprint_blocked(&self, fingerprint: Digest) -> bool {
-        self.suspects.standing(fingerprint) == Standing::Quarantined
+        self.suspects.status(fingerprint) == SuspectStatus::Quarantined
     }
 
     /// Asks for a slot.
@@ -175,25 +175,25 @@
             let after = Some(self.cfg.retry_after);
             return self.give_up(now, id, Reason::NoServer, after);
         }
-        let ticket = Ticket {
+        let ticket = AdmissionRequest {
             request: id,
             org: req.arrival.org.clone(),
             pool: req.pool.clone(),
             priority: req.priority,
             deadline: req.deadline,
-            takes: match req.arrival.wanted {
+            expected_duration: match req.arrival.wanted {
                 Wanted::Service(_) => SERVICE_TAKES,
                 _ => self.takes(req.arrival.max_tokens),
             },
         };
-        match self.admission.offer(now, ticket) {
-            Offered::Run => self.start(now, id),
-            Offered::Queued => {
+        match self.admission.submit(now, ticket) {
+            AdmissionOutcome::Run => self.start(now, id),
+            AdmissionOutcome::Queued => {
                 if let Some(req) = self.requests.get_mut(&id) {
                     req.phase = Phase::Queued;
                 }
             }
-            Offered::Refused { retry_after } => {
+            AdmissionOutcome::Refused { retry_after } => {
                 self.give_up(now, id, Reason::Overloaded, Some(retry_after));
             }
         }
@@ -232,7 +232,7 @@
 
     /// Whether a claimed request may still go to its backend server.
     pub(super) fn still_allowed(&self, now: MonoTime, id: RequestId, target: &ServerLife) -> bool {
-        self.step_allowed(now, id) && self.balance.takes_work(now, *target)
+        self.step_allowed(now, id) && self.balance.accepts_requests(now, *target)
     }
 
     pub(super) fn step_allowed(&self, now: MonoTime, id: RequestId) -> bool {
@@ -245,7 +245,7 @@
         let usable = self.view.usable(now, &req.arrival.org, version);
         match usable {
             Usable::Settled | Usable::Rolling(_) => {
-                req.session.is_some() || self.exposure.held(version).is_none()
+                req.session.is_some() || self.exposure.hold_reason(version).is_none()
             }
             // A session stays on a version that is merely held.
             Usable::Held => req.session.is_some(),
@@ -260,7 +260,7 @@
             .avoid
             .iter()
             .copied()
-            .chain(self.suspects.occupied(digest))
+            .chain(self.suspects.occupied_servers(digest))
             .map(|life| life.addr)
             .collect();
         let version = req.version().cloned();
@@ -276,7 +276,7 @@
             max_tokens: req.arrival.max_tokens,
             priority: req.priority,
             exclude: &exclude,
-            alone: self.suspects.standing(digest) == Standing::Suspect,
+            isolated: self.suspects.status(digest) == SuspectStatus::Suspect,
         };
         let pick = self.balance.pick(now, &input)?;
         self.explain.picked(id, &pick);
@@ -291,11 +291,11 @@
             Some(version) => Route::Version(version),
             None => Route::Service(&req.pool),
         };
-        let Some(pause) = self.balance.pause_of_all(now, route) else {
+        let Some(pause) = self.balance.route_pause(now, route) else {
             return Some(self.cfg.retry_after);
         };
         let draw = hash::unit(&id.to_le_bytes(), "retry-after");
-        Some(pause.until().saturating_sub(now) + pause.spread(draw))
+        Some(pause.until().saturating_sub(now) + pause.jitter(draw))
     }
 
     /// Counts an attempt on its backend server.
@@ -331,7 +331,7 @@
             AttemptEnd::Whole | AttemptEnd::Alive => {
                 self.suspects.finished(digest, run.server, false);
                 self.balance.answered(run.server.addr);
-                self.servers.heard(now, run.server.addr);
+                self.servers.renew_lease(now, run.server.addr);
             }
             // A request that was never there is not suspected of the death:
             // two backend servers that are down would quarantine it.
--- a/sesamebeam_core/src/entry/claims.rs
+++ b/sesamebeam_core/src/entry/claims.rs
@@ -40,7 +40,7 @@
             Usage, //
         }, //
     },
-    policy::suspects::Standing,
+    policy::suspects::SuspectStatus,
 };
 
 impl EntryCore {
@@ -397,7 +397,7 @@
         req.sent += 1;
         let attempt = req.sent;
         let hold = req.holds();
-        let alone = self.suspects.standing(req.arrival.digest) == Standing::Suspect;
+        let alone = self.suspects.status(req.arrival.digest) == SuspectStatus::Suspect;
         let send_by = match (&kind, &req.claim) {
             (DispatchKind::Run, Some(claim)) => claim.send_by,
             _ => now + self.cfg.dispatch_window,
--- a/sesamebeam_core/src/entry/explain.rs
+++ b/sesamebeam_core/src/entry/explain.rs
@@ -32,7 +32,7 @@
     policy::{
         balance::Pick,
         exposure::Permit,
-        plan::Planned, //
+        plan::PlanChoice, //
     },
 };
 
@@ -113,7 +113,7 @@
         self.cursor = (self.cursor + 1) % self.most;
     }
 
-    pub(super) fn planned(&mut self, id: RequestId, planned: &Planned) {
+    pub(super) fn planned(&mut self, id: RequestId, planned: &PlanChoice) {
         self.step(id, || {
             let details = planned
                 .scored
@@ -125,8 +125,12 @@
                         s.cost,
                         s.quality,
                         s.confidence,
-                        if s.meets { ", meets the target" } else { "" },
-                        if s.fits { "" } else { ", too slow" },
+                        if s.meets_target {
+                            ", meets the target"
+                        } else {
+                            ""
+                        },
+                        if s.fits_deadline { "" } else { ", too slow" },
                     )
                 })
                 .collect();
@@ -157,7 +161,7 @@
     pub(super) fn picked(&mut self, id: RequestId, pick: &Pick) {
         self.step(id, || {
             let details = pick
-                .looked
+                .considered
                 .iter()
                 .map(|l| {
                     format_smolstr!(
@@ -165,7 +169,11 @@
                         l.addr,
                         l.wait,
                         if l.cached { ", prefix cached" } else { "" },
-                        if l.near { "" } else { ", other failure domain" },
+                        if l.local {
+                            ""
+                        } else {
+                            ", other failure domain"
+                        },
                         if l.full { ", full" } else { "" },
                     )
                 })
--- a/sesamebeam_core/src/entry/finish.rs
+++ b/sesamebeam_core/src/entry/finish.rs
@@ -30,8 +30,8 @@
     policy::{
         exposure::Observation,
         hash,
-        quality::Rated,
-        suspects::Standing, //
+        quality::RatingOutcome,
+        suspects::SuspectStatus, //
     },
 };
 
@@ -58,7 +58,7 @@
     /// The first event of an attempt arrived.
     pub(super) fn first_event(&mut self, now: MonoTime, run: &Running) {
         self.balance.answered(run.server.addr);
-        self.servers.heard(now, run.server.addr);
+        self.servers.renew_lease(now, run.server.addr);
     }
 
     /// Learns from a whole answer.
@@ -74,7 +74,7 @@
         };
         let digest = req.arrival.digest;
         let (class, org) = (req.class.clone(), req.arrival.org.clone());
-        let suspected = self.suspects.standing(digest) != Standing::Clear;
+        let suspected = self.suspects.status(digest) != SuspectStatus::Clear;
         self.suspects.finished(digest, run.server, true);
         if suspected {
             self.ask(
@@ -93,9 +93,10 @@
         }
         if self.samples(id) && finished.answer.body.is_some() {
             if self.requests[&id].second {
-                self.quality.sampled_redo(now, id, &class, &version);
+                self.quality
+                    .await_escalated_rating(now, id, &class, &version);
             } else {
-                self.quality.sampled(now, id, &class, &version);
+                self.quality.await_rating(now, id, &class, &version);
             }
             if self.sampled.len() >= MAX_SAMPLED {
                 self.sampled.shift_remove_index(0);
@@ -112,20 +113,23 @@
     /// Learns from a late rating.
     pub(super) fn rated(&mut self, now: MonoTime, rating: &Rating) {
         match self.quality.rate(now, rating) {
-            Rated::Counted { good, redo } => {
+            RatingOutcome::Counted {
+                good,
+                escalated: redo,
+            } => {
                 if let Some((org, class)) = self.sampled.swap_remove(&rating.request) {
-                    self.burn.rated(now, &org, &class, good);
+                    self.burn.record_rating(now, &org, &class, good);
                 }
                 // Second answers are of hard requests only and are measured by
                 // a level of their own.
                 let seen = if redo {
-                    Observation::Redone { good }
+                    Observation::Escalated { good }
                 } else {
                     Observation::Rated { good }
                 };
                 self.observe(now, &rating.version, &rating.class, seen);
             }
-            Rated::Ignored(why) => {
+            RatingOutcome::Ignored(why) => {
                 let why = smol_str::format_smolstr!("rating: {why:?}");
                 self.out.push(EntryAction::Notice(Notice::Ignored { why }));
             }
@@ -148,7 +152,9 @@
             return false;
         };
         let class = req.class.clone();
-        if let Rated::Counted { good, .. } = self.quality.rate_now(now, &class, version, score) {
+        if let RatingOutcome::Counted { good, .. } =
+            self.quality.rate_now(now, &class, version, score)
+        {
             self.observe(now, version, &class, Observation::Rated { good });
             return good;
         }
@@ -217,7 +223,7 @@
         let took = now.saturating_sub(req.arrived);
         let in_time = whole && now <= req.deadline;
         self.burn
-            .ended(now, &req.arrival.org, &req.class, in_time.then_some(took));
+            .record_request(now, &req.arrival.org, &req.class, in_time.then_some(took));
         if whole {
             self.hedges.answered(&req.class, took);
         }
--- a/sesamebeam_core/src/entry/lease.rs
+++ b/sesamebeam_core/src/entry/lease.rs
@@ -83,7 +83,7 @@
         if self.view.revision() != before {
             self.take_fleet(now);
         }
-        self.exposure.live(self.view.live());
+        self.exposure.apply_live(self.view.live());
         self.suspects
             .quarantine(self.view.live().quarantine.iter().copied());
         self.pump_wanted = true;
--- a/sesamebeam_core/src/entry/members.rs
+++ b/sesamebeam_core/src/entry/members.rs
@@ -54,7 +54,7 @@
             incarnation: announcement.incarnation,
         };
         match announced {
-            Announced::Old => return,
+            Announced::Stale => return,
             Announced::Ignored(fault) => {
                 let why = smol_str::format_smolstr!(
                     "announcement of {}: unknown {fault:?}",
@@ -69,7 +69,7 @@
                 };
                 self.died(now, old);
             }
-            Announced::New | Announced::Back => {
+            Announced::New | Announced::Reconnected => {
                 self.out.push(EntryAction::Notice(Notice::ServerUp {
                     server: life,
                     pool: announcement.pool.clone(),
@@ -77,7 +77,7 @@
             }
             Announced::Changed | Announced::Leaving | Announced::Refreshed => {}
         }
-        self.use_subset(now, announcement, announced.spreads());
+        self.use_subset(now, announcement, announced.should_propagate());
         self.set_capacities(now);
         if own && announced == Announced::Refreshed {
             self.alive.insert(announcement.addr, alive_of(announcement));
@@ -100,7 +100,7 @@
     fn use_subset(&mut self, now: MonoTime, announcement: &Announcement, changed: bool) {
         let pool = &announcement.pool;
         let most = self.cfg.policy.servers.subset;
-        let known = self.servers.all().filter(|s| s.pool == *pool).count();
+        let known = self.servers.reachable().filter(|s| s.pool == *pool).count();
         if known <= most {
             if let Some(server) = self.servers.get(announcement.addr) {
                 self.balance.upsert(now, server);
@@ -118,7 +118,7 @@
         let subset = self.servers.subset(&self.cfg.instance, pool);
         let others: Vec<ServerAddr> = self
             .servers
-            .all()
+            .reachable()
             .filter(|server| server.pool == *pool && !subset.contains(&server.addr))
             .map(|server| server.addr)
             .collect();
@@ -142,7 +142,7 @@
             }
             PeerMessage::Alive(list) => self.heard_alive(now, from, &list),
             PeerMessage::WantServers => {
-                let list: Vec<Announcement> = self.servers.all().cloned().collect();
+                let list: Vec<Announcement> = self.servers.reachable().cloned().collect();
                 self.tell(Audience::One(from), PeerMessage::Servers(list));
             }
             PeerMessage::WantConfig => self.give_config(from),
@@ -155,7 +155,7 @@
                 for version in &held {
                     self.exposure.hold(now, version);
                 }
-                self.suspects.alarm(now, suspects);
+                self.suspects.add_suspects(now, suspects);
             }
             PeerMessage::Leaving { .. } => {}
         }
@@ -173,9 +173,9 @@
     pub(super) fn tick_servers(&mut self, now: MonoTime) {
         for event in self.servers.tick(now) {
             let (server, why) = match event {
-                ServerEvent::Out(addr) => (addr, "silent for a lease"),
+                ServerEvent::Expired(addr) => (addr, "silent for a lease"),
                 ServerEvent::Unreachable(addr) => (addr, "behind a cut"),
-                ServerEvent::Cut(_) => continue,
+                ServerEvent::Partitioned(_) => continue,
             };
             self.balance.remove(server);
             self.out.push(EntryAction::Notice(Notice::ServerDown {
@@ -218,7 +218,7 @@
         super::keep_newest(&mut self.dead, super::MAX_LOST);
         let on_board = self.on_board(&life);
         self.blame_versions(now, &life);
-        let Some(report) = self.suspects.died(now, life, &on_board) else {
+        let Some(report) = self.suspects.record_crash(now, life, &on_board) else {
             return;
         };
         let suspects = report.suspects.clone();
@@ -277,7 +277,7 @@
         for alive in list {
             match self.servers.get(alive.addr) {
                 Some(known) if known.incarnation == alive.incarnation => {
-                    self.servers.heard(now, alive.addr);
+                    self.servers.renew_lease(now, alive.addr);
                 }
                 _ => unknown = true,
             }
--- a/sesamebeam_core/src/gateway/backoff.rs
+++ b/sesamebeam_core/src/gateway/backoff.rs
@@ -40,7 +40,7 @@
         match (self, other) {
             (_, Self::Leaving) => false,
             (Self::Leaving, Self::Pause(_)) => true,
-            (Self::Pause(pause), Self::Pause(before)) => pause.outlasts(before),
+            (Self::Pause(pause), Self::Pause(before)) => pause.ends_after(before),
         }
     }
 
--- a/sesamebeam_core/src/gateway/router/retry_after.rs
+++ b/sesamebeam_core/src/gateway/router/retry_after.rs
@@ -85,7 +85,7 @@
         match self.backoffs.get(now, id) {
             Some(Backoff::Pause(pause)) if !self.limits.names(id) => {
                 let place = plan.seed ^ now.as_nanos() as u64;
-                pause.spread(hash::unit(&place.to_le_bytes(), "retry-after"))
+                pause.jitter(hash::unit(&place.to_le_bytes(), "retry-after"))
             }
             _ => Duration::ZERO,
         }
--- a/sesamebeam_core/src/policy/admission.rs
+++ b/sesamebeam_core/src/policy/admission.rs
@@ -44,11 +44,11 @@
     /// Whether requests that would miss their deadline are refused on arrival.
     pub refuse_early: bool,
     /// Maximum number of requests queued for one pool.
-    pub longest: usize,
+    pub max_queue_len: usize,
     /// Share of the maximum queue length that one organisation may use.
     pub max_org_share: f64,
     /// Share of a pool's slots that is reserved for urgent requests.
-    pub kept_for_urgent: f64,
+    pub urgent_reserve: f64,
     /// Smallest `retry_after` returned to callers, before jitter.
     pub min_retry_after: Duration,
     /// Largest `retry_after` returned to callers, before jitter.
@@ -64,9 +64,9 @@
             fair: true,
             priorities: true,
             refuse_early: true,
-            longest: 2048,
+            max_queue_len: 2048,
             max_org_share: 0.5,
-            kept_for_urgent: 0.1,
+            urgent_reserve: 0.1,
             min_retry_after: Duration::from_millis(500),
             max_retry_after: Duration::from_secs(60),
             deadline_margin: 0.25,
@@ -76,7 +76,7 @@
 
 /// A request submitted for admission.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ticket {
+pub struct AdmissionRequest {
     /// Identifier of the request.
     pub request: RequestId,
     /// Organisation of the caller.
@@ -88,12 +88,12 @@
     /// Time by which the complete answer is due.
     pub deadline: MonoTime,
     /// Expected run time.
-    pub takes: Duration,
+    pub expected_duration: Duration,
 }
 
 /// Outcome of submitting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offered {
+pub enum AdmissionOutcome {
     /// The request may start now and holds a slot until
     /// [`Admission::finished`].
     Run,
@@ -110,7 +110,7 @@
 /// A queued request that can no longer be answered in time. Its final answer is
 /// due immediately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GivenUp {
+pub struct ExpiredRequest {
     /// Identifier of the request.
     pub request: RequestId,
     /// Time after which a retry is expected to succeed.
@@ -126,7 +126,7 @@
     pub refused: u64,
     /// Requests that were dropped from the queue because they could no longer
     /// be answered in time.
-    pub given_up: u64,
+    pub expired: u64,
 }
 
 /// Admission queues of all pools.
@@ -166,51 +166,58 @@
     }
 
     /// Starts, queues or refuses a request.
-    pub fn offer(&mut self, now: MonoTime, ticket: Ticket) -> Offered {
-        let reserved = self.reserved_slots(&ticket.pool);
-        let share = self.share_of(&ticket.org);
-        let priority = self.effective_priority(ticket.priority);
+    pub fn submit(&mut self, now: MonoTime, request: AdmissionRequest) -> AdmissionOutcome {
+        let reserved = self.reserved_slots(&request.pool);
+        let share = self.share_of(&request.org);
+        let priority = self.effective_priority(request.priority);
         let cfg = &self.cfg;
-        let pool = self.pools.entry(ticket.pool.clone()).or_default();
+        let pool = self.pools.entry(request.pool.clone()).or_default();
         let can_start =
             pool.queued_at_or_above(priority) == 0 && pool.has_free_slot(priority, reserved);
         let wait = if can_start {
             Duration::ZERO
         } else {
-            pool.expected_wait(now, &ticket.org, share, priority)
+            pool.expected_wait(now, &request.org, share, priority)
         };
-        let needed = wait + ticket.takes + ticket.takes.mul_f64(cfg.deadline_margin);
-        let lateness = (now + needed).saturating_sub(ticket.deadline);
-        let infeasible = now + ticket.takes > ticket.deadline;
+        let needed = wait
+            + request.expected_duration
+            + request.expected_duration.mul_f64(cfg.deadline_margin);
+        let lateness = (now + needed).saturating_sub(request.deadline);
+        let infeasible = now + request.expected_duration > request.deadline;
         let queue_full =
-            !can_start && pool.is_full_for(&ticket.org, cfg.longest, cfg.max_org_share);
+            !can_start && pool.is_full_for(&request.org, cfg.max_queue_len, cfg.max_org_share);
         if queue_full || infeasible || (cfg.refuse_early && !can_start && !lateness.is_zero()) {
             let retry_after = if queue_full {
                 lateness.max(wait)
             } else {
                 lateness
             };
-            let retry_after = jittered(cfg, retry_after, ticket.request);
-            self.counts.entry(ticket.org).or_default().refused += 1;
-            return Offered::Refused { retry_after };
+            let retry_after = jittered(cfg, retry_after, request.request);
+            self.counts.entry(request.org).or_default().refused += 1;
+            return AdmissionOutcome::Refused { retry_after };
         }
         if can_start {
-            pool.start(&ticket.org, share, ticket.request, ticket.takes);
-            self.counts.entry(ticket.org).or_default().started += 1;
-            return Offered::Run;
+            pool.start(
+                &request.org,
+                share,
+                request.request,
+                request.expected_duration,
+            );
+            self.counts.entry(request.org).or_default().started += 1;
+            return AdmissionOutcome::Run;
         }
         pool.push(
             now,
             QueuedRequest {
-                request: ticket.request,
-                org: ticket.org,
+                request: request.request,
+                org: request.org,
                 priority,
-                deadline: ticket.deadline,
-                expected_duration: ticket.takes,
+                deadline: request.deadline,
+                expected_duration: request.expected_duration,
                 share,
             },
         );
-        Offered::Queued
+        AdmissionOutcome::Queued
     }
 
     /// Releases the slot of a finished request and records its run time.
@@ -232,7 +239,7 @@
     pub fn next(&mut self, now: MonoTime) -> Vec<RequestId> {
         let mut started = Vec::new();
         for pool in self.pools.values_mut() {
-            let reserved = (f64::from(pool.slots) * self.cfg.kept_for_urgent) as u32;
+            let reserved = (f64::from(pool.slots) * self.cfg.urgent_reserve) as u32;
             let reserved = if self.cfg.priorities { reserved } else { 0 };
             while let Some(waiting) =
                 pool.pop(now, reserved, self.cfg.fair, self.cfg.deadline_margin)
@@ -254,19 +261,19 @@
     ///
     /// They are reported immediately rather than at their deadline, so that
     /// callers can use the remaining time to try elsewhere.
-    pub fn expired(&mut self, now: MonoTime) -> Vec<GivenUp> {
-        let mut given_up = Vec::new();
+    pub fn expired(&mut self, now: MonoTime) -> Vec<ExpiredRequest> {
+        let mut expired = Vec::new();
         for pool in self.pools.values_mut() {
             for waiting in pool.remove_late(now) {
-                self.counts.entry(waiting.org.clone()).or_default().given_up += 1;
+                self.counts.entry(waiting.org.clone()).or_default().expired += 1;
                 let wait = pool.expected_wait(now, &waiting.org, waiting.share, waiting.priority);
-                given_up.push(GivenUp {
+                expired.push(ExpiredRequest {
                     request: waiting.request,
                     retry_after: jittered(&self.cfg, wait, waiting.request),
                 });
             }
         }
-        given_up
+        expired
     }
 
     /// Returns the latest start of the queued request that expires first.
@@ -279,7 +286,7 @@
     }
 
     /// Returns the number of requests queued for a pool.
-    pub fn waiting(&self, pool: &str) -> usize {
+    pub fn queued(&self, pool: &str) -> usize {
         self.pools.get(pool).map_or(0, PoolQueue::len)
     }
 
@@ -305,7 +312,7 @@
     fn reserved_slots(&self, pool: &str) -> u32 {
         let slots = self.pools.get(pool).map_or(0, |pool| pool.slots);
         match self.cfg.priorities {
-            true => (f64::from(slots) * self.cfg.kept_for_urgent) as u32,
+            true => (f64::from(slots) * self.cfg.urgent_reserve) as u32,
             false => 0,
         }
     }
--- a/sesamebeam_core/src/policy/backoff.rs
+++ b/sesamebeam_core/src/policy/backoff.rs
@@ -30,12 +30,12 @@
     }
 
     /// Returns the requested length of the pause.
-    pub fn asked(self) -> Duration {
+    pub fn requested(self) -> Duration {
         self.requested
     }
 
     /// Returns whether this pause ends later than `other`.
-    pub fn outlasts(self, other: Self) -> bool {
+    pub fn ends_after(self, other: Self) -> bool {
         self.until > other.until
     }
 
@@ -50,7 +50,7 @@
     /// Retries are spread over a period as long as the pause, so callers return
     /// no faster than they arrived. Without jitter all of them would retry at
     /// the moment the pause ends.
-    pub fn spread(self, random: f64) -> Duration {
+    pub fn jitter(self, random: f64) -> Duration {
         self.requested.mul_f64(random)
     }
 }
--- a/sesamebeam_core/src/policy/balance.rs
+++ b/sesamebeam_core/src/policy/balance.rs
@@ -55,7 +55,7 @@
 pub struct BalanceConfig {
     /// Number of backend servers sampled per request; 1 disables the
     /// comparison.
-    pub choices: usize,
+    pub sample_size: usize,
     /// Whether the load reported by backend servers is used in addition to this
     /// entry's own in-flight requests.
     pub reported_load: bool,
@@ -85,7 +85,7 @@
 impl Default for BalanceConfig {
     fn default() -> Self {
         Self {
-            choices: 3,
+            sample_size: 3,
             reported_load: true,
             load_half_life: Duration::from_secs(2),
             prefix_hints: true,
@@ -125,12 +125,12 @@
     pub exclude: &'a [ServerAddr],
     /// Whether the request must run isolated from other requests because it is
     /// suspected of crashing backend servers.
-    pub alone: bool,
+    pub isolated: bool,
 }
 
 /// A backend server that was considered, with its score.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Looked {
+pub struct ScoredServer {
     /// Address at which it receives requests.
     pub addr: ServerAddr,
     /// Expected time until the complete answer.
@@ -138,7 +138,7 @@
     /// Whether its cache is expected to hold the prefix.
     pub cached: bool,
     /// Whether it is in the same failure domain as this entry.
-    pub near: bool,
+    pub local: bool,
     /// Whether it cannot accept another request.
     pub full: bool,
 }
@@ -151,7 +151,7 @@
     /// Expected time until the complete answer.
     pub wait: Duration,
     /// All backend servers that were considered.
-    pub looked: Vec<Looked>,
+    pub considered: Vec<ScoredServer>,
 }
 
 /// Counts of rejected load reports since the start, by reason.
@@ -159,7 +159,7 @@
 pub struct LoadCounts {
     /// Reports with a value that is not a number, negative or above the
     /// accepted maximum.
-    pub absurd: u64,
+    pub out_of_range: u64,
     /// Reports that were too old to be useful.
     pub stale: u64,
 }
@@ -245,7 +245,7 @@
         if server.speed.is_finite() && (1.0..MAX_SPEED).contains(&server.speed) {
             state.speed = f64::from(server.speed);
         }
-        self.load(now, server.addr, server.load);
+        self.apply_load(now, server.addr, server.load);
         for event in &server.cache {
             match event.held {
                 true => self.add_prefix_holder(event.prefix, server.addr),
@@ -255,13 +255,13 @@
     }
 
     /// Applies a load report, or counts why it is rejected.
-    pub fn load(&mut self, now: MonoTime, addr: ServerAddr, load: Load) {
+    pub fn apply_load(&mut self, now: MonoTime, addr: ServerAddr, load: Load) {
         self.latest_time = self.latest_time.max(now);
         let out_of_range = load.running > MAX_LOAD
             || load.waiting > MAX_LOAD
             || !(0.0..=1.0).contains(&load.kv_used);
         if out_of_range {
-            self.counts.absurd += 1;
+            self.counts.out_of_range += 1;
             return;
         }
         let age = Duration::from_millis(u64::from(load.age_ms));
@@ -306,14 +306,14 @@
             return;
         };
         let pause = RequestedPause::new(now, requested);
-        if state.pause.is_none_or(|known| pause.outlasts(known)) {
+        if state.pause.is_none_or(|known| pause.ends_after(known)) {
             state.pause = Some(pause);
         }
     }
 
     /// Returns the pause that ends first if every backend server that serves a
     /// route has requested one, or `None` otherwise.
-    pub fn pause_of_all(&self, now: MonoTime, route: Route<'_>) -> Option<RequestedPause> {
+    pub fn route_pause(&self, now: MonoTime, route: Route<'_>) -> Option<RequestedPause> {
         let serving = self.servers.values().filter(|state| !state.leaving);
         let serving = serving.filter(|state| state.serves(route));
         let pauses: Option<Vec<RequestedPause>> =
@@ -329,10 +329,10 @@
     }
 
     /// Records that a request was sent.
-    pub fn started(&mut self, addr: ServerAddr, prefix: Option<u64>, alone: bool) {
+    pub fn started(&mut self, addr: ServerAddr, prefix: Option<u64>, isolated: bool) {
         if let Some(state) = self.servers.get_mut(&addr) {
             state.set_in_flight(self.latest_time, state.in_flight + 1);
-            state.isolated += u32::from(alone);
+            state.isolated += u32::from(isolated);
         }
         if let Some(prefix) = prefix {
             self.add_prefix_holder(prefix, addr);
@@ -341,12 +341,12 @@
 
     /// Records that a request ended, with its response time if the answer was
     /// complete.
-    pub fn finished(&mut self, addr: ServerAddr, alone: bool, took: Option<Duration>) {
+    pub fn finished(&mut self, addr: ServerAddr, isolated: bool, took: Option<Duration>) {
         let Some(state) = self.servers.get_mut(&addr) else {
             return;
         };
         state.set_in_flight(self.latest_time, state.in_flight.saturating_sub(1));
-        state.isolated = state.isolated.saturating_sub(u32::from(alone));
+        state.isolated = state.isolated.saturating_sub(u32::from(isolated));
         if let Some(took) = took {
             state.record_duration(took);
         }
@@ -361,7 +361,7 @@
     pub fn pick(&mut self, now: MonoTime, input: &PickInput<'_>) -> Option<Pick> {
         self.latest_time = self.latest_time.max(now);
         self.refresh_routes();
-        let mut considered = Vec::with_capacity(self.cfg.choices + MAX_HOLDERS);
+        let mut considered = Vec::with_capacity(self.cfg.sample_size + MAX_HOLDERS);
         self.sample_servers(input, true);
         self.score_sampled(now, input, &mut considered);
         let best_local = best(&considered);
@@ -379,14 +379,14 @@
                 incarnation: state.incarnation,
             },
             wait: considered[index].wait,
-            looked: considered,
+            considered,
         })
     }
 
     /// Returns whether a backend server may still receive new requests: it is
     /// known with this incarnation, is not leaving and has not requested a
     /// pause. Checked again immediately before sending.
-    pub fn takes_work(&self, now: MonoTime, server: ServerLife) -> bool {
+    pub fn accepts_requests(&self, now: MonoTime, server: ServerLife) -> bool {
         let state = self.servers.get(&server.addr);
         let state = state.filter(|state| state.incarnation == server.incarnation);
         state.is_some_and(|state| !state.leaving && state.pause_at(now).is_none())
@@ -508,10 +508,10 @@
             Some(serving) => &serving.remote,
             None => &[],
         };
-        if candidates.len() <= self.cfg.choices {
+        if candidates.len() <= self.cfg.sample_size {
             sampled.extend_from_slice(candidates);
         } else {
-            while sampled.len() < self.cfg.choices.max(1) {
+            while sampled.len() < self.cfg.sample_size.max(1) {
                 let index = candidates[self.rng.random_range(0..candidates.len())];
                 if !sampled.contains(&index) {
                     sampled.push(index);
@@ -546,7 +546,7 @@
         &mut self,
         now: MonoTime,
         input: &PickInput<'_>,
-        considered: &mut Vec<Looked>,
+        considered: &mut Vec<ScoredServer>,
     ) {
         let sampled = std::mem::take(&mut self.scratch);
         considered.extend(
@@ -564,7 +564,7 @@
         &mut self,
         now: MonoTime,
         input: &PickInput<'_>,
-        considered: &mut Vec<Looked>,
+        considered: &mut Vec<ScoredServer>,
     ) -> Option<usize> {
         let serving = self.servers_of(input.route)?;
         let all: Vec<u32> = serving
@@ -581,14 +581,14 @@
         let found = best(considered);
         if let Some(index) = found {
             considered.swap(0, index);
-            considered.truncate(self.cfg.choices.max(1));
+            considered.truncate(self.cfg.sample_size.max(1));
             return Some(0);
         }
-        considered.truncate(self.cfg.choices.max(1));
+        considered.truncate(self.cfg.sample_size.max(1));
         None
     }
 
-    fn score(&self, now: MonoTime, input: &PickInput<'_>, index: u32) -> Option<Looked> {
+    fn score(&self, now: MonoTime, input: &PickInput<'_>, index: u32) -> Option<ScoredServer> {
         let (addr, state) = self.servers.get_index(index as usize)?;
         let unavailable = state.avoid_until > now || state.pause_at(now).is_some();
         if input.exclude.contains(addr) || unavailable {
@@ -608,15 +608,15 @@
         } else {
             self.cfg.remote_penalty
         };
-        let isolation_penalty = match input.alone {
+        let isolation_penalty = match input.isolated {
             true => Duration::from_secs(u64::from(state.in_flight)),
             false => Duration::ZERO,
         };
-        Some(Looked {
+        Some(ScoredServer {
             addr: *addr,
             wait: wait + remote_penalty + isolation_penalty,
             cached,
-            near: state.local,
+            local: state.local,
             full,
         })
     }
@@ -642,7 +642,7 @@
     }
 }
 
-fn best(considered: &[Looked]) -> Option<usize> {
+fn best(considered: &[ScoredServer]) -> Option<usize> {
     (0..considered.len())
         .filter(|&index| !considered[index].full)
         .min_by_key(|&index| considered[index].wait)
--- a/sesamebeam_core/src/policy/burn.rs
+++ b/sesamebeam_core/src/policy/burn.rs
@@ -199,12 +199,12 @@
 
 /// Tracks the burn rates of all objectives.
 #[derive(Clone, Debug, Default)]
-pub struct Burn {
+pub struct BurnTracker {
     objectives: IndexMap<(OrgId, ClassId), ObjectiveEvents>,
     left_out: u64,
 }
 
-impl Burn {
+impl BurnTracker {
     /// Creates a tracker without events.
     pub fn new() -> Self {
         Self::default()
@@ -238,7 +238,13 @@
     /// Records a request that ended, with its latency if it was answered
     /// completely within its deadline. A refused request counts as not
     /// answered.
-    pub fn ended(&mut self, now: MonoTime, org: &OrgId, class: &ClassId, whole: Option<Duration>) {
+    pub fn record_request(
+        &mut self,
+        now: MonoTime,
+        org: &OrgId,
+        class: &ClassId,
+        whole: Option<Duration>,
+    ) {
         let Some(objective) = self.objectives.get_mut(&(org.clone(), class.clone())) else {
             return;
         };
@@ -250,7 +256,7 @@
     }
 
     /// Records a rated answer.
-    pub fn rated(&mut self, now: MonoTime, org: &OrgId, class: &ClassId, good: bool) {
+    pub fn record_rating(&mut self, now: MonoTime, org: &OrgId, class: &ClassId, good: bool) {
         if let Some(objective) = self.objectives.get_mut(&(org.clone(), class.clone())) {
             objective.add(now, Indicator::Quality, !good);
         }
@@ -283,7 +289,7 @@
 
     /// Returns the number of objectives that were ignored because there are too
     /// many.
-    pub fn left_out(&self) -> u64 {
+    pub fn ignored_objectives(&self) -> u64 {
         self.left_out
     }
 }
--- a/sesamebeam_core/src/policy/exposure.rs
+++ b/sesamebeam_core/src/policy/exposure.rs
@@ -56,9 +56,9 @@
 pub struct ExposureConfig {
     /// Whether routine requests go first; otherwise requests of every class may
     /// use a version that is rolling out.
-    pub in_order: bool,
+    pub staged: bool,
     /// Whether the sequential test holds versions.
-    pub test: bool,
+    pub sequential_test: bool,
     /// Upper bound of the probability that a test holds a good version during
     /// its roll-out.
     pub false_hold_probability: f64,
@@ -96,8 +96,8 @@
 impl Default for ExposureConfig {
     fn default() -> Self {
         Self {
-            in_order: true,
-            test: true,
+            staged: true,
+            sequential_test: true,
             false_hold_probability: 0.01,
             horizon: 500.0,
             margin: 0.03,
@@ -124,7 +124,7 @@
     },
     /// The answer was the second of a cascade, to a hard request, and was
     /// rated.
-    Redone {
+    Escalated {
         /// Whether the rating was good.
         good: bool,
     },
@@ -225,7 +225,7 @@
     }
 
     /// Applies the control group's state: fleet-wide holds and roll-out shares.
-    pub fn live(&mut self, live: &Live) {
+    pub fn apply_live(&mut self, live: &Live) {
         for (version, trust) in &mut self.versions {
             trust.fleet_hold = live.held.contains(version);
             trust.share = 0.0;
@@ -274,7 +274,7 @@
         if hash::unit(draw_key, version) >= trust.share {
             return Permit::NotYet;
         }
-        if self.cfg.in_order && trust.rating_count() < self.required_ratings(class) {
+        if self.cfg.staged && trust.rating_count() < self.required_ratings(class) {
             return Permit::Untrusted;
         }
         Permit::Allowed
@@ -305,7 +305,7 @@
                     .ratings
                     .add(good, quality_level, quality_level * cfg.bad_factor);
             }
-            Observation::Redone { good } => {
+            Observation::Escalated { good } => {
                 trust.count_rating(good);
                 trust.escalated_ratings.add(
                     good,
@@ -327,7 +327,7 @@
                 trust.failures.add(false, ok, 1.0 - cfg.failures * 6.0);
             }
         }
-        if !cfg.test || was_held {
+        if !cfg.sequential_test || was_held {
             return None;
         }
         let rollout_limit = (3.0 / cfg.false_hold_probability).ln();
@@ -434,7 +434,7 @@
     }
 
     /// Returns the reason for which a version is held, if it is.
-    pub fn held(&self, version: &str) -> Option<HoldReason> {
+    pub fn hold_reason(&self, version: &str) -> Option<HoldReason> {
         let trust = self.versions.get(version)?;
         match trust.held {
             Some((reason, _)) => Some(reason),
@@ -444,7 +444,7 @@
 
     /// Returns the versions held on this entry. Fleet-wide holds by the control
     /// group are not included.
-    pub fn held_here(&self) -> Vec<VersionId> {
+    pub fn held_versions(&self) -> Vec<VersionId> {
         self.versions
             .iter()
             .filter(|(_, trust)| trust.held.is_some())
@@ -519,10 +519,10 @@
         quality_level: f64,
         quality: &Quality,
     ) -> f64 {
-        if quality.evidence_redo(class, version) < self.cfg.min_own_ratings / 2.0 {
+        if quality.escalated_evidence(class, version) < self.cfg.min_own_ratings / 2.0 {
             return quality_level * ESCALATED_LEVEL_FACTOR;
         }
-        let own = quality.moments_redo(class, version, 1.0).mean - self.cfg.margin;
+        let own = quality.escalated_moments(class, version, 1.0).mean - self.cfg.margin;
         own.clamp(0.1, 0.98)
     }
 
--- a/sesamebeam_core/src/policy/plan.rs
+++ b/sesamebeam_core/src/policy/plan.rs
@@ -49,7 +49,7 @@
     pub cascades: bool,
     /// Share of requests that would try a cheaper plan if that plan were
     /// certain to meet the target; 0 disables trials.
-    pub explore: f64,
+    pub trial_share: f64,
     /// Share of good answers that the rating service accepts (true positive
     /// rate).
     pub rater_accepts_good: f64,
@@ -68,7 +68,7 @@
     fn default() -> Self {
         Self {
             cascades: true,
-            explore: 0.5,
+            trial_share: 0.5,
             rater_accepts_good: 0.95,
             rater_accepts_bad: 0.05,
             hard_factor: 0.97,
@@ -110,7 +110,7 @@
     /// Cost of 1000 generated tokens.
     pub cost: f64,
     /// Expected time until the complete answer; zero if unknown.
-    pub takes: Duration,
+    pub expected_duration: Duration,
 }
 
 /// Input of plan selection.
@@ -124,9 +124,9 @@
     /// exposure.
     pub candidates: &'a [Candidate],
     /// Time remaining until the deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Whether the rating service currently rates answers synchronously.
-    pub rater_answers: bool,
+    pub rater_available: bool,
     /// Number in [0, 1) from a hash of the request, used for trials.
     pub draw: f64,
 }
@@ -144,7 +144,7 @@
 
 /// A plan that was considered, with its score.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Scored {
+pub struct ScoredPlan {
     /// The plan.
     pub plan: Plan,
     /// Expected cost of 1000 tokens of the answer.
@@ -154,20 +154,20 @@
     /// Probability that the target is met.
     pub confidence: f64,
     /// Whether it is expected to finish within the remaining time.
-    pub fits: bool,
+    pub fits_deadline: bool,
     /// Whether it meets the target with the required confidence.
-    pub meets: bool,
+    pub meets_target: bool,
 }
 
 /// The selected plan and the plans that were considered.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Planned {
+pub struct PlanChoice {
     /// The plan.
     pub plan: Plan,
     /// Reason for the selection.
     pub reason: Reason,
     /// All plans that were considered, in order of scoring.
-    pub scored: Vec<Scored>,
+    pub scored: Vec<ScoredPlan>,
 }
 
 /// Selects plans.
@@ -188,7 +188,7 @@
     /// Generation of the quality estimates that the scores are based on.
     generation: u64,
     uses: u32,
-    scored: Vec<Scored>,
+    scored: Vec<ScoredPlan>,
     /// Indices of each plan's versions among the candidates.
     versions_used: Vec<(usize, Option<usize>)>,
 }
@@ -204,10 +204,10 @@
 
     /// Selects the cheapest plan that meets the target, or else the best
     /// available one. Returns `None` if there is no candidate.
-    pub fn plan(&mut self, quality: &Quality, input: &PlanInput<'_>) -> Option<Planned> {
+    pub fn plan(&mut self, quality: &Quality, input: &PlanInput<'_>) -> Option<PlanChoice> {
         let scored = self.scored(quality, input);
         let (index, reason) = self.choose(quality, input, &scored)?;
-        Some(Planned {
+        Some(PlanChoice {
             plan: scored[index].plan.clone(),
             reason,
             scored,
@@ -216,7 +216,7 @@
 
     /// Returns cached or new scores, updated with the plans that fit in the
     /// remaining time.
-    fn scored(&mut self, quality: &Quality, input: &PlanInput<'_>) -> Vec<Scored> {
+    fn scored(&mut self, quality: &Quality, input: &PlanInput<'_>) -> Vec<ScoredPlan> {
         let key = self.key(quality, input);
         let generation = quality.generation();
         let is_fresh =
@@ -240,8 +240,11 @@
         cached.uses += 1;
         let mut scored = cached.scored.clone();
         for (scored, (first, then)) in scored.iter_mut().zip(&cached.versions_used) {
-            let then = then.map_or(Duration::ZERO, |then| input.candidates[then].takes);
-            scored.fits = input.candidates[*first].takes + then <= input.left;
+            let then = then.map_or(Duration::ZERO, |then| {
+                input.candidates[then].expected_duration
+            });
+            scored.fits_deadline =
+                input.candidates[*first].expected_duration + then <= input.time_left;
         }
         scored
     }
@@ -265,7 +268,7 @@
         &self,
         quality: &Quality,
         input: &PlanInput<'_>,
-    ) -> (Vec<Scored>, Vec<(usize, Option<usize>)>) {
+    ) -> (Vec<ScoredPlan>, Vec<(usize, Option<usize>)>) {
         let moments: Vec<Moments> = input
             .candidates
             .iter()
@@ -274,7 +277,7 @@
         let mut scored = Vec::with_capacity(input.candidates.len() * 2);
         for (candidate, moments) in input.candidates.iter().zip(&moments) {
             let plan = Plan::Single(candidate.version.clone());
-            scored.push(Scored::new(
+            scored.push(ScoredPlan::new(
                 plan,
                 candidate.cost,
                 *moments,
@@ -299,14 +302,14 @@
         quality: &Quality,
         input: &PlanInput<'_>,
         moments: &[Moments],
-        singles: &[Scored],
-    ) -> Vec<(usize, usize, Scored)> {
-        let max_cost = min_by(singles, |s| s.meets, |s| s.cost)
+        singles: &[ScoredPlan],
+    ) -> Vec<(usize, usize, ScoredPlan)> {
+        let max_cost = min_by(singles, |s| s.meets_target, |s| s.cost)
             .map_or(f64::INFINITY, |index| singles[index].cost);
         let mut cascades = Vec::new();
         for (then, strong) in input.candidates.iter().enumerate() {
             let class = &input.class.name;
-            let escalated = quality.moments_redo(class, &strong.version, self.cfg.hard_factor);
+            let escalated = quality.escalated_moments(class, &strong.version, self.cfg.hard_factor);
             for (first, cheap) in input.candidates.iter().enumerate() {
                 if cheap.cost >= strong.cost || moments[first].mean >= moments[then].mean {
                     continue;
@@ -319,14 +322,14 @@
             }
         }
         cascades.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut scored: Vec<(usize, usize, Scored)> = Vec::new();
+        let mut scored: Vec<(usize, usize, ScoredPlan)> = Vec::new();
         for (cost, first, then, combined) in cascades {
             let plan = Plan::Cascade {
                 first: input.candidates[first].version.clone(),
                 then: input.candidates[then].version.clone(),
             };
-            let plan = Scored::new(plan, cost, combined, quality_target(input.target));
-            let meets = plan.meets;
+            let plan = ScoredPlan::new(plan, cost, combined, quality_target(input.target));
+            let meets = plan.meets_target;
             if meets || plan.confidence >= MIN_TRIAL_CONFIDENCE {
                 scored.push((first, then, plan));
             }
@@ -346,7 +349,7 @@
         self.cfg.cascades
             && input.class.cascade
             && input.class.idempotent
-            && input.rater_answers
+            && input.rater_available
             && !quality.rater_distrusted()
     }
 
@@ -376,15 +379,16 @@
         &self,
         quality: &Quality,
         input: &PlanInput<'_>,
-        scored: &[Scored],
+        scored: &[ScoredPlan],
     ) -> Option<(usize, Reason)> {
         if let Some(index) = self.rollout_candidate(quality, scored) {
             return Some((index, Reason::Trial));
         }
-        let (index, reason) = match min_by(scored, |s| s.meets && s.fits, |s| s.cost) {
-            Some(index) => (index, Reason::Cheapest),
-            None => (most_likely(scored)?, Reason::BestAvailable),
-        };
+        let (index, reason) =
+            match min_by(scored, |s| s.meets_target && s.fits_deadline, |s| s.cost) {
+                Some(index) => (index, Reason::Cheapest),
+                None => (most_likely(scored)?, Reason::BestAvailable),
+            };
         if let Some(index) = self.trial_candidate(input, scored, scored[index].cost) {
             return Some((index, Reason::Trial));
         }
@@ -395,12 +399,12 @@
     ///
     /// Exposure permits it for its share of requests only. If it were selected
     /// by cost it might never be used, and its roll-out would not progress.
-    fn rollout_candidate(&self, quality: &Quality, scored: &[Scored]) -> Option<usize> {
-        if self.cfg.explore <= 0.0 {
+    fn rollout_candidate(&self, quality: &Quality, scored: &[ScoredPlan]) -> Option<usize> {
+        if self.cfg.trial_share <= 0.0 {
             return None;
         }
         scored.iter().position(|s| match &s.plan {
-            Plan::Single(version) => s.fits && quality.wants_evidence(version),
+            Plan::Single(version) => s.fits_deadline && quality.needs_evidence(version),
             Plan::Cascade { .. } => false,
         })
     }
@@ -416,18 +420,22 @@
     fn trial_candidate(
         &self,
         input: &PlanInput<'_>,
-        scored: &[Scored],
+        scored: &[ScoredPlan],
         cost: f64,
     ) -> Option<usize> {
-        if !input.rater_answers {
+        if !input.rater_available {
             return None;
         }
-        let tried = |s: &Scored| input.draw < self.cfg.explore * s.confidence;
-        min_by(scored, |s| s.fits && s.cost < cost && tried(s), |s| s.cost)
+        let tried = |s: &ScoredPlan| input.draw < self.cfg.trial_share * s.confidence;
+        min_by(
+            scored,
+            |s| s.fits_deadline && s.cost < cost && tried(s),
+            |s| s.cost,
+        )
     }
 }
 
-impl Scored {
+impl ScoredPlan {
     fn new(plan: Plan, cost: f64, moments: Moments, (target, min_confidence): (f64, f64)) -> Self {
         let confidence = confidence(moments, target);
         Self {
@@ -435,8 +443,8 @@
             cost,
             quality: moments.mean,
             confidence,
-            fits: true,
-            meets: confidence >= min_confidence,
+            fits_deadline: true,
+            meets_target: confidence >= min_confidence,
         }
     }
 
@@ -466,17 +474,17 @@
 
 /// Returns the index of the plan that is most likely to meet the target. Ties,
 /// such as among plans with zero confidence, are broken by quality.
-fn most_likely(scored: &[Scored]) -> Option<usize> {
-    let key = |s: &Scored| -(s.confidence + s.quality / 1000.0);
-    min_by(scored, |s| s.fits, key).or_else(|| min_by(scored, |_| true, key))
+fn most_likely(scored: &[ScoredPlan]) -> Option<usize> {
+    let key = |s: &ScoredPlan| -(s.confidence + s.quality / 1000.0);
+    min_by(scored, |s| s.fits_deadline, key).or_else(|| min_by(scored, |_| true, key))
 }
 
 /// Returns the index of the first plan with the smallest key among those that
 /// pass the filter.
 fn min_by(
-    scored: &[Scored],
-    keep: impl Fn(&Scored) -> bool,
-    key: impl Fn(&Scored) -> f64,
+    scored: &[ScoredPlan],
+    keep: impl Fn(&ScoredPlan) -> bool,
+    key: impl Fn(&ScoredPlan) -> f64,
 ) -> Option<usize> {
     (0..scored.len())
         .filter(|&index| keep(&scored[index]))
--- a/sesamebeam_core/src/policy/quality.rs
+++ b/sesamebeam_core/src/policy/quality.rs
@@ -64,7 +64,7 @@
     /// used.
     pub learn: bool,
     /// Whether a faulty rating service is detected.
-    pub judge_rater: bool,
+    pub detect_rater_fault: bool,
     /// Half-life of the evidence.
     pub half_life: Duration,
     /// Maximum weight of the evidence in a class, in ratings. Older ratings
@@ -88,7 +88,7 @@
     fn default() -> Self {
         Self {
             learn: true,
-            judge_rater: true,
+            detect_rater_fault: true,
             half_life: Duration::from_secs(3600),
             max_evidence: 400.0,
             prior_weight: 4.0,
@@ -102,7 +102,7 @@
 
 /// Outcome of a rating.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rated {
+pub enum RatingOutcome {
     /// The estimates were updated.
     Counted {
         /// Whether the answer was good.
@@ -110,7 +110,7 @@
         /// Whether the answer was the second of a cascade. Such requests are
         /// hard ones, so the rating does not reflect the version's usual
         /// quality.
-        redo: bool,
+        escalated: bool,
     },
     /// The rating was ignored.
     Ignored(Ignored),
@@ -163,7 +163,7 @@
 struct PendingRating {
     class: ClassId,
     version: VersionId,
-    redo: bool,
+    escalated: bool,
     at: MonoTime,
 }
 
@@ -241,7 +241,7 @@
     }
 
     /// Registers an answer that is sent for rating.
-    pub fn sampled(
+    pub fn await_rating(
         &mut self,
         now: MonoTime,
         request: RequestId,
@@ -255,7 +255,7 @@
     ///
     /// Its rating is kept separate: cascades pass on only hard requests, and
     /// their ratings would lower the estimate of the stronger version.
-    pub fn sampled_redo(
+    pub fn await_escalated_rating(
         &mut self,
         now: MonoTime,
         request: RequestId,
@@ -271,7 +271,7 @@
         request: RequestId,
         class: &ClassId,
         version: &VersionId,
-        redo: bool,
+        escalated: bool,
     ) {
         while self.pending_order.len() >= MAX_PENDING {
             if let Some(oldest) = self.pending_order.pop_front() {
@@ -281,7 +281,7 @@
         let pending = PendingRating {
             class: class.clone(),
             version: version.clone(),
-            redo,
+            escalated,
             at: now,
         };
         self.pending.insert(request, pending);
@@ -289,15 +289,15 @@
     }
 
     /// Applies a rating, or counts why it is ignored.
-    pub fn rate(&mut self, now: MonoTime, rating: &Rating) -> Rated {
+    pub fn rate(&mut self, now: MonoTime, rating: &Rating) -> RatingOutcome {
         let rated = self.check_and_learn(now, rating);
         match rated {
-            Rated::Counted { .. } => self.counts.counted += 1,
-            Rated::Ignored(Ignored::OutOfRange) => self.counts.out_of_range += 1,
-            Rated::Ignored(Ignored::Unknown) => self.counts.unknown += 1,
-            Rated::Ignored(Ignored::Mismatch) => self.counts.mismatch += 1,
-            Rated::Ignored(Ignored::Future) => self.counts.future += 1,
-            Rated::Ignored(Ignored::Distrusted) => self.counts.distrusted += 1,
+            RatingOutcome::Counted { .. } => self.counts.counted += 1,
+            RatingOutcome::Ignored(Ignored::OutOfRange) => self.counts.out_of_range += 1,
+            RatingOutcome::Ignored(Ignored::Unknown) => self.counts.unknown += 1,
+            RatingOutcome::Ignored(Ignored::Mismatch) => self.counts.mismatch += 1,
+            RatingOutcome::Ignored(Ignored::Future) => self.counts.future += 1,
+            RatingOutcome::Ignored(Ignored::Distrusted) => self.counts.distrusted += 1,
         }
         rated
     }
@@ -310,19 +310,19 @@
         class: &ClassId,
         version: &VersionId,
         score: f64,
-    ) -> Rated {
+    ) -> RatingOutcome {
         if !(0.0..=1.0).contains(&score) {
             self.counts.out_of_range += 1;
-            return Rated::Ignored(Ignored::OutOfRange);
+            return RatingOutcome::Ignored(Ignored::OutOfRange);
         }
         if !self.priors.contains_key(version) {
             self.counts.unknown += 1;
-            return Rated::Ignored(Ignored::Unknown);
+            return RatingOutcome::Ignored(Ignored::Unknown);
         }
         let rated = self.learn(now, class, version, score, false);
         match rated {
-            Rated::Counted { .. } => self.counts.counted += 1,
-            Rated::Ignored(_) => self.counts.distrusted += 1,
+            RatingOutcome::Counted { .. } => self.counts.counted += 1,
+            RatingOutcome::Ignored(_) => self.counts.distrusted += 1,
         }
         rated
     }
@@ -358,7 +358,7 @@
 
     /// Returns the probability that at least a share of `target` of the answers
     /// are good.
-    pub fn confidence_met(&self, class: &str, version: &str, target: f64) -> f64 {
+    pub fn confidence(&self, class: &str, version: &str, target: f64) -> f64 {
         let posterior = self.posterior(class, version);
         share_above(posterior.good, posterior.bad, target)
     }
@@ -377,7 +377,7 @@
     /// Returns the mean and variance of the share of good answers to requests
     /// whose first answer in a cascade was bad. Without evidence, the mean is
     /// the usual quality times `hard_factor`.
-    pub fn moments_redo(&self, class: &str, version: &str, hard_factor: f64) -> Moments {
+    pub fn escalated_moments(&self, class: &str, version: &str, hard_factor: f64) -> Moments {
         let usual = self.moments(class, version).mean * hard_factor;
         let weight = self.cfg.prior_weight;
         let seen = self
@@ -410,7 +410,7 @@
 
     /// Returns the weight of the evidence from second answers of cascades, in
     /// ratings.
-    pub fn evidence_redo(&self, class: &str, version: &str) -> f64 {
+    pub fn escalated_evidence(&self, class: &str, version: &str) -> f64 {
         let counts = self
             .escalated_evidence
             .get(version)
@@ -420,7 +420,7 @@
 
     /// Returns whether a version is rolling out and has too little evidence,
     /// over all classes, to be compared with others.
-    pub fn wants_evidence(&self, version: &str) -> bool {
+    pub fn needs_evidence(&self, version: &str) -> bool {
         if !self.rolling.contains(version) {
             return false;
         }
@@ -446,22 +446,22 @@
         self.generation
     }
 
-    fn check_and_learn(&mut self, now: MonoTime, rating: &Rating) -> Rated {
+    fn check_and_learn(&mut self, now: MonoTime, rating: &Rating) -> RatingOutcome {
         if !(0.0..=1.0).contains(&rating.score) {
-            return Rated::Ignored(Ignored::OutOfRange);
+            return RatingOutcome::Ignored(Ignored::OutOfRange);
         }
         let Some(pending) = self.pending.get(&rating.request) else {
-            return Rated::Ignored(Ignored::Unknown);
+            return RatingOutcome::Ignored(Ignored::Unknown);
         };
         if pending.class != rating.class || pending.version != rating.version {
-            return Rated::Ignored(Ignored::Mismatch);
+            return RatingOutcome::Ignored(Ignored::Mismatch);
         }
         if pending.at > now || rating.age > now.saturating_sub(pending.at) + CLOCK_SLACK {
-            return Rated::Ignored(Ignored::Future);
+            return RatingOutcome::Ignored(Ignored::Future);
         }
-        let redo = pending.redo;
+        let escalated = pending.escalated;
         self.pending.swap_remove(&rating.request);
-        self.learn(now, &rating.class, &rating.version, rating.score, redo)
+        self.learn(now, &rating.class, &rating.version, rating.score, escalated)
     }
 
     fn learn(
@@ -470,23 +470,23 @@
         class: &ClassId,
         version: &VersionId,
         score: f64,
-        redo: bool,
-    ) -> Rated {
+        escalated: bool,
+    ) -> RatingOutcome {
         let good = score >= self.cfg.good_score;
-        if !redo {
+        if !escalated {
             self.detect_rater_fault(now, class, version, good);
         }
         if self.distrust_until.is_some() {
-            return Rated::Ignored(Ignored::Distrusted);
+            return RatingOutcome::Ignored(Ignored::Distrusted);
         }
         if self.cfg.learn {
-            self.add(class, version, good, redo);
+            self.add(class, version, good, escalated);
         }
-        Rated::Counted { good, redo }
+        RatingOutcome::Counted { good, escalated }
     }
 
-    fn add(&mut self, class: &ClassId, version: &VersionId, good: bool, redo: bool) {
-        let evidence = if redo {
+    fn add(&mut self, class: &ClassId, version: &VersionId, good: bool, escalated: bool) {
+        let evidence = if escalated {
             &mut self.escalated_evidence
         } else {
             &mut self.usual_evidence
@@ -520,7 +520,7 @@
         version: &VersionId,
         good: bool,
     ) {
-        if !self.cfg.judge_rater {
+        if !self.cfg.detect_rater_fault {
             return;
         }
         let expected = self.expected(class, version);
--- a/sesamebeam_core/src/policy/retry.rs
+++ b/sesamebeam_core/src/policy/retry.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryConfig {
     /// Whether the retry budget is enforced.
-    pub bounded: bool,
+    pub enforce_budget: bool,
     /// Retries added to the budget by each first attempt.
     pub retries_per_request: f64,
     /// Largest budget that an organisation can accumulate. Also limits the
@@ -41,7 +41,7 @@
 impl Default for RetryConfig {
     fn default() -> Self {
         Self {
-            bounded: true,
+            enforce_budget: true,
             retries_per_request: 0.05,
             max_budget: 5.0,
             max_total_budget: 8.0,
@@ -81,7 +81,7 @@
 
     /// Withdraws one retry, if the budget allows it.
     pub fn try_retry(&mut self, org: &OrgId) -> bool {
-        if !self.cfg.bounded {
+        if !self.cfg.enforce_budget {
             return true;
         }
         let remaining = self.remaining.entry(org.clone()).or_insert(1.0);
--- a/sesamebeam_core/src/policy/servers.rs
+++ b/sesamebeam_core/src/policy/servers.rs
@@ -47,7 +47,7 @@
     pub lease: Duration,
     /// Whether the simultaneous silence of many backend servers is treated as a
     /// network partition.
-    pub see_cuts: bool,
+    pub detect_partitions: bool,
     /// Share of a failure domain's backend servers that must be silent for a
     /// partition to be assumed.
     pub partition_share: f64,
@@ -66,7 +66,7 @@
     fn default() -> Self {
         Self {
             lease: Duration::from_secs(6),
-            see_cuts: true,
+            detect_partitions: true,
             partition_share: 0.5,
             partition_min_servers: 3,
             unreachable_retention: Duration::from_secs(2 * 3600),
@@ -82,7 +82,7 @@
     /// A backend server that was unknown or had expired.
     New,
     /// A backend server behind a partition became reachable again.
-    Back,
+    Reconnected,
     /// A known backend server with a new incarnation. Requests that ran in the
     /// old one are lost.
     Restarted {
@@ -96,7 +96,7 @@
     /// Only the load and the lease were updated.
     Refreshed,
     /// The announcement is older than the last known one and was ignored.
-    Old,
+    Stale,
     /// The announcement is invalid and was ignored.
     Ignored(Fault),
 }
@@ -104,10 +104,14 @@
 impl Announced {
     /// Returns whether the announcement is passed on to other entries of the
     /// failure domain.
-    pub fn spreads(self) -> bool {
+    pub fn should_propagate(self) -> bool {
         match self {
-            Self::New | Self::Back | Self::Restarted { .. } | Self::Changed | Self::Leaving => true,
-            Self::Refreshed | Self::Old | Self::Ignored(_) => false,
+            Self::New
+            | Self::Reconnected
+            | Self::Restarted { .. }
+            | Self::Changed
+            | Self::Leaving => true,
+            Self::Refreshed | Self::Stale | Self::Ignored(_) => false,
         }
     }
 }
@@ -129,9 +133,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnouncementCounts {
     /// Accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Older than the last known one.
-    pub old: u64,
+    pub stale: u64,
     /// Unknown failure domain.
     pub domain: u64,
     /// Unknown pool.
@@ -148,11 +152,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerEvent {
     /// The lease of a backend server ended.
-    Out(ServerAddr),
+    Expired(ServerAddr),
     /// A backend server is behind a partition: it is kept but not selected.
     Unreachable(ServerAddr),
     /// Many backend servers of a failure domain fell silent together.
-    Cut(DomainId),
+    Partitioned(DomainId),
 }
 
 /// Reachability of a backend server.
@@ -238,14 +242,14 @@
             None => self.apply(now, announcement),
         };
         match announced {
-            Announced::Old => self.counts.old += 1,
+            Announced::Stale => self.counts.stale += 1,
             Announced::Ignored(Fault::Domain) => self.counts.domain += 1,
             Announced::Ignored(Fault::Pool) => self.counts.pool += 1,
             Announced::Ignored(Fault::Incarnation) => self.counts.incarnation += 1,
             Announced::Ignored(Fault::TooMany) => self.counts.too_many += 1,
-            _ => self.counts.taken += 1,
+            _ => self.counts.accepted += 1,
         }
-        if announced.spreads() {
+        if announced.should_propagate() {
             self.pending_deltas.insert(announcement.addr);
         }
         announced
@@ -256,7 +260,7 @@
     /// Announcements and requests use different network paths. If only the path
     /// of announcements fails, backend servers that still answer must not
     /// expire.
-    pub fn heard(&mut self, now: MonoTime, addr: ServerAddr) {
+    pub fn renew_lease(&mut self, now: MonoTime, addr: ServerAddr) {
         if let Some(member) = self.members.get_mut(&addr) {
             member.last_contact = member.last_contact.max(now);
         }
@@ -278,7 +282,7 @@
         for addr in &silent {
             let domain = self.members[addr].last.domain.clone();
             if !partitioned.contains(&domain) && self.is_partitioned(now, &domain) {
-                events.push(ServerEvent::Cut(domain.clone()));
+                events.push(ServerEvent::Partitioned(domain.clone()));
                 partitioned.insert(domain);
             }
         }
@@ -289,7 +293,7 @@
                 events.push(ServerEvent::Unreachable(addr));
             } else {
                 self.expire(addr);
-                events.push(ServerEvent::Out(addr));
+                events.push(ServerEvent::Expired(addr));
             }
         }
         self.expire_unreachable(now, &mut events);
@@ -303,7 +307,7 @@
     }
 
     /// Returns the last announcements of all reachable members.
-    pub fn all(&self) -> impl Iterator<Item = &Announcement> {
+    pub fn reachable(&self) -> impl Iterator<Item = &Announcement> {
         self.members
             .values()
             .filter(|member| member.reachability == Reachability::Reachable)
@@ -324,7 +328,7 @@
     /// is stable across restarts and even over the entries.
     pub fn subset(&self, entry: &InstanceId, pool: &str) -> Vec<ServerAddr> {
         let mut ranked: Vec<(u64, ServerAddr)> = self
-            .all()
+            .reachable()
             .filter(|server| server.pool == pool)
             .map(|server| {
                 let name = smol_str::format_smolstr!("{}", server.addr);
@@ -364,10 +368,10 @@
         let last = &member.last;
         let new_incarnation = announcement.incarnation != last.incarnation;
         if new_incarnation && self.has_ended(addr, announcement.incarnation) {
-            return Announced::Old;
+            return Announced::Stale;
         }
         if !new_incarnation && announcement.seq <= last.seq {
-            return Announced::Old;
+            return Announced::Stale;
         }
         let old = last.incarnation;
         let was_leaving = last.leaving && !new_incarnation;
@@ -378,7 +382,7 @@
         let was_unreachable = member.reachability == Reachability::Unreachable;
         let announced = match () {
             () if new_incarnation => Announced::Restarted { old },
-            () if was_unreachable => Announced::Back,
+            () if was_unreachable => Announced::Reconnected,
             () if updated.leaving && !was_leaving => Announced::Leaving,
             () if unchanged => Announced::Refreshed,
             () => Announced::Changed,
@@ -401,7 +405,7 @@
             && *incarnation == announcement.incarnation
             && announcement.seq <= *seq
         {
-            return Announced::Old;
+            return Announced::Stale;
         }
         let last = self.sanitized(announcement, false);
         let member = Member {
@@ -445,7 +449,7 @@
     /// overdue by half a lease count as silent too. Otherwise the first whose
     /// lease ends would look like a single failure.
     fn is_partitioned(&self, now: MonoTime, domain: &str) -> bool {
-        if !self.cfg.see_cuts {
+        if !self.cfg.detect_partitions {
             return false;
         }
         let staying = || {
@@ -476,7 +480,7 @@
             .collect();
         for addr in expired {
             self.expire(addr);
-            events.push(ServerEvent::Out(addr));
+            events.push(ServerEvent::Expired(addr));
         }
     }
 
--- a/sesamebeam_core/src/policy/suspects.rs
+++ b/sesamebeam_core/src/policy/suspects.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct SuspectsConfig {
     /// Whether crashes are attributed to requests.
-    pub trace: bool,
+    pub attribute_crashes: bool,
     /// Whether suspects run isolated from each other.
     pub isolate: bool,
     /// Number of crashes after which this entry quarantines a fingerprint. The
@@ -54,7 +54,7 @@
 impl Default for SuspectsConfig {
     fn default() -> Self {
         Self {
-            trace: true,
+            attribute_crashes: true,
             isolate: true,
             crashes_to_quarantine: 2,
             suspicion_ttl: Duration::from_secs(3600),
@@ -68,7 +68,7 @@
 
 /// Whether a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum SuspectStatus {
     /// The request is not suspected.
     Clear,
     /// The request was in flight during a crash and must be isolated from other
@@ -122,7 +122,7 @@
     }
 
     /// Adds suspects reported by another entry of the failure domain.
-    pub fn alarm(&mut self, now: MonoTime, fingerprints: impl IntoIterator<Item = Digest>) {
+    pub fn add_suspects(&mut self, now: MonoTime, fingerprints: impl IntoIterator<Item = Digest>) {
         for fingerprint in fingerprints {
             if !self.completed.contains(&fingerprint) {
                 self.add_suspicion(now, fingerprint, 1);
@@ -131,21 +131,21 @@
     }
 
     /// Returns whether a request may run.
-    pub fn standing(&self, fingerprint: Digest) -> Standing {
+    pub fn status(&self, fingerprint: Digest) -> SuspectStatus {
         if self.fleet_quarantine.contains(&fingerprint)
             || self.local_quarantine.contains(&fingerprint)
         {
-            Standing::Quarantined
+            SuspectStatus::Quarantined
         } else if self.suspects.contains_key(&fingerprint) {
-            Standing::Suspect
+            SuspectStatus::Suspect
         } else {
-            Standing::Clear
+            SuspectStatus::Clear
         }
     }
 
     /// Returns the backend servers on which a suspect must not run now because
     /// another suspect is running there.
-    pub fn occupied(&self, fingerprint: Digest) -> Vec<ServerLife> {
+    pub fn occupied_servers(&self, fingerprint: Digest) -> Vec<ServerLife> {
         if !self.cfg.isolate || !self.suspects.contains_key(&fingerprint) {
             return Vec::new();
         }
@@ -186,13 +186,13 @@
     ///
     /// Only confirmed crashes may be passed (a new incarnation, a refused
     /// connection), because silence may be caused by a network partition.
-    pub fn died(
+    pub fn record_crash(
         &mut self,
         now: MonoTime,
         server: ServerLife,
         in_flight: &[Digest],
     ) -> Option<CrashReport> {
-        if !self.cfg.trace {
+        if !self.cfg.attribute_crashes {
             return None;
         }
         for suspicion in self.suspects.values_mut() {
--- a/sesamebeam_core/tests/policy/admission.rs
+++ b/sesamebeam_core/tests/policy/admission.rs
@@ -11,8 +11,8 @@
     policy::admission::{
         Admission,
         AdmissionConfig,
-        Offered,
-        Ticket, //
+        AdmissionOutcome,
+        AdmissionRequest, //
     },
 };
 
@@ -28,14 +28,19 @@
     admission
 }
 
-fn ticket(request: RequestId, org: &str, priority: Priority, deadline: u64) -> Ticket {
-    Ticket {
+fn admission_request(
+    request: RequestId,
+    org: &str,
+    priority: Priority,
+    deadline: u64,
+) -> AdmissionRequest {
+    AdmissionRequest {
         request,
         org: org.into(),
         pool: "pool".into(),
         priority,
         deadline: secs(deadline),
-        takes: secs(1),
+        expected_duration: secs(1),
     }
 }
 
@@ -68,7 +73,7 @@
         (4, Priority::Urgent),
     ];
     for (request, priority) in offers {
-        admission.offer(secs(0), ticket(request, "large", priority, 600));
+        admission.submit(secs(0), admission_request(request, "large", priority, 600));
     }
     assert_eq!(drain(&mut admission, secs(0), vec![1]), [4, 3, 2]);
 }
@@ -76,18 +81,23 @@
 #[test]
 fn kept_slots() {
     let mut admission = admission(10);
-    let normal: Vec<Offered> = (0..10)
-        .map(|n| admission.offer(secs(0), ticket(n, "large", Priority::Normal, 600)))
+    let normal: Vec<AdmissionOutcome> = (0..10)
+        .map(|n| {
+            admission.submit(
+                secs(0),
+                admission_request(n, "large", Priority::Normal, 600),
+            )
+        })
         .collect();
     assert_eq!(
         normal
             .iter()
-            .filter(|offered| **offered == Offered::Run)
+            .filter(|outcome| **outcome == AdmissionOutcome::Run)
             .count(),
         9
     );
-    let urgent = ticket(99, "small", Priority::Urgent, 600);
-    assert_eq!(admission.offer(secs(0), urgent), Offered::Run);
+    let urgent = admission_request(99, "small", Priority::Urgent, 600);
+    assert_eq!(admission.submit(secs(0), urgent), AdmissionOutcome::Run);
 }
 
 #[test]
@@ -97,10 +107,16 @@
     // for the end of the queue.
     let mut admission = admission(1);
     for n in 0..100 {
-        admission.offer(secs(0), ticket(n, "large", Priority::Normal, 6000));
+        admission.submit(
+            secs(0),
+            admission_request(n, "large", Priority::Normal, 6000),
+        );
     }
     for n in 1000..1010 {
-        admission.offer(secs(0), ticket(n, "small", Priority::Normal, 6000));
+        admission.submit(
+            secs(0),
+            admission_request(n, "small", Priority::Normal, 6000),
+        );
     }
     let order = drain(&mut admission, secs(0), vec![0]);
     let small = order[..21]
@@ -114,11 +130,14 @@
 fn refused_at_once() {
     let mut admission = admission(1);
     for n in 0..20 {
-        admission.offer(secs(0), ticket(n, "large", Priority::Normal, 600));
+        admission.submit(
+            secs(0),
+            admission_request(n, "large", Priority::Normal, 600),
+        );
     }
-    let offered = admission.offer(secs(0), ticket(50, "large", Priority::Normal, 5));
-    let Offered::Refused { retry_after } = offered else {
-        panic!("{offered:?}");
+    let outcome = admission.submit(secs(0), admission_request(50, "large", Priority::Normal, 5));
+    let AdmissionOutcome::Refused { retry_after } = outcome else {
+        panic!("{outcome:?}");
     };
     assert!(
         retry_after >= secs(10) && retry_after <= secs(40),
@@ -129,13 +148,13 @@
 #[test]
 fn impossible_refused() {
     let mut admission = admission(4);
-    let late = Ticket {
-        takes: secs(10),
-        ..ticket(1, "large", Priority::Urgent, 5)
+    let late = AdmissionRequest {
+        expected_duration: secs(10),
+        ..admission_request(1, "large", Priority::Urgent, 5)
     };
     assert!(matches!(
-        admission.offer(secs(0), late),
-        Offered::Refused { .. }
+        admission.submit(secs(0), late),
+        AdmissionOutcome::Refused { .. }
     ));
 }
 
@@ -145,16 +164,19 @@
     // must expire as soon as it can no longer meet its deadline, not at the
     // deadline.
     let mut admission = admission(1);
-    admission.offer(secs(0), ticket(1, "large", Priority::Normal, 600));
+    admission.submit(
+        secs(0),
+        admission_request(1, "large", Priority::Normal, 600),
+    );
     assert_eq!(
-        admission.offer(secs(0), ticket(2, "large", Priority::Normal, 10)),
-        Offered::Queued
+        admission.submit(secs(0), admission_request(2, "large", Priority::Normal, 10)),
+        AdmissionOutcome::Queued
     );
     assert_eq!(admission.next_expiry(), Some(secs(9)));
     assert!(admission.expired(secs(9)).is_empty());
-    let given_up = admission.expired(secs(9) + Duration::from_millis(1));
-    assert_eq!(given_up.iter().map(|g| g.request).collect::<Vec<_>>(), [2]);
-    assert_eq!(admission.waiting("pool"), 0);
+    let expired = admission.expired(secs(9) + Duration::from_millis(1));
+    assert_eq!(expired.iter().map(|g| g.request).collect::<Vec<_>>(), [2]);
+    assert_eq!(admission.queued("pool"), 0);
 }
 
 #[test]
@@ -163,14 +185,20 @@
     // of normal requests, a deferrable one must start before its latest start
     // time.
     let mut admission = admission(1);
-    admission.offer(secs(0), ticket(1, "large", Priority::Normal, 6000));
-    admission.offer(secs(0), ticket(2, "small", Priority::Deferrable, 20));
+    admission.submit(
+        secs(0),
+        admission_request(1, "large", Priority::Normal, 6000),
+    );
+    admission.submit(
+        secs(0),
+        admission_request(2, "small", Priority::Deferrable, 20),
+    );
     let mut running = 1;
     let mut started_at = None;
     for second in 1..20 {
-        admission.offer(
+        admission.submit(
             secs(second),
-            ticket(100 + u128::from(second), "large", Priority::Normal, 6000),
+            admission_request(100 + u128::from(second), "large", Priority::Normal, 6000),
         );
         admission.finished("pool", running, secs(1));
         running = admission.next(secs(second))[0];
@@ -188,18 +216,29 @@
 fn bounded_queue() {
     let mut admission = admission(1);
     let refused = (0..5000)
-        .map(|n| admission.offer(secs(0), ticket(n, "large", Priority::Deferrable, 100_000)))
-        .filter(|offered| matches!(offered, Offered::Refused { .. }))
+        .map(|n| {
+            admission.submit(
+                secs(0),
+                admission_request(n, "large", Priority::Deferrable, 100_000),
+            )
+        })
+        .filter(|outcome| matches!(outcome, AdmissionOutcome::Refused { .. }))
         .count();
-    assert_eq!(admission.waiting("pool"), 1024);
+    assert_eq!(admission.queued("pool"), 1024);
     assert_eq!(refused, 5000 - 1 - 1024);
 }
 
 #[test]
 fn caller_left() {
     let mut admission = admission(1);
-    admission.offer(secs(0), ticket(1, "large", Priority::Normal, 600));
-    admission.offer(secs(0), ticket(2, "large", Priority::Normal, 600));
+    admission.submit(
+        secs(0),
+        admission_request(1, "large", Priority::Normal, 600),
+    );
+    admission.submit(
+        secs(0),
+        admission_request(2, "large", Priority::Normal, 600),
+    );
     assert!(admission.cancel("pool", 2));
     assert!(!admission.cancel("pool", 2));
     assert!(drain(&mut admission, secs(0), vec![1]).is_empty());
--- a/sesamebeam_core/tests/policy/bad_input.rs
+++ b/sesamebeam_core/tests/policy/bad_input.rs
@@ -29,7 +29,7 @@
         quality::{
             Quality,
             QualityConfig,
-            Rated, //
+            RatingOutcome, //
         },
         servers::{
             Announced,
@@ -103,7 +103,7 @@
         for (second, announcement) in sent.iter().enumerate() {
             let now = secs(second as u64);
             let announced = servers.announce(now, announcement);
-            if !matches!(announced, Announced::Old | Announced::Ignored(_))
+            if !matches!(announced, Announced::Stale | Announced::Ignored(_))
                 && let Some(taken) = servers.get(announcement.addr)
             {
                 balance.upsert(now, taken);
@@ -116,16 +116,16 @@
                 max_tokens: u32::MAX,
                 priority: Priority::Urgent,
                 exclude: &[],
-                alone: false,
+                isolated: false,
             };
             if let Some(pick) = balance.pick(now, &input) {
                 balance.started(pick.server.addr, Some(1), false);
-                prop_assert!(balance.takes_work(now, pick.server));
+                prop_assert!(balance.accepts_requests(now, pick.server));
             }
-            prop_assert!(servers.all().all(|s| s.domain != "ghost" && s.pool != "ghost"));
+            prop_assert!(servers.reachable().all(|s| s.domain != "ghost" && s.pool != "ghost"));
         }
         let counts = servers.counts();
-        let seen = counts.taken + counts.old + counts.domain + counts.pool + counts.incarnation;
+        let seen = counts.accepted + counts.stale + counts.domain + counts.pool + counts.incarnation;
         prop_assert_eq!(seen, sent.len() as u64);
     }
 
@@ -136,14 +136,14 @@
         let mut exposure = Exposure::new(ExposureConfig::default());
         exposure.configure(&fleet());
         for request in 0..10 {
-            quality.sampled(secs(1), request, &"ask".into(), &"beam@mid".into());
+            quality.await_rating(secs(1), request, &"ask".into(), &"beam@mid".into());
         }
         for rating in &sent {
-            if let Rated::Counted { good, .. } = quality.rate(secs(2), rating) {
+            if let RatingOutcome::Counted { good, .. } = quality.rate(secs(2), rating) {
                 let seen = Observation::Rated { good };
                 exposure.observe(secs(2), &rating.version, &rating.class, seen, &quality);
             }
-            let confidence = quality.confidence_met("ask", &rating.version, rating.score);
+            let confidence = quality.confidence("ask", &rating.version, rating.score);
             prop_assert!((0.0..=1.0).contains(&confidence));
         }
         let counts = quality.counts();
@@ -156,7 +156,7 @@
         balance.configure(&fleet());
         balance.upsert(secs(0), &announcement(0, 1));
         for load in sent {
-            balance.load(secs(1), addr(0), load);
+            balance.apply_load(secs(1), addr(0), load);
             prop_assert!(balance.capacity(secs(2), "pool") <= 4);
         }
     }
--- a/sesamebeam_core/tests/policy/balance.rs
+++ b/sesamebeam_core/tests/policy/balance.rs
@@ -37,7 +37,7 @@
     max_tokens: 100,
     priority: Priority::Normal,
     exclude: &[],
-    alone: false,
+    isolated: false,
 };
 
 fn balance(near: u16, far: u16) -> Balance {
@@ -123,11 +123,11 @@
         held: false,
     }];
     balance.upsert(secs(2), &server);
-    let looked = balance
+    let considered = balance
         .pick(secs(60), &input)
         .expect("there is room")
-        .looked;
-    assert!(looked.iter().all(|looked| !looked.cached));
+        .considered;
+    assert!(considered.iter().all(|considered| !considered.cached));
 }
 
 #[test]
@@ -136,16 +136,16 @@
     // since. If they were counted as load from other entries, the backend
     // server would look full.
     let mut balance = balance(1, 0);
-    balance.load(secs(10), addr(0), Load::default());
+    balance.apply_load(secs(10), addr(0), Load::default());
     (0..4).for_each(|_| balance.started(addr(0), None, false));
-    balance.load(secs(12), addr(0), Load::default());
+    balance.apply_load(secs(12), addr(0), Load::default());
     (0..4).for_each(|_| balance.finished(addr(0), false, None));
     let load = Load {
         running: 4,
         age_ms: 1000,
         ..Load::default()
     };
-    balance.load(secs(12), addr(0), load);
+    balance.apply_load(secs(12), addr(0), load);
     assert_eq!(balance.capacity(secs(12), "pool"), 4);
 }
 
@@ -172,7 +172,7 @@
     let mut server = announcement(0, 2);
     server.leaving = true;
     balance.upsert(secs(1), &server);
-    assert!(!balance.takes_work(secs(1), life(0)));
+    assert!(!balance.accepts_requests(secs(1), life(0)));
     assert!((0..20).all(|_| pick(&mut balance, &INPUT) == Some(addr(1))));
 }
 
@@ -187,16 +187,16 @@
     balance.pause(secs(61), life(0), pause(1));
     balance.pause(secs(61), life(0), None);
     balance.answered(addr(0));
-    assert!(!balance.takes_work(secs(62), life(0)));
+    assert!(!balance.accepts_requests(secs(62), life(0)));
     assert!((0..20).all(|_| pick(&mut balance, &INPUT) == Some(addr(1))));
-    assert_eq!(balance.pause_of_all(secs(60), INPUT.route), None);
+    assert_eq!(balance.route_pause(secs(60), INPUT.route), None);
     balance.pause(secs(60), life(1), pause(2));
     assert_eq!(pick(&mut balance, &INPUT), None);
-    let first = balance.pause_of_all(secs(60), INPUT.route);
+    let first = balance.route_pause(secs(60), INPUT.route);
     assert_eq!(first.map(RequestedPause::until), Some(secs(62)));
     assert_eq!(balance.capacity(secs(61), "pool"), 0);
-    assert!(balance.takes_work(secs(62), life(1)));
-    assert!(balance.takes_work(secs(63), life(0)));
+    assert!(balance.accepts_requests(secs(62), life(1)));
+    assert!(balance.accepts_requests(secs(63), life(0)));
     let mut reborn = announcement(0, 2);
     reborn.incarnation += 1;
     balance.upsert(secs(60), &reborn);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn suspect_alone() {
+fn isolated_suspect() {
     let mut balance = balance(2, 0);
     balance.started(addr(0), None, true);
     assert!((0..10).all(|_| pick(&mut balance, &INPUT) == Some(addr(1))));
@@ -235,7 +235,10 @@
         kv_used,
         age_ms,
     };
-    balance.load(secs(5), addr(0), load);
-    assert_eq!((balance.counts().absurd, balance.counts().stale), counted);
+    balance.apply_load(secs(5), addr(0), load);
+    assert_eq!(
+        (balance.counts().out_of_range, balance.counts().stale),
+        counted
+    );
     assert_eq!(balance.capacity(secs(5), "pool"), 4);
 }
--- a/sesamebeam_core/tests/policy/burn.rs
+++ b/sesamebeam_core/tests/policy/burn.rs
@@ -1,7 +1,7 @@
 //! Tests of the burn rates of objectives.
 
 use sesamebeam_core::policy::burn::{
-    Burn,
+    BurnTracker,
     Indicator,
     ObjectiveBurn, //
 };
@@ -11,21 +11,21 @@
     secs, //
 };
 
-fn burn() -> Burn {
-    let mut burn = Burn::new();
+fn burn() -> BurnTracker {
+    let mut burn = BurnTracker::new();
     burn.configure(&fleet());
     burn
 }
 
 /// Records one request per second, of which every `bad_each`th is not answered.
-fn run(burn: &mut Burn, from: u64, until: u64, bad_each: u64) {
+fn run(burn: &mut BurnTracker, from: u64, until: u64, bad_each: u64) {
     for second in from..until {
         let whole = (second % bad_each != 0).then(|| secs(1));
-        burn.ended(secs(second), &"large".into(), &"ask".into(), whole);
+        burn.record_request(secs(second), &"large".into(), &"ask".into(), whole);
     }
 }
 
-fn whole(burn: &Burn, at: u64) -> ObjectiveBurn {
+fn whole(burn: &BurnTracker, at: u64) -> ObjectiveBurn {
     let report = burn.report(secs(at), Some("large"));
     let found = report
         .objectives
@@ -65,8 +65,8 @@
     let mut burn = burn();
     for second in 0..100 {
         let latency = secs(if second % 2 == 0 { 1 } else { 5 });
-        burn.ended(secs(second), &"large".into(), &"ask".into(), Some(latency));
-        burn.rated(
+        burn.record_request(secs(second), &"large".into(), &"ask".into(), Some(latency));
+        burn.record_rating(
             secs(second),
             &"large".into(),
             &"ask".into(),
--- a/sesamebeam_core/tests/policy/exposure.rs
+++ b/sesamebeam_core/tests/policy/exposure.rs
@@ -43,7 +43,7 @@
     quality.configure(&fleet());
     let mut exposure = Exposure::new(ExposureConfig::default());
     exposure.configure(&fleet());
-    exposure.live(&live(1.0));
+    exposure.apply_live(&live(1.0));
     (exposure, quality)
 }
 
@@ -114,7 +114,7 @@
 #[test]
 fn same_share() {
     let (mut exposure, _) = new_exposure();
-    exposure.live(&live(0.25));
+    exposure.apply_live(&live(0.25));
     let routine = class("ask", Priority::Normal, true);
     let allowed = |exposure: &Exposure| -> Vec<u32> {
         (0..4000u32)
@@ -127,7 +127,7 @@
     };
     let first = allowed(&exposure);
     assert!((900..1100).contains(&first.len()), "{}", first.len());
-    exposure.live(&live(0.5));
+    exposure.apply_live(&live(0.5));
     let second = allowed(&exposure);
     assert!(first.iter().all(|n| second.contains(n)));
 }
@@ -220,7 +220,7 @@
             );
         }
     }
-    assert!(exposure.held_here().is_empty());
+    assert!(exposure.held_versions().is_empty());
 }
 
 #[test]
@@ -285,5 +285,5 @@
             exposure.observe(now, &version.into(), "ask", seen, &quality);
         }
     }
-    assert_eq!(exposure.held_here(), ["beam@cheap", "beam@mid"]);
+    assert_eq!(exposure.held_versions(), ["beam@cheap", "beam@mid"]);
 }
--- a/sesamebeam_core/tests/policy/plan.rs
+++ b/sesamebeam_core/tests/policy/plan.rs
@@ -9,9 +9,9 @@
         plan::{
             Candidate,
             Plan,
+            PlanChoice,
             PlanConfig,
             PlanInput,
-            Planned,
             Planner,
             Reason, //
         },
@@ -33,7 +33,7 @@
 /// cheap, mid and best versions.
 fn quality(good: [u32; 3]) -> Quality {
     let mut quality = Quality::new(QualityConfig {
-        judge_rater: false,
+        detect_rater_fault: false,
         ..QualityConfig::default()
     });
     quality.configure(&fleet());
@@ -49,12 +49,18 @@
     quality
 }
 
-fn plan(quality: &Quality, class: &Class, wanted: f64, draw: f64, rater_answers: bool) -> Planned {
+fn plan(
+    quality: &Quality,
+    class: &Class,
+    wanted: f64,
+    draw: f64,
+    rater_answers: bool,
+) -> PlanChoice {
     let target = target("ask", wanted);
     let candidate = |(version, cost): (&str, f64)| Candidate {
         version: version.into(),
         cost,
-        takes: secs(5),
+        expected_duration: secs(5),
     };
     let candidates: Vec<Candidate> = [("beam@cheap", 1.0), ("beam@mid", 3.0), ("beam@best", 10.0)]
         .map(candidate)
@@ -63,8 +69,8 @@
         class,
         target: Some(&target),
         candidates: &candidates,
-        left: secs(30),
-        rater_answers,
+        time_left: secs(30),
+        rater_available: rater_answers,
         draw,
     };
     Planner::new(PlanConfig::default())
@@ -139,14 +145,14 @@
     let candidates = [Candidate {
         version: "beam@cheap".into(),
         cost: 1.0,
-        takes: secs(5),
+        expected_duration: secs(5),
     }];
     let input = PlanInput {
         class: &ask,
         target: Some(&target),
         candidates: &candidates,
-        left: secs(4),
-        rater_answers: true,
+        time_left: secs(4),
+        rater_available: true,
         draw: 0.9,
     };
     let planned = Planner::new(PlanConfig::default()).plan(&quality, &input);
--- a/sesamebeam_core/tests/policy/quality.rs
+++ b/sesamebeam_core/tests/policy/quality.rs
@@ -8,7 +8,7 @@
         Ignored,
         Quality,
         QualityConfig,
-        Rated, //
+        RatingOutcome, //
     },
 };
 use yare::parameterized;
@@ -29,7 +29,7 @@
 /// identifiers starting at `first`.
 fn rate(quality: &mut Quality, now: MonoTime, first: u128, version: &str, n: u128, bad: u128) {
     for number in first..first + n {
-        quality.sampled(now, number, &"ask".into(), &version.into());
+        quality.await_rating(now, number, &"ask".into(), &version.into());
         let score = if number - first < bad { 0.1 } else { 0.9 };
         quality.rate(now, &rating(number, version, score));
     }
@@ -39,15 +39,15 @@
 fn prior_first() {
     let quality = quality();
     assert!((quality.expected("ask", "beam@cheap") - 0.8).abs() < 1e-9);
-    assert!(quality.confidence_met("ask", "beam@best", 0.85) < 0.95);
+    assert!(quality.confidence("ask", "beam@best", 0.85) < 0.95);
 }
 
 #[test]
 fn evidence_convinces() {
     let mut quality = quality();
     rate(&mut quality, secs(1), 0, "beam@mid", 100, 4);
-    assert!(quality.confidence_met("ask", "beam@mid", 0.85) > 0.99);
-    assert!(quality.confidence_met("ask", "beam@mid", 0.99) < 0.05);
+    assert!(quality.confidence("ask", "beam@mid", 0.85) > 0.99);
+    assert!(quality.confidence("ask", "beam@mid", 0.99) < 0.05);
 }
 
 #[test]
@@ -56,9 +56,9 @@
     // so plans become cautious without being blocked.
     let mut quality = quality();
     rate(&mut quality, secs(1), 0, "beam@mid", 100, 2);
-    let before = quality.confidence_met("ask", "beam@mid", 0.9);
+    let before = quality.confidence("ask", "beam@mid", 0.9);
     quality.tick(secs(8 * 3600));
-    let after = quality.confidence_met("ask", "beam@mid", 0.9);
+    let after = quality.confidence("ask", "beam@mid", 0.9);
     assert!(
         before > 0.99 && after < before && after > 0.3,
         "{before} {after}"
@@ -70,7 +70,7 @@
     let mut quality = quality();
     rate(&mut quality, secs(1), 0, "beam@mid", 1000, 50);
     rate(&mut quality, secs(2), 5000, "beam@mid", 200, 100);
-    assert!(quality.confidence_met("ask", "beam@mid", 0.85) < 0.1);
+    assert!(quality.confidence("ask", "beam@mid", 0.85) < 0.1);
 }
 
 #[parameterized(
@@ -82,23 +82,23 @@
 )]
 fn bad_rating(score: f64, age: u64, request: u128, why: Ignored) {
     let mut quality = quality();
-    quality.sampled(secs(10), 1, &"ask".into(), &"beam@mid".into());
+    quality.await_rating(secs(10), 1, &"ask".into(), &"beam@mid".into());
     let mut rating = rating(request, "beam@mid", score);
     rating.age = Duration::from_secs(age);
-    assert_eq!(quality.rate(secs(11), &rating), Rated::Ignored(why));
+    assert_eq!(quality.rate(secs(11), &rating), RatingOutcome::Ignored(why));
     assert_eq!(quality.evidence("ask", "beam@mid"), 0.0);
 }
 
 #[test]
 fn rated_twice() {
     let mut quality = quality();
-    quality.sampled(secs(1), 1, &"ask".into(), &"beam@mid".into());
+    quality.await_rating(secs(1), 1, &"ask".into(), &"beam@mid".into());
     assert!(matches!(
         quality.rate(secs(2), &rating(1, "beam@mid", 0.9)),
-        Rated::Counted { .. }
+        RatingOutcome::Counted { .. }
     ));
     let again = quality.rate(secs(3), &rating(1, "beam@mid", 0.9));
-    assert_eq!(again, Rated::Ignored(Ignored::Unknown));
+    assert_eq!(again, RatingOutcome::Ignored(Ignored::Unknown));
 }
 
 #[test]
@@ -133,14 +133,14 @@
 }
 
 #[test]
-fn redo_apart() {
+fn escalated_apart() {
     let mut quality = quality();
     rate(&mut quality, secs(1), 0, "beam@best", 50, 0);
     let usual = quality.expected("ask", "beam@best");
     for number in 100..150 {
-        quality.sampled_redo(secs(1), number, &"ask".into(), &"beam@best".into());
+        quality.await_escalated_rating(secs(1), number, &"ask".into(), &"beam@best".into());
         quality.rate(secs(2), &rating(number, "beam@best", 0.1));
     }
     assert_eq!(quality.expected("ask", "beam@best"), usual);
-    assert!(quality.moments_redo("ask", "beam@best", 0.97).mean < 0.2);
+    assert!(quality.escalated_moments("ask", "beam@best", 0.97).mean < 0.2);
 }
--- a/sesamebeam_core/tests/policy/servers.rs
+++ b/sesamebeam_core/tests/policy/servers.rs
@@ -37,11 +37,11 @@
     );
     assert_eq!(
         servers.announce(secs(2), &announcement(0, 2)),
-        Announced::Old
+        Announced::Stale
     );
     assert_eq!(
         servers.announce(secs(2), &announcement(0, 3)),
-        Announced::Old
+        Announced::Stale
     );
 }
 
@@ -59,7 +59,7 @@
     );
     assert_eq!(
         servers.announce(secs(2), &announcement(0, 99)),
-        Announced::Old
+        Announced::Stale
     );
     assert_eq!(
         servers.get(addr(0)).map(|server| server.incarnation),
@@ -85,10 +85,10 @@
     for number in 1..10 {
         servers.announce(secs(5), &announcement(number, 2));
     }
-    assert_eq!(servers.tick(secs(7)), [ServerEvent::Out(addr(0))]);
+    assert_eq!(servers.tick(secs(7)), [ServerEvent::Expired(addr(0))]);
     assert_eq!(
         servers.announce(secs(8), &announcement(0, 1)),
-        Announced::Old
+        Announced::Stale
     );
     assert_eq!(
         servers.announce(secs(8), &announcement(0, 2)),
@@ -119,18 +119,18 @@
     assert!(
         !events
             .iter()
-            .any(|event| matches!(event, ServerEvent::Out(_)))
+            .any(|event| matches!(event, ServerEvent::Expired(_)))
     );
-    assert_eq!(servers.all().count(), 0);
+    assert_eq!(servers.reachable().count(), 0);
     let mut back = announcement(0, 2);
     back.domain = "hall-2".into();
-    assert_eq!(servers.announce(secs(3600), &back), Announced::Back);
+    assert_eq!(servers.announce(secs(3600), &back), Announced::Reconnected);
 }
 
 #[test]
 fn answers_renew_lease() {
     let mut servers = servers(1);
-    servers.heard(secs(5), addr(0));
+    servers.renew_lease(secs(5), addr(0));
     assert!(servers.tick(secs(10)).is_empty());
 }
 
@@ -146,7 +146,7 @@
     bad.pool = pool.into();
     bad.incarnation = incarnation;
     assert_eq!(servers.announce(secs(1), &bad), Announced::Ignored(fault));
-    assert_eq!(servers.all().count(), 0);
+    assert_eq!(servers.reachable().count(), 0);
 }
 
 #[test]
--- a/sesamebeam_core/tests/policy/suspects.rs
+++ b/sesamebeam_core/tests/policy/suspects.rs
@@ -3,7 +3,7 @@
 use sesamebeam_core::{
     message::record::ServerLife,
     policy::suspects::{
-        Standing,
+        SuspectStatus,
         Suspects,
         SuspectsConfig, //
     },
@@ -32,24 +32,27 @@
     // is not.
     let mut suspects = Suspects::new(SuspectsConfig::default());
     let first = suspects
-        .died(secs(1), server(1), &[CRASHING_REQUEST, 1, 2])
+        .record_crash(secs(1), server(1), &[CRASHING_REQUEST, 1, 2])
         .expect("suspects");
     assert_eq!(first.suspects, [1, 2, CRASHING_REQUEST]);
     suspects.started(CRASHING_REQUEST, server(2));
-    assert_eq!(suspects.occupied(1), [server(2)]);
-    assert!(suspects.occupied(CRASHING_REQUEST).is_empty());
+    assert_eq!(suspects.occupied_servers(1), [server(2)]);
+    assert!(suspects.occupied_servers(CRASHING_REQUEST).is_empty());
     for bystander in [1, 2] {
         suspects.started(bystander, server(3));
         suspects.finished(bystander, server(3), true);
     }
     let second = suspects
-        .died(secs(3), server(2), &[CRASHING_REQUEST, 3])
+        .record_crash(secs(3), server(2), &[CRASHING_REQUEST, 3])
         .expect("suspects");
     assert_eq!(second.suspects, [CRASHING_REQUEST]);
-    assert_eq!(suspects.standing(CRASHING_REQUEST), Standing::Quarantined);
     assert_eq!(
-        [1, 2, 3].map(|fingerprint| suspects.standing(fingerprint)),
-        [Standing::Clear; 3]
+        suspects.status(CRASHING_REQUEST),
+        SuspectStatus::Quarantined
+    );
+    assert_eq!(
+        [1, 2, 3].map(|fingerprint| suspects.status(fingerprint)),
+        [SuspectStatus::Clear; 3]
     );
 }
 
@@ -58,12 +61,15 @@
     // The caller resends the request through another entry, which has received
     // the suspects but has not observed a crash itself.
     let mut suspects = Suspects::new(SuspectsConfig::default());
-    suspects.alarm(secs(1), [CRASHING_REQUEST]);
-    assert_eq!(suspects.standing(CRASHING_REQUEST), Standing::Suspect);
+    suspects.add_suspects(secs(1), [CRASHING_REQUEST]);
+    assert_eq!(suspects.status(CRASHING_REQUEST), SuspectStatus::Suspect);
     suspects.started(CRASHING_REQUEST, server(1));
-    suspects.died(secs(2), server(1), &[CRASHING_REQUEST, 5]);
-    assert_eq!(suspects.standing(CRASHING_REQUEST), Standing::Quarantined);
-    assert_eq!(suspects.standing(5), Standing::Clear);
+    suspects.record_crash(secs(2), server(1), &[CRASHING_REQUEST, 5]);
+    assert_eq!(
+        suspects.status(CRASHING_REQUEST),
+        SuspectStatus::Quarantined
+    );
+    assert_eq!(suspects.status(5), SuspectStatus::Clear);
 }
 
 #[test]
@@ -73,21 +79,21 @@
     let mut suspects = Suspects::new(SuspectsConfig::default());
     suspects.finished(1, server(1), true);
     for (nth, crashing_request) in [(1, 100), (10, 200)] {
-        let report = suspects.died(secs(nth), server(nth as u16), &[1, crashing_request]);
+        let report = suspects.record_crash(secs(nth), server(nth as u16), &[1, crashing_request]);
         assert_eq!(report.expect("a suspect").suspects, [crashing_request]);
     }
-    assert_eq!(suspects.standing(1), Standing::Clear);
+    assert_eq!(suspects.status(1), SuspectStatus::Clear);
 }
 
 #[test]
 fn bystanders_cleared() {
     let mut suspects = Suspects::new(SuspectsConfig::default());
-    suspects.died(secs(1), server(1), &[1, 2]);
+    suspects.record_crash(secs(1), server(1), &[1, 2]);
     suspects.started(1, server(2));
     suspects.finished(1, server(2), true);
     assert_eq!(
-        [suspects.standing(1), suspects.standing(2)],
-        [Standing::Clear, Standing::Suspect]
+        [suspects.status(1), suspects.status(2)],
+        [SuspectStatus::Clear, SuspectStatus::Suspect]
     );
 }
 
@@ -97,25 +103,28 @@
     // caused this, so none may be suspected or refused afterwards.
     let mut suspects = Suspects::new(SuspectsConfig::default());
     for number in 0..8u16 {
-        suspects.died(secs(1), server(number), &[u128::from(number), 99]);
+        suspects.record_crash(secs(1), server(number), &[u128::from(number), 99]);
     }
     assert!(suspects.suspected().is_empty());
-    assert_eq!(suspects.standing(99), Standing::Clear);
+    assert_eq!(suspects.status(99), SuspectStatus::Clear);
 }
 
 #[test]
 fn forgotten() {
     let mut suspects = Suspects::new(SuspectsConfig::default());
-    suspects.died(secs(1), server(1), &[1]);
+    suspects.record_crash(secs(1), server(1), &[1]);
     suspects.tick(secs(3602));
-    assert_eq!(suspects.standing(1), Standing::Clear);
+    assert_eq!(suspects.status(1), SuspectStatus::Clear);
 }
 
 #[test]
 fn fleet_quarantine() {
     let mut suspects = Suspects::new(SuspectsConfig::default());
     suspects.quarantine([CRASHING_REQUEST]);
-    assert_eq!(suspects.standing(CRASHING_REQUEST), Standing::Quarantined);
+    assert_eq!(
+        suspects.status(CRASHING_REQUEST),
+        SuspectStatus::Quarantined
+    );
     suspects.quarantine([]);
-    assert_eq!(suspects.standing(CRASHING_REQUEST), Standing::Clear);
+    assert_eq!(suspects.status(CRASHING_REQUEST), SuspectStatus::Clear);
 }
--- a/sesamebeam_core/tests/proofs/killer_request.rs
+++ b/sesamebeam_core/tests/proofs/killer_request.rs
@@ -17,7 +17,11 @@
     untraced = { false, 6 },
 )]
 fn quarantined(trace: bool, crashes: usize) {
-    let mut world = World::new(8, |cfg| cfg.policy.suspects.trace = trace, |_| {});
+    let mut world = World::new(
+        8,
+        |cfg| cfg.policy.suspects.attribute_crashes = trace,
+        |_| {},
+    );
     world.books.killers.insert(99);
     for n in 0..6 {
         let spec = Spec::new("vazna", "confirmation", 99).key(&format!("slot-{n}"));
--- a/sesamebeam_core/tests/proofs/rejoined_domain.rs
+++ b/sesamebeam_core/tests/proofs/rejoined_domain.rs
@@ -19,7 +19,7 @@
     world.run(Duration::from_secs(8));
     for edge in &world.entries {
         assert_eq!(
-            edge.core().servers().all().count(),
+            edge.core().servers().reachable().count(),
             6,
             "{}",
             edge.cfg.instance
--- a/sesamebeam_core/tests/proofs/world.rs
+++ b/sesamebeam_core/tests/proofs/world.rs
@@ -198,7 +198,7 @@
         for edge in &world.entries {
             // A world that serves nothing would keep every promise.
             assert_eq!(edge.core().view().revision(), 1);
-            assert_eq!(edge.core().servers().all().count(), 6);
+            assert_eq!(edge.core().servers().reachable().count(), 6);
         }
         world
     }
