--- a/sesamebeam_core/src/policy/burn.rs
+++ b/sesamebeam_core/src/policy/burn.rs
@@ -201,7 +201,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct BurnTracker {
     objectives: IndexMap<(OrgId, ClassId), ObjectiveEvents>,
-    left_out: u64,
+    ignored_objectives: u64,
 }
 
 impl BurnTracker {
@@ -214,11 +214,11 @@
     /// are kept.
     pub fn configure(&mut self, fleet: &Fleet) {
         let mut objectives = IndexMap::new();
-        self.left_out = 0;
+        self.ignored_objectives = 0;
         for org in &fleet.organisations {
             for target in &org.targets {
                 if objectives.len() >= MAX_OBJECTIVES {
-                    self.left_out += 1;
+                    self.ignored_objectives += 1;
                     continue;
                 }
                 let key = (org.name.clone(), target.class.clone());
@@ -290,7 +290,7 @@
     /// Returns the number of objectives that were ignored because there are too
     /// many.
     pub fn ignored_objectives(&self) -> u64 {
-        self.left_out
+        self.ignored_objectives
     }
 }
 
