--- a/sesamebeam/src/entry/peers.rs
+++ b/sesamebeam/src/entry/peers.rs
@@ -101,8 +101,8 @@
 ) {
     loop {
         let peer = tokio::select! {
-            () = cancel.cancelled() => return,
-            peer = link.accept() => peer,
+        () = cancel.cancelled() => return,
+        peer = link.accept() => peer,
         };
         let Some(peer) = peer else {
             return;
@@ -110,8 +110,8 @@
         let (hub, me, cancel) = (Arc::clone(&hub), me.clone(), cancel.clone());
         tokio::spawn(async move {
             tokio::select! {
-                () = cancel.cancelled() => {}
-                () = serve_one(peer, hub, me) => {}
+            () = cancel.cancelled() => {}
+            () = serve_one(peer, hub, me) => {}
             }
         });
     }
@@ -159,7 +159,7 @@
             lease_held: core.view().lease_held(now),
             in_flight: core.in_flight() as u64,
             stopping: core.is_stopping(),
-            servers: core.servers().all().cloned().collect(),
+            servers: core.servers().reachable().cloned().collect(),
         })),
     })
 }
@@ -167,8 +167,8 @@
 async fn send_all(caller: Arc<Caller>, mut rx: Receiver<PeerMessage>, cancel: CancellationToken) {
     loop {
         let message = tokio::select! {
-            () = cancel.cancelled() => return,
-            message = rx.recv() => message,
+        () = cancel.cancelled() => return,
+        message = rx.recv() => message,
         };
         let Some(message) = message else {
             return;
--- a/sesamebeam/src/gateway/send.rs
+++ b/sesamebeam/src/gateway/send.rs
@@ -147,10 +147,10 @@
         let mut sending = pin!(self.client.send(choice.addr, message, terms));
         let sent = if plan.route.streaming {
             tokio::select! {
-                sent = sending => sent,
-                () = self.fell_silent(choice, sent_at, left.mul_f64(PATIENCE_SHARE)), if watch => {
-                    return Sent::Dark;
-                }
+            sent = sending => sent,
+            () = self.fell_silent(choice, sent_at, left.mul_f64(PATIENCE_SHARE)), if watch => {
+            return Sent::Dark;
+            }
             }
         } else {
             let overdue = left.mul_f64(OVERDUE_SHARE).min(OVERDUE_MAX);
@@ -208,8 +208,8 @@
         match asked {
             Some(Backoff::Pause(pause)) => {
                 log::info!(
-                    server:% = choice.id, pause_ms = pause.asked().as_millis() as u64;
-                    "backend server asks for a pause"
+                server:% = choice.id, pause_ms = pause.requested().as_millis() as u64;
+                "backend server asks for a pause"
                 );
             }
             Some(Backoff::Leaving) => log::info!(server:% = choice.id; "backend server leaves"),
--- a/sesamebeam_core/src/entry/choose.rs
+++ b/sesamebeam_core/src/entry/choose.rs
@@ -34,8 +34,8 @@
     message::record::ServerLife,
     policy::{
         admission::{
-            Offered,
-            Ticket, //
+            AdmissionOutcome,
+            AdmissionRequest, //
         },
         balance::{
             PickInput,
@@ -45,10 +45,10 @@
         plan::{
             Candidate,
             Plan,
+            PlanChoice, //
             PlanInput,
-            Planned, //
         },
-        suspects::Standing, //
+        suspects::SuspectStatus, //
     },
 };
 
@@ -86,7 +86,7 @@
         now: MonoTime,
         id: RequestId,
         session_model: Option<&ModelId>,
-    ) -> Result<Planned, Reason> {
+    ) -> Result<PlanChoice, Reason> {
         let (candidates, any_allowed) = self.candidates(now, id, session_model);
         let req = self.requests.get(&id).ok_or(Reason::NoServer)?;
         let none = if any_allowed {
@@ -106,8 +106,8 @@
             class,
             target,
             candidates: &candidates,
-            left: req.time_left(now),
-            rater_answers: self.rater_available(now),
+            time_left: req.time_left(now),
+            rater_available: self.rater_available(now),
             draw: hash::unit(&id.to_le_bytes(), "plan"),
         };
         self.planner.plan(&self.quality, &input).ok_or(none)
@@ -151,7 +151,7 @@
             out.push(Candidate {
                 version: full.clone(),
                 cost: version.cost,
-                takes: self.expected_duration(req.arrival.max_tokens),
+                expected_duration: self.expected_duration(req.arrival.max_tokens),
             });
         }
         (out, any)
@@ -160,7 +160,7 @@
     /// Returns whether a request digest is quarantined for crashing backend
     /// servers.
     pub(super) fn is_quarantined(&self, digest: Digest) -> bool {
-        self.suspects.standing(digest) == Standing::Quarantined
+        self.suspects.status(digest) == SuspectStatus::Quarantined
     }
 
     /// Requests a slot in the pool.
@@ -176,25 +176,25 @@
             let after = Some(self.cfg.retry_after);
             return self.give_up(now, id, Reason::NoServer, after);
         }
-        let ticket = Ticket {
+        let ticket = AdmissionRequest {
             request: id,
             org: req.arrival.org.clone(),
             pool: req.pool.clone(),
             priority: req.priority,
             deadline: req.deadline,
-            takes: match req.arrival.wanted {
+            expected_duration: match req.arrival.wanted {
                 Wanted::Service(_) => SERVICE_DURATION,
                 _ => self.expected_duration(req.arrival.max_tokens),
             },
         };
-        match self.admission.offer(now, ticket) {
-            Offered::Run => self.start_request(now, id),
-            Offered::Queued => {
+        match self.admission.submit(now, ticket) {
+            AdmissionOutcome::Run => self.start_request(now, id),
+            AdmissionOutcome::Queued => {
                 if let Some(req) = self.requests.get_mut(&id) {
                     req.phase = Phase::Queued;
                 }
             }
-            Offered::Refused { retry_after } => {
+            AdmissionOutcome::Refused { retry_after } => {
                 self.give_up(now, id, Reason::Overloaded, Some(retry_after));
             }
         }
@@ -238,7 +238,7 @@
         id: RequestId,
         target: &ServerLife,
     ) -> bool {
-        self.step_allowed(now, id) && self.balance.takes_work(now, *target)
+        self.step_allowed(now, id) && self.balance.accepts_requests(now, *target)
     }
 
     pub(super) fn step_allowed(&self, now: MonoTime, id: RequestId) -> bool {
@@ -251,7 +251,7 @@
         let usable = self.view.availability(now, &req.arrival.org, version);
         match usable {
             Availability::Settled | Availability::Rolling(_) => {
-                req.session.is_some() || self.exposure.held(version).is_none()
+                req.session.is_some() || self.exposure.hold_reason(version).is_none()
             }
             // Existing sessions stay on a held version.
             Availability::Held => req.session.is_some(),
@@ -266,7 +266,7 @@
             .avoid
             .iter()
             .copied()
-            .chain(self.suspects.occupied(digest))
+            .chain(self.suspects.occupied_servers(digest))
             .map(|life| life.addr)
             .collect();
         let version = req.version().cloned();
@@ -282,7 +282,7 @@
             max_tokens: req.arrival.max_tokens,
             priority: req.priority,
             exclude: &exclude,
-            alone: self.suspects.standing(digest) == Standing::Suspect,
+            isolated: self.suspects.status(digest) == SuspectStatus::Suspect,
         };
         let pick = self.balance.pick(now, &input)?;
         self.explain.picked(id, &pick);
@@ -297,11 +297,11 @@
             Some(version) => Route::Version(version),
             None => Route::Service(&req.pool),
         };
-        let Some(pause) = self.balance.pause_of_all(now, route) else {
+        let Some(pause) = self.balance.route_pause(now, route) else {
             return Some(self.cfg.retry_after);
         };
         let draw = hash::unit(&id.to_le_bytes(), "retry-after");
-        Some(pause.until().saturating_sub(now) + pause.spread(draw))
+        Some(pause.until().saturating_sub(now) + pause.jitter(draw))
     }
 
     /// Records the start of an attempt on its backend server.
@@ -337,7 +337,7 @@
             AttemptEnd::Whole | AttemptEnd::Alive => {
                 self.suspects.finished(digest, run.server, false);
                 self.balance.answered(run.server.addr);
-                self.servers.heard(now, run.server.addr);
+                self.servers.renew_lease(now, run.server.addr);
             }
             // A request that was not sent is no possible cause of a crash;
             // otherwise two unreachable backend servers would quarantine it.
--- a/sesamebeam_core/src/entry/explain.rs
+++ b/sesamebeam_core/src/entry/explain.rs
@@ -32,7 +32,7 @@
     policy::{
         balance::Pick,
         exposure::Permit,
-        plan::Planned, //
+        plan::PlanChoice, //
     },
 };
 
@@ -112,7 +112,7 @@
         self.cursor = (self.cursor + 1) % self.capacity;
     }
 
-    pub(super) fn planned(&mut self, id: RequestId, planned: &Planned) {
+    pub(super) fn planned(&mut self, id: RequestId, planned: &PlanChoice) {
         self.step(id, || {
             let details = planned
                 .scored
@@ -124,8 +124,12 @@
                         s.cost,
                         s.quality,
                         s.confidence,
-                        if s.meets { ", meets the target" } else { "" },
-                        if s.fits { "" } else { ", too slow" },
+                        if s.meets_target {
+                            ", meets the target"
+                        } else {
+                            ""
+                        },
+                        if s.fits_deadline { "" } else { ", too slow" },
                     )
                 })
                 .collect();
@@ -156,7 +160,7 @@
     pub(super) fn picked(&mut self, id: RequestId, pick: &Pick) {
         self.step(id, || {
             let details = pick
-                .looked
+                .considered
                 .iter()
                 .map(|l| {
                     format_smolstr!(
@@ -164,7 +168,11 @@
                         l.addr,
                         l.wait,
                         if l.cached { ", prefix cached" } else { "" },
-                        if l.near { "" } else { ", other failure domain" },
+                        if l.local {
+                            ""
+                        } else {
+                            ", other failure domain"
+                        },
                         if l.full { ", full" } else { "" },
                     )
                 })
--- a/sesamebeam_core/src/entry/finish.rs
+++ b/sesamebeam_core/src/entry/finish.rs
@@ -30,8 +30,8 @@
     policy::{
         exposure::Observation,
         hash,
-        quality::Rated,
-        suspects::Standing, //
+        quality::RatingOutcome,
+        suspects::SuspectStatus, //
     },
 };
 
@@ -59,7 +59,7 @@
     /// Records that the backend server of an attempt is responsive.
     pub(super) fn server_responded(&mut self, now: MonoTime, run: &RunningAttempt) {
         self.balance.answered(run.server.addr);
-        self.servers.heard(now, run.server.addr);
+        self.servers.renew_lease(now, run.server.addr);
     }
 
     /// Records the observations from a complete response.
@@ -75,7 +75,7 @@
         };
         let digest = req.arrival.digest;
         let (class, org) = (req.class.clone(), req.arrival.org.clone());
-        let suspected = self.suspects.standing(digest) != Standing::Clear;
+        let suspected = self.suspects.status(digest) != SuspectStatus::Clear;
         self.suspects.finished(digest, run.server, true);
         if suspected {
             self.send_control(
@@ -94,9 +94,10 @@
         }
         if self.is_sampled(id) && finished.answer.body.is_some() {
             if self.requests[&id].second_step {
-                self.quality.sampled_redo(now, id, &class, &version);
+                self.quality
+                    .await_escalated_rating(now, id, &class, &version);
             } else {
-                self.quality.sampled(now, id, &class, &version);
+                self.quality.await_rating(now, id, &class, &version);
             }
             if self.sampled.len() >= MAX_PENDING_RATINGS {
                 self.sampled.shift_remove_index(0);
@@ -113,20 +114,23 @@
     /// Handles the rating of a sampled response.
     pub(super) fn handle_rating(&mut self, now: MonoTime, rating: &Rating) {
         match self.quality.rate(now, rating) {
-            Rated::Counted { good, redo } => {
+            RatingOutcome::Counted {
+                good,
+                escalated: redo,
+            } => {
                 if let Some((org, class)) = self.sampled.swap_remove(&rating.request) {
-                    self.burn.rated(now, &org, &class, good);
+                    self.burn.record_rating(now, &org, &class, good);
                 }
                 // The second step of a cascade only gets hard requests, so it is
                 // compared with a baseline of its own.
                 let seen = if redo {
-                    Observation::Redone { good }
+                    Observation::Escalated { good }
                 } else {
                     Observation::Rated { good }
                 };
                 self.observe(now, &rating.version, &rating.class, seen);
             }
-            Rated::Ignored(why) => {
+            RatingOutcome::Ignored(why) => {
                 let why = smol_str::format_smolstr!("rating: {why:?}");
                 self.actions
                     .push(EntryAction::Notice(Notice::Ignored { why }));
@@ -150,7 +154,9 @@
             return false;
         };
         let class = req.class.clone();
-        if let Rated::Counted { good, .. } = self.quality.rate_now(now, &class, version, score) {
+        if let RatingOutcome::Counted { good, .. } =
+            self.quality.rate_now(now, &class, version, score)
+        {
             self.observe(now, version, &class, Observation::Rated { good });
             return good;
         }
@@ -220,7 +226,7 @@
         let took = now.saturating_sub(req.arrived);
         let in_time = whole && now <= req.deadline;
         self.burn
-            .ended(now, &req.arrival.org, &req.class, in_time.then_some(took));
+            .record_request(now, &req.arrival.org, &req.class, in_time.then_some(took));
         if whole {
             self.hedges.answered(&req.class, took);
         }
--- a/sesamebeam_core/src/entry/lease.rs
+++ b/sesamebeam_core/src/entry/lease.rs
@@ -89,7 +89,7 @@
         if self.view.revision() != before {
             self.apply_fleet(now);
         }
-        self.exposure.live(self.view.live());
+        self.exposure.apply_live(self.view.live());
         self.suspects
             .quarantine(self.view.live().quarantine.iter().copied());
         self.queue_check_due = true;
--- a/sesamebeam_core/src/entry/membership.rs
+++ b/sesamebeam_core/src/entry/membership.rs
@@ -59,7 +59,7 @@
             incarnation: announcement.incarnation,
         };
         match announced {
-            Announced::Old => return,
+            Announced::Stale => return,
             Announced::Ignored(fault) => {
                 let why = smol_str::format_smolstr!(
                     "announcement of {}: unknown {fault:?}",
@@ -76,7 +76,7 @@
                 };
                 self.server_died(now, old);
             }
-            Announced::New | Announced::Back => {
+            Announced::New | Announced::Reconnected => {
                 self.actions.push(EntryAction::Notice(Notice::ServerUp {
                     server: life,
                     pool: announcement.pool.clone(),
@@ -84,7 +84,7 @@
             }
             Announced::Changed | Announced::Leaving | Announced::Refreshed => {}
         }
-        self.use_subset(now, announcement, announced.spreads());
+        self.use_subset(now, announcement, announced.should_propagate());
         self.set_capacities(now);
         if own && announced == Announced::Refreshed {
             self.refreshed
@@ -108,7 +108,7 @@
     fn use_subset(&mut self, now: MonoTime, announcement: &Announcement, changed: bool) {
         let pool = &announcement.pool;
         let most = self.cfg.policy.servers.subset;
-        let known = self.servers.all().filter(|s| s.pool == *pool).count();
+        let known = self.servers.reachable().filter(|s| s.pool == *pool).count();
         if known <= most {
             if let Some(server) = self.servers.get(announcement.addr) {
                 self.balance.upsert(now, server);
@@ -126,7 +126,7 @@
         let subset = self.servers.subset(&self.cfg.instance, pool);
         let others: Vec<ServerAddr> = self
             .servers
-            .all()
+            .reachable()
             .filter(|server| server.pool == *pool && !subset.contains(&server.addr))
             .map(|server| server.addr)
             .collect();
@@ -155,7 +155,7 @@
             }
             PeerMessage::Alive(list) => self.handle_heartbeats(now, from, &list),
             PeerMessage::WantServers => {
-                let list: Vec<Announcement> = self.servers.all().cloned().collect();
+                let list: Vec<Announcement> = self.servers.reachable().cloned().collect();
                 self.send_to_entries(Recipients::One(from), PeerMessage::Servers(list));
             }
             PeerMessage::WantConfig => self.send_config(from),
@@ -168,7 +168,7 @@
                 for version in &held {
                     self.exposure.hold(now, version);
                 }
-                self.suspects.alarm(now, suspects);
+                self.suspects.add_suspects(now, suspects);
             }
             PeerMessage::Leaving { .. } => {}
         }
@@ -187,9 +187,9 @@
     pub(super) fn tick_servers(&mut self, now: MonoTime) {
         for event in self.servers.tick(now) {
             let (server, why) = match event {
-                ServerEvent::Out(addr) => (addr, "silent for a lease"),
+                ServerEvent::Expired(addr) => (addr, "silent for a lease"),
                 ServerEvent::Unreachable(addr) => (addr, "behind a cut"),
-                ServerEvent::Cut(_) => continue,
+                ServerEvent::Partitioned(_) => continue,
             };
             self.balance.remove(server);
             self.actions.push(EntryAction::Notice(Notice::ServerDown {
@@ -232,7 +232,7 @@
         super::keep_newest(&mut self.dead_incarnations, super::MAX_CRASH_RECORDS);
         let candidates = self.crash_candidates(&life);
         self.count_crash(now, &life);
-        let Some(report) = self.suspects.died(now, life, &candidates) else {
+        let Some(report) = self.suspects.record_crash(now, life, &candidates) else {
             return;
         };
         let suspects = report.suspects.clone();
@@ -292,7 +292,7 @@
         for alive in list {
             match self.servers.get(alive.addr) {
                 Some(known) if known.incarnation == alive.incarnation => {
-                    self.servers.heard(now, alive.addr);
+                    self.servers.renew_lease(now, alive.addr);
                 }
                 _ => unknown = true,
             }
--- a/sesamebeam_core/tests/policy/burn.rs
+++ b/sesamebeam_core/tests/policy/burn.rs
@@ -1,31 +1,31 @@
-//! Burn of objectives.
+//! Tests of the burn rates of objectives.
 
 use sesamebeam_core::policy::burn::{
-    Burn,
+    BurnTracker,
     Indicator,
     ObjectiveBurn, //
 };
 
-use crate::make::{
+use crate::fixtures::{
     fleet,
     secs, //
 };
 
-fn burn() -> Burn {
-    let mut burn = Burn::new();
+fn burn() -> BurnTracker {
+    let mut burn = BurnTracker::new();
     burn.configure(&fleet());
     burn
 }
 
-/// Counts a request each second, every `bad_each`th of them not answered.
-fn run(burn: &mut Burn, from: u64, until: u64, bad_each: u64) {
+/// Records one request per second, of which every `bad_each`th is not answered.
+fn run(burn: &mut BurnTracker, from: u64, until: u64, bad_each: u64) {
     for second in from..until {
         let whole = (second % bad_each != 0).then(|| secs(1));
-        burn.ended(secs(second), &"large".into(), &"ask".into(), whole);
+        burn.record_request(secs(second), &"large".into(), &"ask".into(), whole);
     }
 }
 
-fn whole(burn: &Burn, at: u64) -> ObjectiveBurn {
+fn whole(burn: &BurnTracker, at: u64) -> ObjectiveBurn {
     let report = burn.report(secs(at), Some("large"));
     let found = report
         .objectives
@@ -36,7 +36,8 @@
 
 #[test]
 fn steady_rate() {
-    // One in a hundred is allowed and one in fifty fails: a rate of two.
+    // The objective allows one failure in a hundred requests and one in fifty
+    // fails, which is a burn rate of two.
     let mut burn = burn();
     run(&mut burn, 0, 7200, 50);
     let whole = whole(&burn, 7200);
@@ -48,7 +49,8 @@
 
 #[test]
 fn short_spike() {
-    // A spike that is over burns the long window only: no alert any more.
+    // After a spike has ended, only the long window still burns, so the alert
+    // must clear.
     let mut burn = burn();
     run(&mut burn, 0, 1800, 2);
     assert!(whole(&burn, 1800).alerts());
@@ -63,8 +65,8 @@
     let mut burn = burn();
     for second in 0..100 {
         let latency = secs(if second % 2 == 0 { 1 } else { 5 });
-        burn.ended(secs(second), &"large".into(), &"ask".into(), Some(latency));
-        burn.rated(
+        burn.record_request(secs(second), &"large".into(), &"ask".into(), Some(latency));
+        burn.record_rating(
             secs(second),
             &"large".into(),
             &"ask".into(),
--- a/sesamebeam_core/tests/policy/plan.rs
+++ b/sesamebeam_core/tests/policy/plan.rs
@@ -1,4 +1,4 @@
-//! Choice of plans.
+//! Tests of plan selection.
 
 use sesamebeam_core::{
     fleet::{
@@ -9,9 +9,9 @@
         plan::{
             Candidate,
             Plan,
+            PlanChoice,
             PlanConfig,
             PlanInput,
-            Planned,
             Planner,
             Reason, //
         },
@@ -22,17 +22,18 @@
     },
 };
 
-use crate::make::{
+use crate::fixtures::{
     class,
     fleet,
     secs,
     target, //
 };
 
-/// Evidence of good answers in 100, for cheap, mid and best.
+/// Creates quality estimates from the number of good answers in 100 of the
+/// cheap, mid and best versions.
 fn quality(good: [u32; 3]) -> Quality {
     let mut quality = Quality::new(QualityConfig {
-        judge_rater: false,
+        detect_rater_fault: false,
         ..QualityConfig::default()
     });
     quality.configure(&fleet());
@@ -48,12 +49,18 @@
     quality
 }
 
-fn plan(quality: &Quality, class: &Class, wanted: f64, draw: f64, rater_answers: bool) -> Planned {
+fn plan(
+    quality: &Quality,
+    class: &Class,
+    wanted: f64,
+    draw: f64,
+    rater_answers: bool,
+) -> PlanChoice {
     let target = target("ask", wanted);
     let candidate = |(version, cost): (&str, f64)| Candidate {
         version: version.into(),
         cost,
-        takes: secs(5),
+        expected_duration: secs(5),
     };
     let candidates: Vec<Candidate> = [("beam@cheap", 1.0), ("beam@mid", 3.0), ("beam@best", 10.0)]
         .map(candidate)
@@ -62,8 +69,8 @@
         class,
         target: Some(&target),
         candidates: &candidates,
-        left: secs(30),
-        rater_answers,
+        time_left: secs(30),
+        rater_available: rater_answers,
         draw,
     };
     Planner::new(PlanConfig::default())
@@ -95,7 +102,7 @@
 
 #[test]
 fn never_twice() {
-    // A cascade would run a job sheet twice and bill its materials twice.
+    // A cascade could run a job sheet twice and bill its materials twice.
     let sheet = class("ask", Priority::Normal, false);
     let planned = plan(&quality([80, 82, 99]), &sheet, 0.88, 0.9, true);
     assert_eq!(planned.plan, Plan::Single("beam@best".into()));
@@ -130,22 +137,22 @@
 
 #[test]
 fn no_time() {
-    // With four seconds left neither a cascade nor any version fits; the best
-    // available is tried all the same and said to be just that.
+    // With four seconds left no version fits. The best available one must still
+    // be tried and reported as such.
     let ask = class("ask", Priority::Normal, true);
     let quality = quality([95, 97, 99]);
     let target = target("ask", 0.85);
     let candidates = [Candidate {
         version: "beam@cheap".into(),
         cost: 1.0,
-        takes: secs(5),
+        expected_duration: secs(5),
     }];
     let input = PlanInput {
         class: &ask,
         target: Some(&target),
         candidates: &candidates,
-        left: secs(4),
-        rater_answers: true,
+        time_left: secs(4),
+        rater_available: true,
         draw: 0.9,
     };
     let planned = Planner::new(PlanConfig::default()).plan(&quality, &input);
--- a/sesamebeam_core/tests/policy/servers.rs
+++ b/sesamebeam_core/tests/policy/servers.rs
@@ -1,4 +1,4 @@
-//! Membership of backend servers.
+//! Tests of backend server membership.
 
 use sesamebeam_core::policy::servers::{
     Announced,
@@ -9,7 +9,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     addr,
     announcement,
     fleet,
@@ -37,18 +37,19 @@
     );
     assert_eq!(
         servers.announce(secs(2), &announcement(0, 2)),
-        Announced::Old
+        Announced::Stale
     );
     assert_eq!(
         servers.announce(secs(2), &announcement(0, 3)),
-        Announced::Old
+        Announced::Stale
     );
 }
 
 #[test]
 fn restarted() {
-    // A backend server restarts on its address. Late announcements of its old
-    // life must not bring it back, whatever their sequence numbers.
+    // A backend server restarts on the same address. Late announcements of its
+    // old incarnation must not replace the new one, whatever their sequence
+    // numbers.
     let mut servers = servers(1);
     let mut next = announcement(0, 1);
     next.incarnation = 3;
@@ -58,7 +59,7 @@
     );
     assert_eq!(
         servers.announce(secs(2), &announcement(0, 99)),
-        Announced::Old
+        Announced::Stale
     );
     assert_eq!(
         servers.get(addr(0)).map(|server| server.incarnation),
@@ -84,10 +85,10 @@
     for number in 1..10 {
         servers.announce(secs(5), &announcement(number, 2));
     }
-    assert_eq!(servers.tick(secs(7)), [ServerEvent::Out(addr(0))]);
+    assert_eq!(servers.tick(secs(7)), [ServerEvent::Expired(addr(0))]);
     assert_eq!(
         servers.announce(secs(8), &announcement(0, 1)),
-        Announced::Old
+        Announced::Stale
     );
     assert_eq!(
         servers.announce(secs(8), &announcement(0, 2)),
@@ -96,10 +97,10 @@
 }
 
 #[test]
-fn cut_expels_none() {
-    // A partition separates this entry from a failure domain: its backend
-    // servers fall silent, each after its own last announcement. They are kept
-    // as unreachable, and are back with their first announcement.
+fn partition_expires_none() {
+    // A network partition separates this entry from a failure domain. Its
+    // backend servers fall silent, each after its own last announcement. They
+    // must be kept as unreachable and rejoin with their first announcement.
     let mut servers = servers(0);
     for number in 0..6u16 {
         let mut far = announcement(number, 1);
@@ -118,18 +119,18 @@
     assert!(
         !events
             .iter()
-            .any(|event| matches!(event, ServerEvent::Out(_)))
+            .any(|event| matches!(event, ServerEvent::Expired(_)))
     );
-    assert_eq!(servers.all().count(), 0);
+    assert_eq!(servers.reachable().count(), 0);
     let mut back = announcement(0, 2);
     back.domain = "hall-2".into();
-    assert_eq!(servers.announce(secs(3600), &back), Announced::Back);
+    assert_eq!(servers.announce(secs(3600), &back), Announced::Reconnected);
 }
 
 #[test]
-fn answers_keep() {
+fn answers_renew_lease() {
     let mut servers = servers(1);
-    servers.heard(secs(5), addr(0));
+    servers.renew_lease(secs(5), addr(0));
     assert!(servers.tick(secs(10)).is_empty());
 }
 
@@ -145,7 +146,7 @@
     bad.pool = pool.into();
     bad.incarnation = incarnation;
     assert_eq!(servers.announce(secs(1), &bad), Announced::Ignored(fault));
-    assert_eq!(servers.all().count(), 0);
+    assert_eq!(servers.reachable().count(), 0);
 }
 
 #[test]
