--- a/sesamebeam_core/src/gateway/budget.rs
+++ b/sesamebeam_core/src/gateway/budget.rs
@@ -1,9 +1,9 @@
-//! Budget of repeated sends, one for all entries.
+//! Retry budget, shared by all entries.
 //!
-//! A failing service makes every request fail; sent again freely, the work
-//! multiplies just when there is least room for it. Each entry spends a share
-//! of the requests that came to itself and its part of the fixed slack, so that
-//! the sum over all entries keeps to the bound without a message between them.
+//! If a service fails all requests, unlimited retries multiply its load just when it has
+//! the least capacity. Each entry may spend a share of the requests that it has received
+//! itself, and its part of a fixed slack. The total over all entries thereby stays within
+//! the bound without communication between them.
 
 use std::{
     collections::{
@@ -19,27 +19,27 @@
 };
 use crate::ids::MonoTime;
 
-/// Parts of the window in which events are counted together; a finer count
-/// costs memory, a coarser one wastes up to a part of the window.
+/// Number of buckets in the window. More buckets take more memory; fewer ones delay the
+/// expiry of old counts by up to a bucket's width.
 const PARTS: u32 = 20;
 
-/// Share of the bound that is spent: entries count a request when they read it
-/// and a send when they make it, the users when it arrives, so that a little is
-/// kept for what crosses the edge of a window.
+/// Share of the bound that is spent. Entries count a request when they read it and a
+/// retry when they send it, while its users are counted at arrival. The margin covers
+/// events that fall on different sides of a window's edge.
 const SPENT: f64 = 0.85;
 
-/// Bound on repeated sends.
+/// Bound on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetConfig {
-    /// Repeated sends for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeated sends beside, of all entries together.
+    /// Additional retries of all entries together.
     pub slack: f64,
-    /// Span in which both are counted.
+    /// Period over which both are counted.
     pub window: Duration,
 }
 
-/// Requests and repeated sends of one part of the window.
+/// Requests and retries in one bucket of the window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Part {
     number: u64,
@@ -47,17 +47,17 @@
     repeats: u32,
 }
 
-/// The budget of one entry.
+/// Retry budget of one entry.
 #[derive(Clone, Debug)]
 pub struct Budget {
     cfg: BudgetConfig,
-    /// Entries that share the slack.
+    /// Number of entries that share the slack.
     entries: EntryCount,
     services: HashMap<ServiceId, VecDeque<Part>>,
 }
 
 impl Budget {
-    /// Makes a budget that shares the slack with nobody yet known.
+    /// Creates a budget with an unknown number of entries.
     pub fn new(cfg: BudgetConfig) -> Self {
         Self {
             cfg,
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Notes how many entries there are.
+    /// Sets the number of entries.
     pub fn set_entries(&mut self, now: MonoTime, entries: u32) {
         self.entries.hear(now, entries);
     }
 
-    /// Returns the most entries that were heard of.
+    /// Returns the highest known number of entries.
     pub fn entries(&self) -> u32 {
         self.entries.most()
     }
@@ -81,7 +81,7 @@
         self.part(now, service).requests += 1;
     }
 
-    /// Spends one repeated send if the budget allows it.
+    /// Spends one retry if the budget allows it.
     pub fn try_repeat(&mut self, now: MonoTime, service: &ServiceId) -> bool {
         self.part(now, service);
         let (requests, repeats) = self.counted(service);
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Returns the present part after dropping those that the window has left.
+    /// Returns the current bucket, after removing those outside the window.
     fn part(&mut self, now: MonoTime, service: &ServiceId) -> &mut Part {
         let width = self.cfg.window / PARTS;
         let number = (now.as_nanos() / width.as_nanos().max(1)) as u64;
--- a/sesamebeam_core/src/gateway/cascade.rs
+++ b/sesamebeam_core/src/gateway/cascade.rs
@@ -1,11 +1,11 @@
-//! Choice among the models of a route, smallest first.
+//! Model cascade: selection among the models of a route, smallest first.
 //!
-//! A small model answers many requests as well as a large one, in a fraction of
-//! the time and cost, and tells in its answer how sure it is. An answer below
-//! the threshold is dropped before the caller has seen any of it, and a larger
-//! model is asked. The larger model takes ten times the time of an engine, so
-//! that under pressure the threshold falls: an answer in time that may be poor
-//! is worth more than a good one that comes late and makes others late.
+//! A small model answers many requests as well as a large one, in a fraction of the time
+//! and at a fraction of the cost, and states its confidence in the response. A response
+//! below the confidence threshold is discarded before the caller has received any of it,
+//! and the request is escalated to a larger model. As the larger model needs ten times as
+//! much engine time, the threshold is lowered under pressure: a response that is in time
+//! but possibly poor is worth more than a good one that is late and delays others.
 
 use std::{
     collections::HashMap,
@@ -27,69 +27,66 @@
     MonoTime, //
 };
 
-/// Confidence from 0 to 100 from which an answer is kept while there is no
-/// pressure. Measured: 25 and 75 each gave 0.03 to 0.05 less of the credit less
-/// prices on a calm day than 50 on two deployments.
+/// Confidence threshold, from 0 to 100, without pressure. Measured: on a calm day in two
+/// deployments, thresholds of 25 and 75 each gave 0.03 to 0.05 less credit net of prices
+/// than 50.
 const KEEP_CALM: f64 = 57.0;
 
-/// How much lower that confidence is for a request that is e times as expensive
-/// for each token of its answer: a poor answer of few words to a long prompt
-/// loses less than the large model costs.
+/// Decrease of the threshold for each factor of e in the relative cost of a request. A
+/// poor short answer to a long prompt loses less than the large model costs.
 const KEEP_PER_EXPENSE: f64 = 5.0;
 
-/// Share of the price of a generated token that one of the prompt costs.
+/// Price of a prompt token relative to a generated token.
 const PROMPT_PRICE: f64 = 0.25;
 
-/// Expense of a request that does not say how long its answer may be: one whose
-/// answer is a quarter of its prompt.
+/// Relative cost of a request that does not state the length of its response. It assumes
+/// a response of a quarter of the prompt's length.
 const USUAL_EXPENSE: f64 = 2.0;
 
-/// Confidence from which an answer is kept under full pressure.
+/// Confidence threshold under full pressure.
 const KEEP_PRESSED: f64 = 0.0;
 
-/// Wait for a first event, as a share of the time in which it is on time, up to
-/// which there is no pressure.
+/// Wait for a first event, relative to the target time, up to which there is no pressure.
 const CALM_WAIT: f64 = 0.15;
 
-/// Wait from which the pressure is full: the next one would be late.
+/// Wait from which there is full pressure: a request that is escalated would be late.
 const PRESSED_WAIT: f64 = 0.4;
 
-/// Time in which a wait that this entry has measured counts half.
+/// Half-life of the waits that this entry has measured itself.
 const HALF_LIFE: Duration = Duration::from_millis(1500);
 
-/// Time for which the mean over all entries is believed; it comes five times a
-/// second.
+/// How long the reported mean of all entries is used. It arrives five times a second.
 const TOLD_FOR: Duration = Duration::from_millis(1500);
 
-/// Time after a start for which the pressure is taken to be full until something else
-/// is told. All entries start together after a loss of power, and all callers come
-/// back then. With no wait known, the 2,700 requests of the first 0.65 s were judged as
-/// on a calm day, and for three seconds nine in ten first events took up to 1.1 s.
+/// Time after startup in which full pressure is assumed until a mean of all entries is
+/// known. After a power loss all entries start and all callers return at the same time.
+/// Without this, the 2,700 requests of the first 0.65 s were judged as without pressure,
+/// and for three seconds nine in ten first events took up to 1.1 s.
 const START_PRESSED: Duration = Duration::from_millis(600);
 
-/// Which model to ask next.
+/// What to do with a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The answer goes to the caller.
+    /// Forward it to the caller.
     Keep,
-    /// The answer is dropped and this model is asked.
+    /// Discard it and ask this model.
     Ask(ModelId),
 }
 
-/// Decides between keeping an answer and asking a larger model.
+/// Decides whether to keep a response or to ask a larger model.
 #[derive(Clone, Debug, Default)]
 pub struct Cascade {
     waits: HashMap<ServiceId, Waits>,
-    /// Waits that the others should know of, with their number.
+    /// Waits that have not been reported to the other entries, as number and sum.
     fresh: HashMap<ServiceKey, (u32, f64)>,
-    /// Mean waits that all entries see, and when they were told.
+    /// Mean waits over all entries, with the time of their receipt.
     told: HashMap<ServiceKey, (f64, MonoTime)>,
-    /// Until when the pressure is full where nothing is told.
+    /// End of the startup phase, in which full pressure is assumed if no mean is known.
     pressed_until: MonoTime,
 }
 
 impl Cascade {
-    /// Notes how long a first event took, and within which time it is on time.
+    /// Records how long a first event took, and its target time.
     pub fn waited(&mut self, now: MonoTime, service: &ServiceId, took: Duration, target: Duration) {
         let share = took.as_secs_f64() / target.as_secs_f64().max(0.001);
         let waits = self.waits.entry(service.clone()).or_default();
@@ -99,12 +96,12 @@
         *sum += share;
     }
 
-    /// Notes that this entry has its first configuration.
+    /// Records that this entry has received its first configuration.
     pub fn started(&mut self, now: MonoTime) {
         self.pressed_until = now + START_PRESSED;
     }
 
-    /// Takes the waits that the others should know of.
+    /// Takes the waits to report to the other entries.
     pub fn take_fresh(&mut self) -> Vec<WaitsOf> {
         let waits = |(service, (count, sum))| WaitsOf {
             service,
@@ -114,13 +111,13 @@
         self.fresh.drain().map(waits).collect()
     }
 
-    /// Takes the mean waits that all entries see.
+    /// Sets the mean waits over all entries.
     pub fn told(&mut self, now: MonoTime, means: impl IntoIterator<Item = MeanWait>) {
         let told = |mean: MeanWait| (mean.service, (f64::from(mean.share), now));
         self.told.extend(means.into_iter().map(told));
     }
 
-    /// Judges the answer of a model by the confidence that it states.
+    /// Judges a response of a model by its stated confidence.
     pub fn judge(
         &self,
         now: MonoTime,
@@ -140,7 +137,7 @@
         Step::Ask(largest.clone())
     }
 
-    /// Returns the confidence from which an answer of a service is kept now.
+    /// Returns the current confidence threshold of a service.
     pub fn keep_from(&self, now: MonoTime, service: &ServiceId, expense: f64) -> f64 {
         let wait = self.wait(now, service);
         let pressure = (wait - CALM_WAIT) / (PRESSED_WAIT - CALM_WAIT);
@@ -148,7 +145,7 @@
         calm + (KEEP_PRESSED - calm) * pressure.clamp(0.0, 1.0)
     }
 
-    /// Returns the mean wait at a service, over all entries if that is known.
+    /// Returns the mean wait for a service, over all entries if it is known.
     fn wait(&self, now: MonoTime, service: &ServiceId) -> f64 {
         let told = self.told.get(&waits::key(service));
         match told {
@@ -162,7 +159,8 @@
     }
 }
 
-/// Returns the tokens that a model is paid for, for each token of the answer.
+/// Returns the relative cost of a request: the number of tokens charged for each token of
+/// the response, counted in prices of generated tokens.
 pub fn expense(prompt_tokens: u32, answer_tokens: Option<u32>) -> f64 {
     let Some(answer) = answer_tokens.filter(|&tokens| tokens > 0) else {
         return USUAL_EXPENSE;
--- a/sesamebeam_core/src/gateway/cold.rs
+++ b/sesamebeam_core/src/gateway/cold.rs
@@ -1,20 +1,21 @@
-//! Backend servers that are cold: each bears a few requests a second, from all entries
-//! together, and crashes well above.
+//! Load limits for cold backend servers: each can handle only a few requests a second
+//! from all entries together, and crashes well above that.
 //!
-//! No entry sees what the others send. So a cold one gets nothing while the warm ones have
-//! room, and in turns where they have not or none can be reached: after the loss of a
-//! failure domain's power, or where a service has few backend servers, all of them may be
-//! cold at once.
+//! Entries don't see each other's requests. A cold backend server gets no requests while
+//! the warm ones have capacity left. Otherwise, or if no warm one is reachable, it gets
+//! requests in turns: after a power loss in a failure domain, or if a service has few
+//! backend servers, all of them can be cold at once.
 //!
-//! An entry has a turn at a cold backend server once in a period that is as long as all
-//! entries need to take one each at half of the rate that is borne. When in the period
-//! it comes follows from the names of both, so that turns are spread like requests that
-//! come by chance, whatever else an entry believes, and one that was not used is lost:
-//! permissions that were kept would all be used at once. The sum over any second is
-//! binomial. Of 74 entries, at a backend server that bears 14 requests a second and must
-//! get no more than 26 in any, each has its turn in a given second, with the 0.4 s that
-//! it stands on top, with probability 0.13; more than 26 have in less than one of 100,000
-//! (`cold::worst_second`).
+//! Each entry has one turn at a cold backend server per period. A period is as long as
+//! all entries need for one turn each at half of the tolerated rate. The position of the
+//! turn within the period follows from the names of the entry and the backend server, so
+//! that the turns are distributed like random arrivals, independent of the state of any
+//! entry. Unused turns expire; if they were saved, all of them could be used at once. The
+//! number of turns within any second is binomially distributed. For example, with 74
+//! entries and a backend server that handles 14 requests a second and must never get more
+//! than 26 in one, an entry's turn overlaps a given second (extended by the 0.4 s that a
+//! turn lasts) with probability 0.13, and more than 26 turns do so with probability below
+//! one in 100,000 (test `cold::worst_second`).
 
 use std::{
     collections::{
@@ -42,33 +43,34 @@
     policy::hash,
 };
 
-/// Share of the rate that a cold backend server bears which all turns at it make: what
-/// is left is for the chance that many fall together, and for sends that are held up.
+/// Share of a cold backend server's tolerated rate that is assigned to turns. The rest is
+/// a margin for turns that coincide by chance and for delayed sends.
 pub const SHARE: f64 = 0.5;
 
-/// Mean load of the warm ones, as a share of their slots, from which cold ones take a part
-/// of it. Below it a prompt that warm ones keep is served better there.
+/// Mean load of the warm backend servers, relative to their slots, from which cold ones
+/// also get requests. Below it, requests are better served by the warm ones, which have
+/// prompts cached.
 pub const PRESSED: f64 = 0.75;
 
-/// Longest time for which a turn stands. An entry of a large fleet sends a few requests
-/// a second and needs one of them to fall into it.
+/// Maximum length of a turn. An entry in a large fleet sends only a few requests a
+/// second, one of which has to fall into the turn.
 pub const TURN: Duration = Duration::from_millis(400);
 
-/// What one entry knows of cold backend servers, and its turns.
+/// Cold backend servers as seen by one entry, and its turns at them.
 #[derive(Debug)]
 pub struct Cold {
-    /// Name of this entry, which places its turns.
+    /// Name of this entry, which determines the position of its turns.
     name: SmolStr,
-    /// Entries that take turns; none does before there is a count.
+    /// Number of entries that share the turns. There are no turns until it is known.
     entries: EntryCount,
-    /// When failure domains were last taken back.
+    /// Time at which the evacuation of each failure domain last ended.
     readmitted: BTreeMap<DomainId, MonoTime>,
-    /// Last turn that was used at each backend server.
+    /// Number of the last used turn at each backend server.
     used: HashMap<ServerId, u64>,
 }
 
 impl Cold {
-    /// Starts with nothing known.
+    /// Creates an empty table.
     pub fn new(name: SmolStr) -> Self {
         Self {
             name,
@@ -78,20 +80,21 @@
         }
     }
 
-    /// Notes how many entries there are.
+    /// Sets the number of entries.
     pub fn set_entries(&mut self, now: MonoTime, entries: u32) {
         self.entries.hear(now, entries);
     }
 
-    /// Notes that a failure domain is no longer evacuated.
+    /// Records that the evacuation of a failure domain has ended.
     pub fn readmit(&mut self, now: MonoTime, domain: DomainId) {
         self.readmitted.insert(domain, now);
     }
 
-    /// Returns whether a backend server is cold, or may be.
+    /// Returns whether a backend server is cold or may be.
     ///
-    /// In a failure domain that is taken back they may have become so moments before,
-    /// of which they tell with their next announcement, over a second later.
+    /// In a failure domain whose evacuation has just ended, backend servers may have
+    /// restarted a moment before. Their next announcement says so, but can take more than
+    /// a second.
     pub fn is_cold(&self, now: MonoTime, known: &Known, limits: Option<&ColdConfig>) -> bool {
         let Some(limits) = limits else {
             return false;
@@ -101,26 +104,25 @@
         may_be || now < known.cold_until
     }
 
-    /// Returns whether this entry has a turn at a cold backend server now that it has
-    /// not used.
+    /// Returns whether this entry currently has an unused turn at a cold backend server.
     pub fn has_turn(&self, now: MonoTime, id: &ServerId, limits: &ColdConfig) -> bool {
         let turn = self.turn(now, id, limits);
         turn.is_some_and(|turn| self.used.get(id) != Some(&turn))
     }
 
-    /// Uses the turn at a backend server, if there is one now.
+    /// Marks the current turn at a backend server as used, if there is one.
     pub fn use_turn(&mut self, now: MonoTime, id: &ServerId, limits: &ColdConfig) {
         if let Some(turn) = self.turn(now, id, limits) {
             self.used.insert(id.clone(), turn);
         }
     }
 
-    /// Forgets turns at backend servers that are gone.
+    /// Removes the turns at backend servers that no longer exist.
     pub fn retain(&mut self, known: impl Fn(&ServerId) -> bool) {
         self.used.retain(|id, _| known(id));
     }
 
-    /// Returns the number of this entry's turn at a backend server, if it is now.
+    /// Returns the number of this entry's turn at a backend server, if it is in progress.
     fn turn(&self, now: MonoTime, id: &ServerId, limits: &ColdConfig) -> Option<u64> {
         let rate = limits.per_second * SHARE;
         let entries = self.entries.most();
--- a/sesamebeam_core/src/gateway/config.rs
+++ b/sesamebeam_core/src/gateway/config.rs
@@ -1,4 +1,4 @@
-//! A configuration of routes, services and organisations, and its checks.
+//! Configuration of routes, services and organisations, and its validation.
 
 use std::{
     collections::HashSet,
@@ -13,77 +13,77 @@
     OrgId, //
 };
 
-/// Number of a configuration; the highest is in force.
+/// Version of a configuration; the highest one is active.
 pub type ConfigVersion = u64;
 
-/// Name of a service, a set of backend servers that answer alike.
+/// Name of a service, a set of interchangeable backend servers.
 pub type ServiceId = SmolStr;
 
 /// Name of a route.
 pub type RouteId = SmolStr;
 
-/// Rank of a request; 0 is the most urgent.
+/// Priority rank of a request; 0 is the most urgent.
 pub type Rank = u8;
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GatewayConfig {
-    /// Its number.
+    /// Version of this configuration.
     pub version: ConfigVersion,
-    /// Routes in no particular order.
+    /// Routes, in no particular order.
     pub routes: Vec<RouteConfig>,
-    /// Services that routes may name.
+    /// Services that routes can refer to.
     pub services: Vec<ServiceConfig>,
-    /// Bounds on what callers may send.
+    /// Limits on requests.
     pub limits: Limits,
-    /// Organisations with their keys; none if requests need no key.
+    /// Organisations with their keys. If there are none, requests need no key.
     pub organisations: Vec<OrganisationConfig>,
 }
 
-/// Whether a request may be sent again after it may have run.
+/// Whether a request that may have been executed can be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may run any number of times.
+    /// It can be executed any number of times.
     Idempotent,
-    /// It may run once at most.
+    /// It must be executed at most once.
     AtMostOnce,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteConfig {
-    /// Name.
+    /// Unique name.
     pub name: RouteId,
-    /// Host that requests name.
+    /// Host of its requests.
     pub host: SmolStr,
-    /// Start of the paths that it takes, with a slash at both ends.
+    /// Path prefix, with a slash at both ends.
     pub prefix: SmolStr,
-    /// Whether its requests may be repeated.
+    /// Whether its requests can be repeated.
     pub repeat: Repeat,
-    /// Whether its answers are streams of events.
+    /// Whether its responses are event streams.
     pub streaming: bool,
-    /// Whether a stream that broke off may go on at another backend server.
+    /// Whether an interrupted stream can be resumed at another backend server.
     pub resumable: bool,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time for which a caller waits.
     pub timeout: Duration,
-    /// Time to the answer, or to its first event, that is on time.
+    /// Target time to the response, or to its first event.
     pub target: Duration,
-    /// Longest pause between events that is on time.
+    /// Target for the longest time between two events.
     pub gap: Option<Duration>,
     /// Rank of its requests.
     pub rank: Rank,
-    /// Models to choose from, smallest first; none if the caller names one.
+    /// Models of the cascade, smallest first. Empty if the caller selects the model.
     pub sizes: Vec<ModelId>,
     /// Services with their weights.
     pub backends: Vec<(ServiceId, u32)>,
-    /// Most backend servers that one request may be sent to.
+    /// Maximum number of backend servers to which one request is sent.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests without a key are accepted.
     pub anonymous: bool,
 }
 
 impl RouteConfig {
-    /// Returns whether a request that may have run must not be sent again.
+    /// Returns whether a request that may have been executed must not be sent again.
     pub fn runs_once(&self) -> bool {
         match self.repeat {
             Repeat::Idempotent => false,
@@ -92,57 +92,56 @@
     }
 }
 
-/// One service.
+/// A service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceConfig {
-    /// Name.
+    /// Unique name.
     pub name: ServiceId,
-    /// Path of its health check.
+    /// Path of the health check.
     pub health_path: SmolStr,
-    /// Connections that one of its backend servers takes from all callers.
+    /// Number of connections that a backend server accepts from all entries together.
     pub max_connections: u32,
-    /// What a cold backend server of it bears; none if a cold one bears as much as any.
+    /// Load limits of a cold backend server, if they differ from those of a warm one.
     pub cold: Option<ColdConfig>,
-    /// What runs its models, if it runs any.
+    /// Inference engine, if the service runs models.
     pub engine: Option<EngineConfig>,
 }
 
-/// What a backend server that is cold bears: well above it, it crashes.
+/// Load limits of a cold backend server, which crashes well above them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdConfig {
-    /// Time for which one is cold after its start.
+    /// How long a backend server is cold after its start.
     pub lasts: Duration,
-    /// Requests a second, from all entries together.
+    /// Requests a second from all entries together.
     pub per_second: f64,
 }
 
-/// What runs the models of a service.
+/// Inference engine of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineConfig {
-    /// Requests that run together.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Capacity of its KV cache in tokens.
     pub memory_tokens: u64,
-    /// Models with their cost for 1,000 generated tokens.
+    /// Models with their cost per 1,000 generated tokens.
     pub models: Vec<(ModelId, f64)>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of the request line and headers.
+    /// Maximum size of the request line and headers in bytes.
     pub max_header: usize,
-    /// Bytes of a body.
+    /// Maximum size of a body in bytes.
     pub max_body: usize,
-    /// Time for a whole head to arrive.
+    /// Maximum time for a complete head to arrive.
     pub header_timeout: Duration,
-    /// Time that a connection may stay idle.
+    /// How long a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// Bounds in force before a configuration is known: those that common
-    /// servers ship with.
+    /// Limits until a configuration is known, equal to the defaults of common servers.
     fn default() -> Self {
         Self {
             max_header: 16 << 10,
@@ -153,32 +152,32 @@
     }
 }
 
-/// One organisation.
+/// An organisation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrganisationConfig {
-    /// Name.
+    /// Unique name.
     pub name: OrgId,
-    /// Keys by which its callers are known.
+    /// API keys of its callers.
     pub keys: Vec<SmolStr>,
-    /// Rank of its requests, which goes before the route's.
+    /// Rank of its requests. It takes precedence over the route's.
     pub rank: Option<Rank>,
 }
 
-/// Why a configuration is refused.
+/// Reason for which a configuration is rejected.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ConfigFault {
-    /// It cannot be read.
+    /// The document cannot be parsed.
     #[error("cannot be read: {0}")]
     Unreadable(String),
-    /// A route names a service that is not declared.
+    /// A route refers to an undeclared service.
     #[error("route {route} names the unknown service {service}")]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: RouteId,
-        /// The name.
+        /// Name of the service.
         service: ServiceId,
     },
-    /// Two routes take the same requests.
+    /// Two routes have the same host and prefix.
     #[error("routes {first} and {second} have the same host and prefix")]
     SamePlace {
         /// One of them.
@@ -186,10 +185,10 @@
         /// The other.
         second: RouteId,
     },
-    /// No service of a route has weight.
+    /// All services of a route have zero weight.
     #[error("the weights of route {0} add up to 0")]
     NoWeight(RouteId),
-    /// A route gives no time.
+    /// A route has no timeout.
     #[error("the timeout of route {0} is 0")]
     NoTimeout(RouteId),
     /// Two organisations share a key.
@@ -203,11 +202,11 @@
 }
 
 impl GatewayConfig {
-    /// Checks what the parts say of each other.
+    /// Validates the references between the parts.
     ///
     /// # Errors
     ///
-    /// Fails with the first fault found.
+    /// Returns the first error found.
     pub fn check(&self) -> Result<(), ConfigFault> {
         let services: HashSet<&ServiceId> = self.services.iter().map(|s| &s.name).collect();
         for route in &self.routes {
@@ -217,7 +216,7 @@
         self.check_keys()
     }
 
-    /// Returns a service.
+    /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&ServiceConfig> {
         self.services.iter().find(|s| s.name == name)
     }
--- a/sesamebeam_core/src/gateway/connections.rs
+++ b/sesamebeam_core/src/gateway/connections.rs
@@ -1,22 +1,22 @@
-//! Connections that an entry keeps to a backend server.
+//! Limit on idle connections from an entry to a backend server.
 //!
-//! A backend server takes so many from all entries together and resets the others. An
-//! entry that has had a surge keeps what it opened for seconds, and needs little of it;
-//! nine that keep 24 each take up 216 of 110, and callers elsewhere find their connections
-//! reset. So each keeps its part, and what is left is free for requests under way.
+//! A backend server accepts a limited number of connections from all entries together and
+//! resets the others. After a burst, an entry keeps its connections for seconds although
+//! it needs few of them: nine entries with 24 idle connections each would hold 216 where
+//! the limit is 110, and requests of other entries would be reset. Each entry therefore
+//! keeps only its share, which leaves connections for requests in flight.
 
-/// Share of the connections that a backend server takes which all entries together keep
-/// idle.
+/// Share of a backend server's connections that all entries together may keep idle.
 const IDLE_SHARE: f64 = 0.5;
 
-/// Most idle connections that are worth keeping to one backend server.
+/// Maximum number of idle connections per backend server that are worth keeping.
 const MOST: usize = 24;
 
-/// Returns how many idle connections one of some entries keeps to a backend server that
-/// takes this many from all of them.
+/// Returns how many idle connections an entry may keep to a backend server.
 ///
-/// With more entries than there are connections even one each may be too many; none are
-/// kept then. A service that does not say how many it takes has 0.
+/// `max_connections` is the number that the backend server accepts from all entries, or 0
+/// if it is unknown. With more entries than connections even one each may be too many,
+/// and none are kept.
 pub fn most_idle(max_connections: u32, entries: u32) -> usize {
     if max_connections == 0 {
         return MOST;
--- a/sesamebeam_core/src/gateway/crashes.rs
+++ b/sesamebeam_core/src/gateway/crashes.rs
@@ -1,9 +1,9 @@
-//! Requests that crash the backend servers that run them.
+//! Detection of requests that crash backend servers.
 //!
-//! Such a request comes again and again, through any entry, and takes a backend
-//! server with it each time. It is known by its path, caller and body. Whatever
-//! ran beside it when a backend server went down is counted once as well, so
-//! that only several crashes of different backend servers convict.
+//! Such a request is retried through any entry and crashes a backend server each time. It
+//! is identified by its path, caller and body. All other requests that were running at
+//! the same backend server are counted as well, so a request is only quarantined after
+//! crashes of several different backend servers.
 
 use std::collections::{
     BTreeSet,
@@ -16,22 +16,22 @@
 };
 use crate::ids::Digest;
 
-/// Crashes after which a request is not run any more. A request that merely ran
-/// beside is there for one, rarely for two, as it goes on elsewhere.
+/// Number of crashes after which a request is quarantined. An unrelated request that was
+/// running at the same time is counted once, rarely twice, as it is retried elsewhere.
 const CONVICTING: usize = 3;
 
-/// Requests that are kept in mind; the oldest are forgotten. An outage of all
-/// backend servers reports some thousand.
+/// Maximum number of requests to track; the oldest are dropped. An outage of all backend
+/// servers reports a few thousand.
 const MAX_KEPT: usize = 4096;
 
-/// Crashes by the request that was running.
+/// Crashed backend servers by running request.
 #[derive(Clone, Debug, Default)]
 pub struct Crashes {
     kept: VecDeque<(Digest, BTreeSet<Life>)>,
 }
 
 impl Crashes {
-    /// Counts a crash and returns whether it convicts its request.
+    /// Counts a crash and returns whether its request is now quarantined.
     pub fn count(&mut self, crash: Crash) -> bool {
         let found = self.kept.iter_mut().find(|(f, _)| *f == crash.fingerprint);
         if let Some((_, servers)) = found {
@@ -45,7 +45,7 @@
         false
     }
 
-    /// Returns the requests that are not to be run any more.
+    /// Returns the quarantined requests.
     pub fn quarantined(&self) -> Vec<Digest> {
         let convicted = self.kept.iter().filter(|(_, s)| s.len() >= CONVICTING);
         convicted.map(|(fingerprint, _)| *fingerprint).collect()
--- a/sesamebeam_core/src/gateway/lengths.rs
+++ b/sesamebeam_core/src/gateway/lengths.rs
@@ -1,4 +1,4 @@
-//! Lengths of prompts, and the rank that an engine is told by them.
+//! Prompt lengths, and the engine rank that is derived from them.
 
 use std::collections::HashMap;
 
@@ -11,31 +11,31 @@
     table::Table,
 };
 
-/// Most that an engine tells ranks apart.
+/// Number of ranks that an engine distinguishes.
 const ENGINE_RANKS: usize = 10;
 
-/// Lengths of prompts that are told apart: short, usual and long.
+/// Number of length classes: short, medium and long.
 const SIZES: usize = 3;
 
-/// How many times longer or shorter than the mean of its route a prompt is to
-/// count as long or short.
+/// Ratio to the mean length of its route from which a prompt counts as long, or below
+/// whose inverse it counts as short.
 const SIZE_STEP: f64 = 2.0;
 
-/// Weight of the newest prompt in the mean of its route.
+/// Weight of the latest prompt in the moving average of its route.
 const SIZE_WEIGHT: f64 = 0.02;
 
-/// Mean lengths of prompts, in tokens.
+/// Mean prompt lengths by route, in tokens.
 #[derive(Debug, Default)]
 pub(super) struct Lengths {
     means: HashMap<RouteId, f64>,
 }
 
 impl Lengths {
-    /// Returns the rank that an engine is told.
+    /// Returns the rank to send to the engine.
     ///
-    /// An engine reads prompts one after the other within a rank: one of 50,000
-    /// tokens before one of 500 makes it wait for a second. Shorter ones first
-    /// shortens the mean wait; a rank never passes a more urgent one.
+    /// Within a rank, an engine prefills one prompt at a time: a prompt of 50,000 tokens
+    /// ahead of one of 500 delays it by a second. Running shorter prompts first reduces
+    /// the mean wait. A request never overtakes one of a more urgent rank.
     pub(super) fn engine_rank(
         &mut self,
         table: &Table,
--- a/sesamebeam_core/src/gateway/loads.rs
+++ b/sesamebeam_core/src/gateway/loads.rs
@@ -1,9 +1,10 @@
-//! Loads of backend servers as all entries together know them.
+//! Loads of backend servers, shared among all entries.
 //!
-//! With many entries each one hears from a backend server once in many seconds.
-//! What one hears is passed on to the others by the control replicas. What a process sends stays the same however many backend servers
-//! there are: beyond [`MOST_TOLD`] only those with the highest load are told,
-//! which are the ones to pass over.
+//! With many entries, each one gets a response from a given backend server only once in
+//! many seconds. The control replicas therefore pass on the loads that any entry has
+//! seen. The size of a report is bounded regardless of the number of backend servers: if
+//! there are more than [`MAX_REPORTED`], only those with the highest load are included,
+//! as these are the ones to avoid.
 
 use std::{
     collections::HashMap,
@@ -25,43 +26,44 @@
     policy::hash, //
 };
 
-/// Least pause between two reports of what was heard, a little less than the
-/// 200 ms between looks at what is due. A queue that matters lasts for longer.
+/// Minimum interval between two load reports, slightly less than the 200 ms interval at
+/// which due messages are checked. A queue that matters lasts longer than this.
 pub const TELL_EVERY: Duration = Duration::from_millis(180);
 
-/// Most loads in one report: with eight bytes each, 11 KB a second, which with
-/// the rest stays below the 14 KB that an entry may receive.
+/// Maximum number of loads in one report. At eight bytes each this is 11 KB a second,
+/// which leaves room for the other messages within the 14 KB a second that an entry may
+/// receive.
 pub const MOST_TOLD: usize = 256;
 
-/// Mean number of requests at a backend server below which those with a few are like the
-/// others.
+/// Mean number of requests per backend server below which small loads are not reported.
 const IDLE_MEAN: f64 = 0.25;
 
-/// Hash of a backend server's name. Two that share one pass for each other,
-/// which with 10,000 of them happens to one in a hundred.
+/// Hash of a backend server's name. With 10,000 backend servers, a collision exists with
+/// a probability of about one in a hundred; the servers concerned are then taken for each
+/// other.
 pub type ServerKey = u32;
 
 /// Returns the key of a backend server.
 pub fn key(id: &ServerId) -> ServerKey {
-    // The low half of a good hash is as good.
+    // The lower half of a 64-bit hash is sufficiently uniform.
     hash::name(id.as_bytes()) as ServerKey
 }
 
 /// Load of one backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadOf {
-    /// Which.
+    /// Key of the backend server.
     pub server: ServerKey,
-    /// Requests that it runs.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Milliseconds for which it reads long prompts.
+    /// Remaining prefill time of long prompts, in milliseconds.
     pub reading: u16,
 }
 
 impl LoadOf {
-    /// Makes one of what a backend server said.
+    /// Creates a record from the load that a backend server has reported.
     pub fn new(id: &ServerId, load: Load) -> Self {
         Self {
             server: key(id),
@@ -71,35 +73,35 @@
         }
     }
 
-    /// Adds for how long it reads long prompts.
+    /// Sets the remaining prefill time of long prompts.
     pub fn reading(self, left: Duration) -> Self {
         let reading = u16::try_from(left.as_millis()).unwrap_or(u16::MAX);
         Self { reading, ..self }
     }
 
-    /// Returns for how long it reads long prompts.
+    /// Returns the remaining prefill time of long prompts.
     pub fn reads_for(&self) -> Duration {
         Duration::from_millis(self.reading.into())
     }
 
-    /// Returns the requests that it runs and that wait there.
+    /// Returns the number of running and queued requests.
     pub fn total(&self) -> u32 {
         self.running.saturating_add(self.waiting)
     }
 }
 
-/// Loads that were heard since the last report.
+/// Loads that were received since the last report.
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
-    /// Each with when the engine will have read its long prompts.
+    /// Each load with the time at which the prefill of its long prompts will be finished.
     fresh: HashMap<ServerKey, (LoadOf, MonoTime)>,
     told_at: MonoTime,
 }
 
 impl Loads {
-    /// Takes loads that were heard. Of several of one backend server the highest
-    /// is told: what waits there was heard of by one entry, and others may hear of
-    /// the time before it later.
+    /// Merges received loads. The highest of several loads of one backend server is
+    /// reported: a queue is seen first by a single entry, and reports from before it
+    /// formed may arrive later from others.
     pub fn take(&mut self, now: MonoTime, loads: impl IntoIterator<Item = LoadOf>) {
         for load in loads {
             let until = now + load.reads_for();
@@ -111,11 +113,10 @@
         }
     }
 
-    /// Returns what is to be told now, if its time has come.
+    /// Returns the loads to report, if a report is due.
     ///
-    /// `among` is the number of backend servers, 0 if it is not known. Where these have
-    /// hardly any requests, loads up to [`LOAD_SPARE`] are left out: a choice passes over
-    /// none of them.
+    /// `among` is the number of backend servers, or 0 if it is unknown. If these are
+    /// mostly idle, loads up to [`LOAD_SPARE`] are omitted, since balancing ignores them.
     pub fn due(&mut self, now: MonoTime, among: usize) -> Option<Vec<LoadOf>> {
         if self.fresh.is_empty() || now < self.told_at + TELL_EVERY {
             return None;
--- a/sesamebeam_core/src/gateway/paths.rs
+++ b/sesamebeam_core/src/gateway/paths.rs
@@ -1,10 +1,10 @@
-//! Ways to whole failure domains.
+//! Reachability of whole failure domains.
 //!
-//! An entry with a few requests a second finds out about each backend server by
-//! itself too slowly: behind a way that is cut, every one of dozens would cost a
-//! request the wait for a connection, and again after each pause. Several of one
-//! failure domain that cannot be reached, with nothing heard from any other
-//! there, tell of all of them.
+//! An entry with few requests a second would detect too slowly that a whole failure
+//! domain is unreachable: each of its dozens of backend servers would cost a request a
+//! connect timeout, and another one after each retry delay. If several backend servers of
+//! a failure domain are unreachable and none of the others there has responded, the whole
+//! domain is taken to be unreachable.
 
 use std::{
     collections::HashMap,
@@ -20,37 +20,38 @@
     MonoTime, //
 };
 
-/// Backend servers in a row that cannot be reached from which the way to their
-/// failure domain counts as cut: one is often down by itself.
+/// Number of unreachable backend servers, without any response from their failure domain
+/// in between, from which the domain counts as unreachable. A single one is often down by
+/// itself.
 const CUT_FROM: usize = 2;
 
-/// Longest pause: what a request that tries the way then waits in vain is a
-/// small share of it, and backend servers behind a way that is whole again stand
-/// unused for no longer.
+/// Maximum retry delay. It is long compared with the time that a request loses on a
+/// failed attempt, and limits how long backend servers stay unused after the domain is
+/// reachable again.
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 
-/// The way to one failure domain, from the first failure on.
+/// State of a failure domain since the first failed attempt.
 #[derive(Clone, Debug, Default)]
 struct Way {
-    /// Those that could not be reached since anything was heard from there.
+    /// Unreachable backend servers since the last response from this domain.
     unreached: Vec<ServerId>,
-    /// Pause in which requests go elsewhere.
+    /// Delay during which requests go elsewhere.
     pause: Pause,
 }
 
-/// What one entry knows of the ways to failure domains.
+/// Reachability of failure domains as seen by one entry.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Paths {
     ways: HashMap<DomainId, Way>,
 }
 
 impl Paths {
-    /// Notes that something came from a failure domain.
+    /// Records a response from a failure domain.
     pub(super) fn heard(&mut self, domain: &str) {
         self.ways.remove(domain);
     }
 
-    /// Notes that a backend server could not be reached.
+    /// Records that a backend server could not be reached.
     pub(super) fn unreached(&mut self, now: MonoTime, domain: &DomainId, id: &ServerId) {
         let way = self.ways.entry(domain.clone()).or_default();
         if !way.is_cut() && !way.unreached.contains(id) {
@@ -61,9 +62,9 @@
         }
     }
 
-    /// Notes that a request is sent to a failure domain. Behind a way that was
-    /// found cut it is the only one until the next pause is over: the outcome
-    /// tells as much as those of many.
+    /// Records that a request is sent to a failure domain. If the domain is unreachable,
+    /// this is the only request to it until the next delay has passed, as one outcome is
+    /// as informative as many.
     pub(super) fn tries(&mut self, now: MonoTime, domain: &str) {
         if let Some(way) = self.ways.get_mut(domain)
             && way.is_cut()
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Returns whether requests should go elsewhere.
+    /// Returns whether requests should go to other failure domains.
     pub(super) fn avoids(&self, now: MonoTime, domain: &str) -> bool {
         let way = self.ways.get(domain);
         way.is_some_and(|way| way.is_cut() && !way.pause.is_over(now))
--- a/sesamebeam_core/src/gateway/pause.rs
+++ b/sesamebeam_core/src/gateway/pause.rs
@@ -1,13 +1,13 @@
-//! Growing pauses before something that could not be reached is tried again.
+//! Exponential delay before an unreachable peer is tried again.
 
 use std::time::Duration;
 
 use crate::ids::MonoTime;
 
-/// First pause: some hundred round trips within a region.
+/// Initial delay, some hundred round trips within a region.
 const FIRST: Duration = Duration::from_millis(250);
 
-/// A pause; each is twice as long as the one before.
+/// A retry delay, which doubles each time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Pause {
     until: MonoTime,
@@ -15,18 +15,18 @@
 }
 
 impl Pause {
-    /// Starts the next one, no longer than `longest`.
+    /// Starts the next delay, of at most `longest`.
     pub(super) fn lengthen(&mut self, now: MonoTime, longest: Duration) {
         self.length = (self.length * 2).clamp(FIRST, longest);
         self.until = now + self.length;
     }
 
-    /// Has it last for some time from now at least.
+    /// Extends the current delay to at least `length` from now.
     pub(super) fn at_least(&mut self, now: MonoTime, length: Duration) {
         self.until = self.until.max(now + length);
     }
 
-    /// Returns whether it is over.
+    /// Returns whether the delay has passed.
     pub(super) fn is_over(&self, now: MonoTime) -> bool {
         self.until <= now
     }
--- a/sesamebeam_core/src/gateway/reading.rs
+++ b/sesamebeam_core/src/gateway/reading.rs
@@ -1,10 +1,10 @@
-//! Times that engines take to read prompts.
+//! Prefill times of engines.
 //!
-//! An engine reads one prompt after the other, and a large model reads ten times
-//! as slowly as a small one: 58,000 tokens took it 2.4 s, in which whatever was
-//! sent to that engine waited. Its reports say nothing of it, as they come with
-//! the first events. How long each model takes is learned from the waits for
-//! these, and who has been sent a long prompt is known from the moment it is sent.
+//! An engine prefills one prompt at a time, and a large model needs ten times as long as
+//! a small one: a prompt of 58,000 tokens took it 2.4 s, during which all other requests
+//! at this engine waited. Load reports don't show this, as they arrive with the first
+//! events. The prefill time of each model is therefore learned from the waits for first
+//! events, and a long prompt is counted at its engine from the moment it is sent.
 
 use std::{
     collections::HashMap,
@@ -17,34 +17,35 @@
     MonoTime, //
 };
 
-/// Tokens from which the wait for a first event tells how fast a prompt was read:
-/// below, what an engine does for any request outweighs it.
+/// Minimum prompt length for which the wait for a first event indicates the prefill
+/// speed. For shorter prompts, the fixed cost of a request dominates.
 const TELLING_TOKENS: u32 = 4_000;
 
-/// Time for a token until any was measured: what engines state for small models,
-/// 100 to 160 tokens in a millisecond.
+/// Initial prefill time per token, in seconds. The documented speed of engines with small
+/// models is 100 to 160 tokens per millisecond.
 const FIRST_RATE: f64 = 10e-6;
 
-/// Share of waits that are shorter than the expected one. Waits hold the time in
-/// the queue as well, so that the shorter ones tell of reading alone.
+/// Quantile of the waits that is taken as the prefill time. Waits include queueing, so
+/// the shorter ones reflect the prefill alone.
 const QUANTILE: f64 = 0.3;
 
-/// How far one wait moves the expectation: ten in a row of one kind by half.
+/// Relative step by which one wait adjusts the estimate. Ten consecutive waits on one
+/// side change it by half.
 const STEP: f64 = 0.1;
 
-/// Time of reading from which a prompt is one that others wait for: it takes as
-/// long as reading the shared parts of a prompt anew elsewhere, and a tenth of the
-/// time in which first events are on time.
+/// Prefill time from which other requests are kept away from the engine. It is as long as
+/// prefilling the shared parts of a prompt again elsewhere, and a tenth of the target
+/// time of first events.
 pub(super) const LONG: Duration = Duration::from_millis(150);
 
-/// Times for a token, in seconds, by service and model.
+/// Prefill time per token in seconds, by service and model.
 #[derive(Debug, Default)]
 pub(super) struct ReadingTimes {
     rates: HashMap<(ServiceId, Option<ModelId>), f64>,
 }
 
 impl ReadingTimes {
-    /// Notes how long the first event after a prompt took.
+    /// Records the wait for the first event after a prompt.
     pub(super) fn note(
         &mut self,
         service: &ServiceId,
@@ -62,7 +63,7 @@
         *rate *= 1.0 + STEP * (QUANTILE - is_shorter);
     }
 
-    /// Returns how long a model is expected to read a prompt.
+    /// Returns the expected prefill time of a prompt.
     pub(super) fn expect(&self, service: &ServiceId, model: Option<&str>, tokens: u32) -> Duration {
         let key = (service.clone(), model.map(ModelId::from));
         let rate = self.rates.get(&key).copied().unwrap_or(FIRST_RATE);
@@ -70,41 +71,41 @@
     }
 }
 
-/// Long prompts that one engine has yet to read.
+/// Long prompts that an engine has yet to prefill.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Queue {
-    /// Time for those that this entry has sent.
+    /// Total prefill time of the prompts that this entry has sent.
     own: Duration,
-    /// When it will have read them.
+    /// Time at which the engine will have prefilled them.
     own_until: MonoTime,
-    /// When it will have read those of other entries.
+    /// Time at which it will have prefilled those of other entries.
     told_until: MonoTime,
 }
 
 impl Queue {
-    /// Notes that a prompt is sent there.
+    /// Records that a prompt was sent.
     pub(super) fn send(&mut self, now: MonoTime, reading: Duration) {
         self.own += reading;
         self.own_until = self.own_until.max(now) + reading;
     }
 
-    /// Notes that one was read, or that its request ended before.
+    /// Records that a prompt was prefilled, or that its request ended before that.
     pub(super) fn done(&mut self, now: MonoTime, reading: Duration) {
         self.own = self.own.saturating_sub(reading);
         self.own_until = now + self.own;
     }
 
-    /// Notes what other entries have sent there.
+    /// Records the remaining prefill time that other entries have reported.
     pub(super) fn told(&mut self, now: MonoTime, left: Duration) {
         self.told_until = self.told_until.max(now + left);
     }
 
-    /// Returns how long the engine reads what this entry has sent.
+    /// Returns the remaining prefill time of the prompts that this entry has sent.
     pub(super) fn own_left(&self, now: MonoTime) -> Duration {
         self.own_until.saturating_sub(now)
     }
 
-    /// Returns how long it reads what any entry has sent.
+    /// Returns the remaining prefill time of the prompts of all entries.
     pub(super) fn left(&self, now: MonoTime) -> Duration {
         self.own_until.max(self.told_until).saturating_sub(now)
     }
--- a/sesamebeam_core/src/gateway/request.rs
+++ b/sesamebeam_core/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! What a request and an answer say, free of the names used on the wire.
+//! Contents of request and response heads, independent of the header names on the wire.
 
 use std::time::Duration;
 
@@ -7,137 +7,140 @@
 use super::directory::ServerId;
 use crate::ids::ModelId;
 
-/// Statuses that turn a request away for want of room.
+/// Status codes that reject a request for lack of capacity.
 const TOO_MANY_REQUESTS: u16 = 429;
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// Id of a request, as its caller gave it.
+/// Id of a request, set by its caller.
 pub type CallId = SmolStr;
 
-/// One part of a prompt that may be kept in an engine's memory.
+/// A part of a prompt that an engine may have cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names the content together with all parts before it.
+    /// Identifies the content of this part and of all parts before it.
     pub id: u64,
-    /// Tokens in it.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What the head of a request says.
+/// Contents of a request head.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Head {
-    /// Id that the caller gave; a repeat by the caller has another.
+    /// Id set by the caller. A retry by the caller has a different one.
     pub id: CallId,
-    /// Host that it names.
+    /// Requested host.
     pub host: SmolStr,
     /// Path and query.
     pub path: SmolStr,
-    /// Key of its caller.
+    /// API key of the caller.
     pub key: Option<SmolStr>,
-    /// Time that its caller will wait.
+    /// Time for which the caller waits.
     pub deadline: Option<Duration>,
-    /// Model that it names; none if it leaves the choice open.
+    /// Requested model, or `None` to leave the choice to the entry.
     pub model: Option<ModelId>,
-    /// Parts of its prompt, in order.
+    /// Parts of the prompt, in order.
     pub prompt: Vec<PromptPart>,
-    /// Tokens of its prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Tokens that its answer is thought to have; none if it does not say.
+    /// Expected length of the response in tokens, if stated.
     pub answer_tokens: Option<u32>,
-    /// Session that it belongs to.
+    /// Session of the request.
     pub session: Option<SmolStr>,
-    /// Event after which a stream goes on.
+    /// Id of the last event that the caller has received of a stream to resume.
     pub resume_after: Option<u64>,
 }
 
 impl Head {
-    /// Returns the last part that other requests share: the last of all is the
-    /// request's own.
+    /// Returns the last part of the prompt that is shared with other requests. The final
+    /// part is always specific to this request.
     pub fn shared_part(&self) -> Option<&PromptPart> {
         self.prompt.iter().rev().nth(1)
     }
 
-    /// Returns the tokens of the prompt that no other request shares.
+    /// Returns the number of prompt tokens that are not shared with other requests.
     pub fn own_tokens(&self) -> u32 {
         let own = self.prompt.last().map(|part| part.tokens);
         own.unwrap_or(self.prompt_tokens)
     }
 }
 
-/// What is set on a request that goes to a backend server.
+/// Headers that are set on a request to a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing<'a> {
-    /// Backend server for which it is meant; any other refuses it.
+    /// Intended backend server. Any other one rejects the request.
     pub server: &'a ServerId,
-    /// Time that is left.
+    /// Remaining time.
     pub deadline: Duration,
-    /// Organisation of the caller.
+    /// Organisation of the caller, if known.
     pub organisation: Option<&'a str>,
-    /// Rank from 0, the most urgent.
+    /// Rank of the request; 0 is the most urgent.
     pub rank: u8,
-    /// Model to run, where the caller left the choice open.
+    /// Model to run, if the caller left the choice to the entry.
     pub model: Option<&'a str>,
-    /// Event after which the stream goes on.
+    /// Id of the event after which a stream resumes.
     pub resume_after: Option<u64>,
 }
 
-/// Requests at a backend server, as it counts them.
+/// Number of requests at a backend server, by its own count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Running.
+    /// Running requests.
     pub running: u32,
-    /// Waiting for a slot.
+    /// Requests that wait for a slot.
     pub waiting: u32,
-    /// Most that run together.
+    /// Maximum number of running requests.
     pub slots: u32,
 }
 
 impl Load {
-    /// Returns whether it leaves no room: all slots are taken, and as many requests
-    /// wait. One that refuses with room to spare is ill and not full.
+    /// Returns whether the backend server has no capacity left: all slots are in use, and
+    /// as many requests are queued. One that rejects requests with capacity left is
+    /// faulty rather than full.
     pub fn is_full(&self) -> bool {
         self.running >= self.slots && self.waiting >= self.slots
     }
 }
 
-/// What the head of an answer says.
+/// Contents of a response head.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AnswerHead {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
-    /// Id of the request that it answers.
+    /// Id of the request that this responds to.
     pub id: Option<CallId>,
-    /// Whether the backend server states that the request did not run.
+    /// Whether the backend server states that the request was not executed.
     pub not_run: bool,
-    /// Whether another life of a backend server answered than was meant.
+    /// Whether the response came from another incarnation of a backend server than
+    /// intended.
     pub misdirected: bool,
-    /// Whether it bears the mark of a backend server's own answer.
+    /// Whether the response carries the seal of a backend server, which marks it as its
+    /// own.
     pub sealed: bool,
-    /// Load when the answer began.
+    /// Load at the start of the response.
     pub load: Option<Load>,
-    /// Requests a second that the backend server takes from all entries together, for
-    /// as long as it says so.
+    /// Requests a second that the backend server accepts from all entries together, for
+    /// as long as it states this limit.
     pub limit: Option<f64>,
-    /// Time for which the backend server asks this entry to send it nothing, if it turns
-    /// the request away.
+    /// How long the backend server asks this entry to send it no requests, if it rejects
+    /// the request.
     pub retry_after: Option<Duration>,
-    /// Whether the backend server says that it leaves.
+    /// Whether the backend server announces that it is leaving.
     pub leaving: bool,
-    /// How sure the model is of its answer, 0 to 100.
+    /// Confidence of the model in its response, from 0 to 100.
     pub confidence: Option<u8>,
-    /// Whether the connection ends with this answer.
+    /// Whether the connection is closed after this response.
     pub closing: bool,
-    /// Time for which the connection may stay idle.
+    /// How long the connection may stay idle.
     pub keep_alive: Option<Duration>,
 }
 
 impl AnswerHead {
-    /// Returns whether it is a success.
+    /// Returns whether the status code is a success.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// Returns whether its status turns a request away for want of room.
+    /// Returns whether the status code rejects the request for lack of capacity.
     pub fn turns_away(&self) -> bool {
         matches!(self.status, TOO_MANY_REQUESTS | SERVICE_UNAVAILABLE)
     }
--- a/sesamebeam_core/src/gateway/rollout.rs
+++ b/sesamebeam_core/src/gateway/rollout.rs
@@ -1,9 +1,9 @@
-//! Roll-outs of a new version of a service.
+//! Rollouts of a new version of a service.
 //!
-//! The new version gets a small share of the traffic first. Its answers are
-//! compared with those of the versions before it in the same span of time; it
-//! takes over when half of the time has passed without evidence against it, and
-//! is rolled back as soon as there is some.
+//! The new version first serves a small share of the traffic as a canary. Its responses
+//! are compared with those of the previous versions in the same period. It is promoted
+//! when half of the rollout's duration has passed without evidence against it, and rolled
+//! back as soon as there is such evidence.
 
 use std::{
     collections::{
@@ -28,101 +28,105 @@
 };
 use crate::ids::MonoTime;
 
-/// Part of the allowed exposure that the share of a new version on trial takes:
-/// the rest is for the time after it has taken over.
+/// Part of the allowed exposure that is used by the traffic share of a canary. The rest
+/// is reserved for the time after its promotion.
 pub const TRIAL_PART: f64 = 0.4;
 
-/// Earliest share of the time of a roll-out at which a version takes over.
-/// Sessions must not change version in the first half.
+/// Earliest point of a rollout, as a share of its duration, at which a version is
+/// promoted. Sessions must not change version in the first half.
 const PROMOTE_FROM: f64 = 0.52;
 
-/// Time before the end at which a version that took over is called complete:
-/// operators ask about once a second how far it is.
+/// Time before the end of a rollout at which a promoted version counts as completed.
+/// Operators poll the state about once a second.
 const COMPLETE_BEFORE: Duration = Duration::from_millis(1200);
 
-/// What makes a version bad at any time. Two or three failures may be chance, and
-/// known bad versions fail from a tenth of their answers on.
+/// Criteria for an immediate rollback. Two or three failures may be chance; faulty
+/// versions fail at least a tenth of their responses.
 ///
-/// The evidence is the logarithm of a likelihood ratio. On a service that fails 20 in 100 of its own, four
-/// failures among ten are nothing: of 100 good versions there, 26 were stopped at 30
-/// requests a second by the excess alone, and one is now. Where nothing fails, four
-/// in 20 are twice as much as this.
+/// The evidence is the logarithm of a likelihood ratio. For a service that normally fails
+/// 20 in 100 requests, four failures among ten responses are insignificant: with the
+/// excess as the only criterion, 26 of 100 good versions were rolled back at 30 requests
+/// a second; with the evidence it is one. For a service that normally never fails, four
+/// failures among 20 responses give twice the evidence required here.
 const BAD: Suspicion = Suspicion {
     bad: 4,
     excess: 0.12,
     evidence: 5.0,
 };
 
-/// Failures, excess and evidence from which a version does not take over. A version
-/// that is stopped though it is good is sent again; one that takes over though it is
-/// bad is all that callers get once the old one is gone. Of a service that fails 15
-/// in 100, one that failed 11 of 42 under load took over.
+/// Criteria that prevent a promotion. They are stricter because the errors differ in
+/// cost: a good version that is rolled back can be rolled out again, while a faulty one
+/// that is promoted serves all requests once the old version is gone. For a service that
+/// fails 15 in 100 requests, a version that had failed 11 of 42 under load was promoted
+/// without them.
 const DOUBT: Suspicion = Suspicion {
     bad: 2,
     excess: 0.05,
     evidence: 2.0,
 };
 
-/// Span of the newest answers that are judged by themselves as well.
+/// Length of the period whose responses are also judged on their own.
 ///
-/// A version that fails only under load has many good answers by then: counted
-/// with all of them, 50 failures in five seconds were a tenth. The load of a burst
-/// lasts for some seconds.
+/// A version that fails only under load has many good responses by then: counted together
+/// with these, 50 failures in five seconds were only a tenth. The load of a burst lasts a
+/// few seconds.
 const RECENT: Duration = Duration::from_secs(4);
 
-/// What makes a version bad by its newest answers alone: by chance this evidence is
-/// reached once in some ten thousand spans, of which a roll-out has some hundred.
+/// Criteria for a rollback by recent responses alone. This evidence arises by chance once
+/// in about ten thousand periods, of which a rollout has a few hundred.
 const BAD_OF_LATE: Suspicion = Suspicion {
     evidence: 9.0,
     ..BAD
 };
 
-/// Step in which the newest answers are counted: reports come five a second.
+/// Length of the intervals in which recent responses are counted. Reports arrive five
+/// times a second.
 const RECENT_STEP: Duration = Duration::from_millis(200);
 
-/// Timed answers from which times are compared.
+/// Minimum number of timings for a comparison.
 const MIN_TIMED: u32 = 8;
 
-/// How many times slower than the versions before a bad one answers; within
-/// this, a difference may come from load.
+/// Ratio of its mean time to that of the previous versions from which a version counts as
+/// slow. Smaller differences may be caused by load.
 const SLOW_RATIO: f64 = 3.0;
 
-/// How far a roll-out is.
+/// Phase of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// The new version gets a share.
+    /// The new version serves a small share of the requests.
     Canary,
-    /// The new version gets all requests; old ones finish theirs.
+    /// The new version gets all new requests; the old ones finish theirs.
     Promoted,
-    /// The old versions are not needed any more.
+    /// The old versions are no longer needed.
     Completed,
-    /// The new version gets no request.
+    /// The new version gets no requests.
     RolledBack,
 }
 
-/// A roll-out as it is replicated.
+/// A rollout as it is replicated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// Version that is brought in.
+    /// Version that is rolled out.
     pub target: SmolStr,
-    /// Time in which it should be done.
+    /// Time in which the rollout should complete.
     pub duration: Duration,
-    /// How far it is.
+    /// Current phase.
     pub phase: Phase,
 }
 
-/// What is held against a version that fails more often than those before.
+/// Minimum differences in failures at which a new version counts as worse than the
+/// previous ones. All of them must be met.
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
-    /// Failures at least.
+    /// Number of failures.
     bad: u32,
-    /// By how much its share of failures is higher.
+    /// Difference between the failure rates.
     excess: f64,
-    /// Logarithm of how much likelier it is that the shares differ.
+    /// Log-likelihood ratio of different failure rates to equal ones.
     evidence: f64,
 }
 
-/// Counts of one version on one route.
+/// Counters of one side (the new version or the previous ones) on one route.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     good: u32,
@@ -133,27 +137,27 @@
     pace: f64,
 }
 
-/// Answers of one step, by route.
+/// Responses in one interval, by route.
 #[derive(Debug)]
 struct Step {
-    /// When it began.
+    /// Start of the interval.
     at: MonoTime,
     counts: BTreeMap<RouteId, Counts>,
 }
 
-/// What a leader weighs about one running roll-out.
+/// Evidence that the leader collects about a running rollout.
 #[derive(Debug, Default)]
 pub struct Watch {
-    /// When it was first seen here.
+    /// Start of the rollout, as far as this replica knows.
     since: MonoTime,
     new: BTreeMap<RouteId, Counts>,
     old: BTreeMap<RouteId, Counts>,
-    /// Answers of the new version of late by step, the oldest first.
+    /// Recent responses of the new version by interval, oldest first.
     recent: VecDeque<Step>,
 }
 
 impl Watch {
-    /// Starts to watch.
+    /// Starts monitoring a rollout.
     pub fn new(now: MonoTime) -> Self {
         Self {
             since: now,
@@ -161,20 +165,20 @@
         }
     }
 
-    /// Takes how long it has run at least.
+    /// Sets the minimum age of the rollout.
     ///
-    /// A replica that has started since knows nothing of that; counted from its
-    /// own start, a roll-out would end too late by the time before.
+    /// A replica that has restarted since the rollout began does not know its start.
+    /// Counted from the restart, the rollout would end too late.
     pub fn has_run(&mut self, now: MonoTime, age: Duration) {
         self.since = self.since.min(now.saturating_sub(age));
     }
 
-    /// Returns for how long it has been watched.
+    /// Returns the age of the rollout.
     pub fn age(&self, now: MonoTime) -> Duration {
         now.saturating_sub(self.since)
     }
 
-    /// Takes evidence from an entry.
+    /// Adds evidence that an entry has reported.
     pub fn take(&mut self, now: MonoTime, target: &str, evidence: &Evidence) {
         if evidence.version == target {
             let counts = self.recent_of(now, &evidence.route);
@@ -195,8 +199,8 @@
         counts.pace += evidence.pace;
     }
 
-    /// Returns the phase that the roll-out should be in now. `exposure` is the
-    /// share of the requests until its end that a bad version may get.
+    /// Returns the phase in which the rollout should be now. `exposure` is the share of
+    /// all requests during the rollout that a faulty version may get.
     pub fn phase(&self, now: MonoTime, rollout: &Rollout, exposure: f64) -> Phase {
         match rollout.phase {
             Phase::Completed | Phase::RolledBack => return rollout.phase,
@@ -218,7 +222,7 @@
         }
     }
 
-    /// Returns the next phase, or the end of a version that may be a bad one.
+    /// Returns the next phase, or a rollback if the version may be faulty.
     fn unless_doubtful(&self, next: Phase) -> Phase {
         let mut routes = self.routes();
         let doubtful = DOUBT.holds(total(&self.new), total(&self.old))
@@ -226,20 +230,21 @@
         if doubtful { Phase::RolledBack } else { next }
     }
 
-    /// Iterates over the counts of the new version and of those before by route.
+    /// Returns the counters of the new and the previous versions for each route.
     fn routes(&self) -> impl Iterator<Item = (Counts, Counts)> + '_ {
         let routes = self.new.iter();
         routes.map(|(r, new)| (*new, self.old.get(r).copied().unwrap_or_default()))
     }
 
-    /// Tells what the counts are, for the log.
+    /// Returns the successes and failures of the new version and of the previous ones,
+    /// for logging.
     pub fn summary(&self) -> (u32, u32, u32, u32) {
         let new = total(&self.new);
         let old = total(&self.old);
         (new.good, new.bad, old.good, old.bad)
     }
 
-    /// Returns the counts of a route in the present step.
+    /// Returns the counters of a route in the current interval.
     fn recent_of(&mut self, now: MonoTime, route: &RouteId) -> &mut Counts {
         let is_old = |step: &mut Step| step.at + RECENT < now;
         while self.recent.pop_front_if(is_old).is_some() {}
@@ -253,9 +258,9 @@
         counts.entry(route.clone()).or_default()
     }
 
-    /// Returns whether the answers of the new version in some span up to now, on
-    /// one route or on all, fail more often than those of the versions before ever
-    /// did.
+    /// Returns whether the recent responses of the new version, over any period up to
+    /// now, fail more often than all responses of the previous versions. Covers all
+    /// routes if `route` is `None`.
     fn fails_of_late(&self, route: Option<&RouteId>, old: Counts) -> bool {
         let mut new = Counts::default();
         self.recent.iter().rev().any(|step| {
@@ -270,8 +275,8 @@
 
     fn is_bad(&self) -> bool {
         let (new, old) = (total(&self.new), total(&self.old));
-        // Times are shares of the mean of their route, so that those of all
-        // routes tell sooner than each by itself.
+        // Times are relative to the mean of their route, so they can be summed over all
+        // routes, which reaches the minimum number earlier than each route alone.
         if BAD.holds(new, old) || is_slower(new, old) {
             return true;
         }
@@ -285,11 +290,11 @@
     }
 }
 
-/// Returns the share of the time at which a version takes over.
+/// Returns the share of the rollout's duration after which a version is promoted.
 ///
-/// What is bad about a version may show only under a load that does not come.
-/// It takes over so late that even then it gets no more until the end than a bad
-/// version may: taking over at half of the time gave it over half of all.
+/// A fault may show only under a load that does not occur during the rollout. The
+/// promotion is late enough to keep the total exposure within the limit even then.
+/// Promotion at half of the duration would expose more than half of all requests.
 fn promote_at(exposure: f64) -> f64 {
     let on_trial = TRIAL_PART * exposure;
     let latest = (1.0 - exposure) / (1.0 - on_trial).max(f64::EPSILON);
@@ -308,7 +313,7 @@
 }
 
 impl Suspicion {
-    /// Returns whether it holds against a version.
+    /// Returns whether the new version meets the criteria.
     fn holds(&self, new: Counts, old: Counts) -> bool {
         let share = |c: Counts| f64::from(c.bad) / f64::from((c.good + c.bad).max(1));
         let more = new.bad >= self.bad && share(new) > share(old) + self.excess;
@@ -316,8 +321,7 @@
     }
 }
 
-/// Returns the logarithm of how much likelier it is that two versions fail with
-/// shares of their own than that both fail with the same.
+/// Returns the log-likelihood ratio of two different failure rates to a common one.
 fn evidence(new: Counts, old: Counts) -> f64 {
     let both = Counts {
         good: new.good + old.good,
@@ -327,8 +331,7 @@
     likelihood(new) + likelihood(old) - likelihood(both)
 }
 
-/// Returns the logarithm of the likelihood of answers under their own share of
-/// failures.
+/// Returns the log-likelihood of the responses under their own failure rate.
 fn likelihood(c: Counts) -> f64 {
     let all = f64::from(c.good + c.bad);
     let term = |n: u32| match n {
@@ -338,10 +341,11 @@
     term(c.good) + term(c.bad)
 }
 
-/// Returns whether the first bytes, or the events after them, come more slowly.
+/// Returns whether the new version is slower, by its time to first byte or its time
+/// between events.
 ///
-/// With few requests on a new version its first bytes are as fast as ever; what
-/// is slow about it then shows in the pace of its streams alone.
+/// With few requests a faulty version's first bytes may be as fast as usual. Its slowness
+/// then shows only in the time between the events of its streams.
 fn is_slower(new: Counts, old: Counts) -> bool {
     let slower = |new: (u32, f64), old: (u32, f64)| {
         let mean = |(count, sum): (u32, f64)| sum / f64::from(count.max(1));
@@ -351,14 +355,14 @@
     first || slower((new.paced, new.pace), (old.paced, old.pace))
 }
 
-/// Which versions of a service a request may go to.
+/// Versions of a service to which a request may be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Allowed {
-    /// Any version.
+    /// All versions.
     Any,
-    /// Only this one.
+    /// Only this version.
     Only(SmolStr),
-    /// Any but this one.
+    /// All versions except this one.
     Not(SmolStr),
 }
 
@@ -373,5 +377,5 @@
     }
 }
 
-/// Roll-outs by service.
+/// Rollouts by service.
 pub type Rollouts = BTreeMap<ServiceId, Rollout>;
--- a/sesamebeam_core/src/gateway/sessions.rs
+++ b/sesamebeam_core/src/gateway/sessions.rs
@@ -1,11 +1,11 @@
-//! Sessions and the versions that they stay on.
+//! Version affinity of sessions during rollouts.
 //!
-//! A session keeps its version while its requests follow each other, through
-//! whichever entry they come. Those that may go to a new version are drawn by
-//! name, so that every entry draws alike; but one that is drawn may be running
-//! on the version before when a roll-out starts, known only to the entry that
-//! served it. So each entry reports the drawn sessions that it has seen, the
-//! leader passes them on, and nothing goes to the new version until that is
+//! A session stays on its version as long as its requests follow each other closely,
+//! whichever entries they pass through. The sessions that may use a canary are sampled by
+//! a hash of their name, so that all entries select the same ones. A sampled session may
+//! already run on a previous version when the rollout starts, which only the entry that
+//! served it knows. Each entry therefore reports the sampled sessions that it has seen,
+//! the leader distributes them, and no session is sent to the new version until this is
 //! done.
 
 use std::{
@@ -33,46 +33,46 @@
     policy::hash,
 };
 
-/// Time from the start of a roll-out until sessions go to the new version:
-/// several times what a report takes to reach every entry.
+/// Time from the start of a rollout until sessions may use the new version, several times
+/// as long as a report takes to reach all entries.
 pub const GATHER: Duration = Duration::from_millis(1000);
 
-/// Time beside the pause for which a session is kept in mind: the pause counts
-/// from the end of its last request, which a caller sees a little later.
+/// Added to the session timeout, which the caller counts from the end of its last
+/// request, slightly later than this entry.
 const MARGIN: Duration = Duration::from_millis(1500);
 
-/// Pause between the starts of two pulses of a trial: some dozen answers of a plain
-/// service fit into one, and ten pulses into the shortest roll-out.
+/// Interval between the starts of two canary pulses. Each pulse has room for some dozen
+/// responses of a plain service, and the shortest rollout for ten pulses.
 const PULSE_EVERY: Duration = Duration::from_secs(2);
 
-/// A roll-out as it concerns sessions.
+/// Session state of one rollout.
 #[derive(Debug)]
 struct Trial {
     target: SmolStr,
-    /// When it was first heard of.
+    /// Time at which this entry learned of the rollout.
     since: MonoTime,
-    /// When sessions may go to the new version.
+    /// Time from which sessions may use the new version.
     from: MonoTime,
-    /// Drawn sessions that stay on the versions before.
+    /// Sampled sessions that stay on the previous versions, by hash.
     kept: HashSet<u64>,
-    /// Those of them that are not reported yet.
+    /// Those of them that have not been reported yet.
     fresh: Vec<u64>,
 }
 
-/// Sessions that this entry has seen, and those that others have.
+/// Sessions seen by this entry, and those reported by others.
 #[derive(Debug)]
 pub struct Sessions {
-    /// Pause after which two requests no longer belong together.
+    /// Time between two requests after which they no longer belong to the same session.
     pause: Duration,
-    /// Share of the names that may go to a new version on trial.
+    /// Share of the sessions that may use a canary.
     share: f64,
-    /// Version that each session ran on last, and when.
+    /// Last version of each session, with the time of its last request.
     seen: HashMap<SessionId, (SmolStr, MonoTime)>,
     trials: HashMap<ServiceId, Trial>,
 }
 
 impl Sessions {
-    /// Starts with none.
+    /// Creates an empty table.
     pub fn new(pause: Duration, share: f64) -> Self {
         Self {
             pause,
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Notes the version that a session runs on.
+    /// Records the version on which a session runs.
     pub fn ran(&mut self, now: MonoTime, session: &SessionId, version: &SmolStr) {
         self.seen.insert(session.clone(), (version.clone(), now));
     }
 
-    /// Follows a roll-out from when it is first heard of.
+    /// Starts to track a rollout, unless it is already known.
     pub fn start(&mut self, now: MonoTime, service: &ServiceId, target: &SmolStr) {
         if self
             .trials
@@ -112,8 +112,8 @@
         self.trials.insert(service.clone(), trial);
     }
 
-    /// Takes sessions that other entries have reported; `all` if those that ran
-    /// when the roll-out started have all been.
+    /// Adds sessions that other entries have reported. `all` is set if the reports of all
+    /// entries are included.
     pub fn keep(&mut self, now: MonoTime, kept: &Kept, all: bool) {
         self.start(now, &kept.service, &kept.target);
         if let Some(trial) = self.trials.get_mut(&kept.service)
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Returns how long each roll-out has run.
+    /// Returns the age of each rollout.
     pub fn ages(&self, now: MonoTime) -> Vec<Age> {
         let age = |(service, trial): (&ServiceId, &Trial)| Age {
             service: service.clone(),
@@ -136,7 +136,7 @@
         self.trials.iter().map(age).collect()
     }
 
-    /// Takes what is to be reported.
+    /// Takes the sampled sessions to report.
     pub fn take_fresh(&mut self) -> Vec<Kept> {
         let with_fresh = self.trials.iter_mut().filter(|(_, t)| !t.fresh.is_empty());
         let report = |(service, trial): (&ServiceId, &mut Trial)| Kept {
@@ -147,15 +147,16 @@
         with_fresh.map(report).collect()
     }
 
-    /// Returns whether a request may go to a version on trial. `name` is that of
-    /// the request, if it has no session. `fair` is the share of all requests with
-    /// which a backend server of the new version has as many as one before.
+    /// Returns whether a request may be sent to the canary. `name` identifies a request
+    /// without a session. `fair` is the share of all requests at which a backend server
+    /// of the new version gets as many as one of the previous versions.
     ///
-    /// Some versions fail only under load. On a service with three backend servers,
-    /// the share of a trial is a fifth of what one of them has: such a version took
-    /// over with no evidence against it, and failed half of its callers when nothing
-    /// else was left. Requests without a session may come in pulses instead, which
-    /// load it fully for a part of the time; the sum is the same.
+    /// Some versions fail only under load. For a service with three backend servers, the
+    /// canary's share is a fifth of the usual load of one of them. A version of this kind
+    /// was promoted without evidence against it, and failed half of its requests once it
+    /// was the only one left. Requests without a session are therefore sent in pulses,
+    /// which put the full load on the canary for part of the time at the same total
+    /// exposure.
     pub fn may_try(
         &mut self,
         now: MonoTime,
@@ -192,7 +193,7 @@
         false
     }
 
-    /// Forgets sessions that have ended.
+    /// Removes expired sessions.
     pub fn tidy(&mut self, now: MonoTime) {
         let kept = self.pause + MARGIN;
         self.seen.retain(|_, (_, at)| now < *at + kept);
--- a/sesamebeam_core/src/gateway/store.rs
+++ b/sesamebeam_core/src/gateway/store.rs
@@ -1,5 +1,5 @@
-//! The state that the control group replicates: the newest configuration, the
-//! roll-outs and the failure domains that are evacuated.
+//! The replicated state of the control group: the latest configuration, the rollouts and
+//! the evacuated failure domains.
 
 use std::{
     collections::BTreeSet,
@@ -29,54 +29,54 @@
     LogIndex, //
 };
 
-/// Most failure domains that may be evacuated at once: several times as many as a
-/// deployment has. A caller that makes names up must not fill the state.
+/// Maximum number of evacuated failure domains, several times as many as a deployment
+/// has. It bounds the state against a caller that makes up names.
 const MAX_EVACUATED: usize = 256;
 
-/// A configuration as its operator sent it.
+/// A configuration document as uploaded by the operator.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Its number.
+    /// Version of the configuration.
     pub version: ConfigVersion,
-    /// Its bytes.
+    /// Content of the document.
     pub bytes: Bytes,
 }
 
-/// A change of the state.
+/// A command in the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Puts a configuration in force, unless one as high already is.
+    /// Activates a configuration, unless the current version is the same or higher.
     Apply(Document),
-    /// Starts a roll-out.
+    /// Starts a rollout.
     Start {
-        /// Service.
+        /// Name of the service.
         service: ServiceId,
-        /// Version that is brought in.
+        /// Version that is rolled out.
         target: SmolStr,
-        /// Time in which it should be done.
+        /// Time in which the rollout should complete.
         duration: Duration,
     },
-    /// Moves a roll-out on.
+    /// Moves a rollout to another phase.
     Move {
-        /// Service.
+        /// Name of the service.
         service: ServiceId,
-        /// Version that is brought in.
+        /// Version that is rolled out.
         target: SmolStr,
-        /// The phase that it enters.
+        /// The new phase.
         phase: Phase,
     },
-    /// Has nothing more sent to the backend servers of a failure domain.
+    /// Stops sending requests to the backend servers of a failure domain.
     Evacuate(DomainId),
-    /// Lets requests go there again.
+    /// Allows requests to an evacuated failure domain again.
     Readmit(DomainId),
 }
 
-/// What operators have ordered beside the configuration.
+/// Orders that operators have given besides the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Orders {
-    /// Roll-outs, ended ones included.
+    /// Rollouts, including finished ones.
     pub rollouts: Rollouts,
-    /// Failure domains to whose backend servers nothing is sent.
+    /// Failure domains to whose backend servers no requests are sent.
     pub evacuated: BTreeSet<DomainId>,
 }
 
@@ -87,33 +87,34 @@
     }
 }
 
-/// The replicated state.
+/// The replicated state machine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Store {
-    /// Last change that was applied.
+    /// Log index of the last applied command.
     index: LogIndex,
-    /// The newest configuration.
+    /// The latest configuration.
     config: Option<Document>,
-    /// What else was ordered. Snapshots of versions before evacuations end within
-    /// it; see [`Store::decode`].
+    /// All other orders. Snapshots from before the introduction of evacuations end within
+    /// this field; see [`Store::decode`].
     orders: Orders,
 }
 
 impl Store {
-    /// Reads a snapshot.
+    /// Decodes a snapshot.
     ///
-    /// One that was written before there were evacuations lacks the last field, an
-    /// empty set of which is written as one zero. Without this a replica with a new
-    /// program starts with no state until the leader sends it.
+    /// Snapshots from before the introduction of evacuations lack the last field. An
+    /// empty set is encoded as a single zero byte, which is appended for them. Otherwise
+    /// an upgraded replica would start without state until the leader sends it a
+    /// snapshot.
     ///
     /// # Errors
     ///
-    /// Fails if it cannot be read in either way.
+    /// Returns an error if the snapshot can be decoded in neither format.
     pub fn decode(snapshot: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(snapshot).or_else(|_| postcard::from_bytes(&[snapshot, &[0]].concat()))
     }
 
-    /// Applies a change and returns whether the state is another now.
+    /// Applies a command and returns whether it changed the state.
     pub fn apply(&mut self, index: LogIndex, command: Command) -> bool {
         self.index = index;
         match command {
@@ -135,27 +136,28 @@
         }
     }
 
-    /// Returns the last change that was applied.
+    /// Returns the log index of the last applied command.
     pub fn index(&self) -> LogIndex {
         self.index
     }
 
-    /// Returns the newest configuration.
+    /// Returns the latest configuration.
     pub fn config(&self) -> Option<&Document> {
         self.config.as_ref()
     }
 
-    /// Returns the roll-outs.
+    /// Returns the rollouts.
     pub fn rollouts(&self) -> &Rollouts {
         &self.orders.rollouts
     }
 
-    /// Returns what was ordered beside the configuration.
+    /// Returns the orders that operators have given besides the configuration.
     pub fn orders(&self) -> &Orders {
         &self.orders
     }
 
-    /// Returns whether a roll-out order changes nothing.
+    /// Returns whether the latest rollout of a service already has this target, so that
+    /// starting it again changes nothing.
     pub fn has_started(&self, service: &str, target: &str) -> bool {
         self.orders
             .rollouts
@@ -163,7 +165,7 @@
             .is_some_and(|r| r.target == target)
     }
 
-    /// Returns whether one more failure domain may be evacuated.
+    /// Returns whether the limit on evacuated failure domains allows this one.
     pub fn may_evacuate(&self, domain: &DomainId) -> bool {
         let evacuated = &self.orders.evacuated;
         evacuated.len() < MAX_EVACUATED || evacuated.contains(domain)
@@ -194,7 +196,7 @@
         true
     }
 
-    /// Moves a roll-out on; one that has ended stays as it is.
+    /// Moves a rollout to another phase. Finished rollouts don't change.
     fn advance(&mut self, service: &str, target: &str, phase: Phase) -> bool {
         let Some(rollout) = self.orders.rollouts.get_mut(service) else {
             return false;
--- a/sesamebeam_core/src/gateway/subscription.rs
+++ b/sesamebeam_core/src/gateway/subscription.rs
@@ -1,11 +1,11 @@
-//! Which control replica tells an entry of all that changes, and when another one
-//! is asked for what that one does not know.
+//! Selection of the control replica that an entry follows, and of the replicas that it
+//! asks to resynchronise.
 //!
-//! The one that tells is of the entry's own failure domain if there is one there:
-//! what it tells costs nothing between failure domains, and what happens to the
-//! ways between these does not touch it. All others say twice a second what they
-//! hold. An entry whose replica is cut off from the group shows so by these, and
-//! asks one that holds more.
+//! An entry prefers a replica in its own failure domain: updates from there cause no
+//! traffic between failure domains and don't depend on the network between them. All
+//! other connected replicas send a summary of their state twice a second. If the followed
+//! replica is cut off from the control group, these summaries show that the entry lags
+//! behind, and the entry requests the missing state from a replica that is ahead.
 
 use std::{
     collections::BTreeMap,
@@ -26,76 +26,78 @@
     policy::hash,
 };
 
-/// Time for which the replica that tells may know no leader before another one
-/// that knows one takes over. Longer than an election.
+/// How long the followed replica may know no leader before the entry switches to a
+/// replica that knows one. Longer than an election.
 const UNSETTLED_FOR: Duration = Duration::from_millis(1000);
 
-/// Time for which a replica of the own failure domain must have been connected
-/// before it tells in place of another. One that has just started has its log and
-/// directory to fill, and entries that have just started need any replica first.
+/// How long a replica in the entry's own failure domain must have been connected before
+/// the entry switches back to it. A replica that has just started still has to rebuild
+/// its log and directory. An entry without a followed replica takes any replica at once.
 const BACK_FOR: Duration = Duration::from_secs(2);
 
-/// Time for which another replica may hold a newer state before it is asked: what
-/// the one that tells pushes comes within some milliseconds.
+/// How long another replica may be ahead of the entry before it is asked for its state.
+/// Pushes from the followed replica arrive within a few milliseconds.
 const BEHIND_FOR: Duration = Duration::from_millis(300);
 
-/// Pause between two questions for newer state.
+/// Minimum interval between two resync requests to one replica.
 const ASK_EVERY: Duration = Duration::from_millis(500);
 
-/// Summaries in a row that show other backend servers before the replica is asked.
-/// One is often on its way when news are.
+/// Number of consecutive summaries with a different server digest before the replica is
+/// asked for its state. A single mismatch is usually an update that is still in flight.
 const DIFFERING: u32 = 2;
 
-/// Most such summaries, where asking did not help: two directories may differ for
-/// long in what one of them may forget.
+/// Upper limit of that number. It doubles after each request that does not resolve the
+/// mismatch, because two directories can differ for a long time in records that one of
+/// them has expired.
 const MAX_DIFFERING: u32 = 64;
 
-/// What the entry should do.
+/// An action that the entry has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Has this replica tell it.
+    /// Follow this replica, which then pushes updates.
     Follow(ProcessAddr),
-    /// Has this replica tell it no more.
+    /// Stop following this replica.
     Unfollow(ProcessAddr),
-    /// Asks this replica for what the entry lacks.
+    /// Request the state that the entry lacks from this replica.
     Ask(ProcessAddr),
 }
 
-/// What the entry itself holds, in brief.
+/// Summary of the entry's own state, for comparison with those of the replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Holding {
-    /// Number of its configuration.
+    /// Version of its configuration.
     pub config: Option<ConfigVersion>,
-    /// Position in the log of its roll-outs.
+    /// Log index of its operator orders.
     pub index: LogIndex,
-    /// Digest of its backend servers.
+    /// Digest of its server directory.
     pub servers: u32,
 }
 
-/// A replica that is connected.
+/// A connected replica.
 #[derive(Clone, Debug)]
 struct Link {
-    /// When it was connected.
+    /// Time of the connection.
     since: MonoTime,
-    /// Its failure domain, once it has said.
+    /// Failure domain of the replica, once known.
     domain: Option<DomainId>,
     summary: Summary,
-    /// Since when it has known no leader.
+    /// Start of the period in which the replica has known no leader.
     unsettled_since: Option<MonoTime>,
-    /// Since when it has held newer state.
+    /// Start of the period in which the replica has been ahead of the entry.
     ahead_since: Option<MonoTime>,
-    /// When it may be asked again.
+    /// Earliest time of the next resync request.
     ask_at: MonoTime,
-    /// Summaries in a row that showed other backend servers.
+    /// Consecutive summaries with a different server digest.
     differing: u32,
-    /// Those from which it is asked.
+    /// Value of `mismatches` from which the replica is asked.
     ask_from: u32,
 }
 
-/// The control replicas as one entry is connected to them.
+/// The control replicas to which an entry is connected.
 #[derive(Clone, Debug)]
 pub struct Subscription {
-    /// Name of this entry; spreads entries without a replica nearby.
+    /// Name of this entry. It spreads the entries without a local replica over the
+    /// others.
     name: String,
     domain: DomainId,
     links: BTreeMap<ProcessAddr, Link>,
@@ -103,7 +105,7 @@
 }
 
 impl Subscription {
-    /// Starts without any replica.
+    /// Creates a subscription without any connected replica.
     pub fn new(name: &str, domain: &DomainId) -> Self {
         Self {
             name: name.to_owned(),
@@ -113,12 +115,12 @@
         }
     }
 
-    /// Returns the replica that tells this entry.
+    /// Returns the replica that this entry follows.
     pub fn teller(&self) -> Option<ProcessAddr> {
         self.teller
     }
 
-    /// Notes a connection.
+    /// Records a new connection.
     pub fn connected(&mut self, now: MonoTime, addr: ProcessAddr) {
         let link = Link {
             since: now,
@@ -133,20 +135,20 @@
         self.links.insert(addr, link);
     }
 
-    /// Notes the end of a connection.
+    /// Records that a connection was closed.
     pub fn lost(&mut self, addr: ProcessAddr) {
         self.links.remove(&addr);
         self.teller.take_if(|teller| *teller == addr);
     }
 
-    /// Notes the failure domain of a replica.
+    /// Records the failure domain of a replica.
     pub fn met(&mut self, addr: ProcessAddr, domain: DomainId) {
         if let Some(link) = self.links.get_mut(&addr) {
             link.domain = Some(domain);
         }
     }
 
-    /// Takes what a replica says to hold, beside what this entry holds.
+    /// Records the summary that a replica has sent, and compares it with the entry's own.
     pub fn told(&mut self, now: MonoTime, addr: ProcessAddr, summary: Summary, own: &Holding) {
         let Some(link) = self.links.get_mut(&addr) else {
             return;
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Decides what is due.
+    /// Returns the actions that are due.
     pub fn look(&mut self, now: MonoTime, own: &Holding) -> Vec<Order> {
         let mut orders = self.choose(now);
         for (&addr, link) in &mut self.links {
@@ -176,7 +178,7 @@
         orders
     }
 
-    /// Chooses who tells this entry.
+    /// Chooses the replica to follow and returns the actions for a change.
     fn choose(&mut self, now: MonoTime) -> Vec<Order> {
         let Some(best) = self.best(now) else {
             return Vec::new();
@@ -199,7 +201,7 @@
         vec![Order::Unfollow(teller), Order::Follow(best)]
     }
 
-    /// Returns the replica that would be best.
+    /// Returns the best replica to follow.
     fn best(&self, now: MonoTime) -> Option<ProcessAddr> {
         let rank = |(addr, link): &(&ProcessAddr, &Link)| {
             let weight = hash::rendezvous(&self.name, addr.to_string().as_bytes());
@@ -215,13 +217,14 @@
 }
 
 impl Link {
-    /// Returns whether it has known no leader for long.
+    /// Returns whether the replica has known no leader for too long.
     fn is_unsettled(&self, now: MonoTime) -> bool {
         let since = self.unsettled_since;
         since.is_some_and(|since| now.saturating_sub(since) >= UNSETTLED_FOR)
     }
 
-    /// Returns whether it should be asked, which counts as done then.
+    /// Returns whether the replica should be asked to resynchronise, and schedules the
+    /// next request if so.
     fn should_ask(&mut self, now: MonoTime, own: &Holding) -> bool {
         let summary = &self.summary;
         let is_ahead = summary.config > own.config || summary.index > own.index;
--- a/sesamebeam_core/src/gateway/suspects.rs
+++ b/sesamebeam_core/src/gateway/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that crash what runs them, as one entry sees it.
+//! Requests that crash backend servers, as seen by one entry.
 
 use std::collections::HashSet;
 
@@ -10,36 +10,37 @@
 };
 use crate::ids::Digest;
 
-/// Requests that completed of late and are kept in mind: some minutes of an
-/// entry's traffic, in 100 KB.
+/// Number of recently completed requests to remember: a few minutes of an entry's
+/// traffic, in 100 KB.
 const MAX_COMPLETED: usize = 2048;
 
-/// What one entry knows of requests that crash backend servers.
+/// What one entry knows about requests that crash backend servers.
 #[derive(Debug, Default)]
 pub(super) struct Suspects {
-    /// Those that the control replicas have found.
+    /// Requests that the control replicas have quarantined.
     quarantined: HashSet<Digest>,
-    /// Crashes that are to be reported.
+    /// Crashes to report.
     crashes: Vec<Crash>,
-    /// Requests that completed of late, the oldest first.
+    /// Recently completed requests, oldest first.
     completed: IndexSet<Digest>,
 }
 
 impl Suspects {
-    /// Takes those that the control replicas have found.
+    /// Adds requests that the control replicas have quarantined.
     pub(super) fn quarantine(&mut self, fingerprints: impl IntoIterator<Item = Digest>) {
         self.quarantined.extend(fingerprints);
     }
 
-    /// Returns whether a request may run.
+    /// Returns whether a request may be executed.
     pub(super) fn may_run(&self, fingerprint: Digest) -> bool {
         !self.quarantined.contains(&fingerprint) || self.completed.contains(&fingerprint)
     }
 
-    /// Notes that a request ran to its end.
+    /// Records that a request completed.
     ///
-    /// A common question without a body has the same fingerprint each time, and
-    /// is on board of many crashes by chance; it is never blamed.
+    /// A common request without a body has the same fingerprint every time and is in
+    /// flight during many crashes by coincidence. Completed requests are therefore never
+    /// blamed.
     pub(super) fn completed(&mut self, fingerprint: Digest) {
         if self.completed.len() >= MAX_COMPLETED {
             self.completed.shift_remove_index(0);
@@ -47,7 +48,7 @@
         self.completed.insert(fingerprint);
     }
 
-    /// Notes that a request was running when a backend server went down.
+    /// Records that a request was running when a backend server crashed.
     pub(super) fn crashed(&mut self, fingerprint: Digest, server: Life) {
         if self.completed.contains(&fingerprint) {
             return;
@@ -58,7 +59,7 @@
         });
     }
 
-    /// Takes the crashes noted since the last call.
+    /// Takes the crashes since the last call.
     pub(super) fn take_crashes(&mut self) -> Vec<Crash> {
         std::mem::take(&mut self.crashes)
     }
--- a/sesamebeam_core/src/gateway/table.rs
+++ b/sesamebeam_core/src/gateway/table.rs
@@ -1,4 +1,4 @@
-//! A configuration made ready for look-ups.
+//! Lookup tables built from a configuration.
 
 use std::{
     collections::{
@@ -22,29 +22,28 @@
 /// A configuration with its indexes.
 #[derive(Debug)]
 pub struct Table {
-    /// The configuration.
     config: GatewayConfig,
-    /// Routes of each host, the longest prefix first.
+    /// Indexes of each host's routes, longest prefix first.
     hosts: HashMap<SmolStr, Vec<usize>>,
-    /// Organisation of each key.
+    /// Index of each key's organisation.
     keys: HashMap<SmolStr, usize>,
-    /// All ranks that requests may have, the most urgent first.
+    /// All ranks that requests can have, most urgent first.
     ranks: Vec<Rank>,
 }
 
-/// Who sends a request.
+/// Sender of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Caller<'a> {
-    /// Nobody needs to say.
+    /// The request needs no key.
     Anonymous,
-    /// One of an organisation.
+    /// A member of an organisation.
     Of(&'a OrganisationConfig),
-    /// Someone whose key is not known.
+    /// The key is missing or unknown.
     Unknown,
 }
 
 impl Table {
-    /// Makes the indexes.
+    /// Builds the indexes.
     pub fn new(config: GatewayConfig) -> Arc<Self> {
         let mut hosts: HashMap<SmolStr, Vec<usize>> = HashMap::new();
         for (at, route) in config.routes.iter().enumerate() {
@@ -72,14 +71,13 @@
         &self.config
     }
 
-    /// Returns the place of a rank among those that requests may have, and their
-    /// number.
+    /// Returns the index of a rank among those that requests can have, and their number.
     pub fn place(&self, rank: Rank) -> (usize, usize) {
         let before = self.ranks.iter().filter(|&&r| r < rank).count();
         (before, self.ranks.len())
     }
 
-    /// Finds the route with the longest prefix of the path.
+    /// Returns the route with the longest matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&RouteConfig> {
         let mut routes = self
             .hosts
@@ -89,7 +87,7 @@
         routes.find(|route| path.starts_with(route.prefix.as_str()))
     }
 
-    /// Finds who sends a request on a route.
+    /// Identifies the sender of a request on a route.
     pub fn caller(&self, route: &RouteConfig, key: Option<&str>) -> Caller<'_> {
         if self.config.organisations.is_empty() {
             return Caller::Anonymous;
@@ -101,7 +99,7 @@
         }
     }
 
-    /// Picks the service of a request by the route's weights.
+    /// Selects the service of a request by the weights of the route.
     pub fn service<'a>(&self, route: &'a RouteConfig, seed: u64) -> &'a ServiceId {
         let total: u64 = route.backends.iter().map(|(_, w)| u64::from(*w)).sum();
         let mut at = hash::name(&seed.to_le_bytes()) % total.max(1);
@@ -115,7 +113,8 @@
     }
 }
 
-/// Returns the rank of a request: the organisation's goes before the route's.
+/// Returns the rank of a request. The organisation's rank takes precedence over the
+/// route's.
 pub fn rank(route: &RouteConfig, caller: &Caller<'_>) -> Rank {
     match caller {
         Caller::Of(org) => org.rank.unwrap_or(route.rank),
@@ -123,7 +122,7 @@
     }
 }
 
-/// Collects all ranks that requests may have.
+/// Returns all ranks that requests can have.
 fn ranks_of(config: &GatewayConfig) -> Vec<Rank> {
     let routes = config.routes.iter().map(|r| r.rank);
     let organisations = config.organisations.iter().filter_map(|o| o.rank);
--- a/sesamebeam_core/src/gateway/tallies.rs
+++ b/sesamebeam_core/src/gateway/tallies.rs
@@ -1,4 +1,4 @@
-//! Counts of answers by version, for the verdict on a roll-out.
+//! Counts of responses by version, reported as evidence about a rollout.
 
 use std::{
     collections::HashMap,
@@ -17,35 +17,35 @@
 };
 use crate::ids::ModelId;
 
-/// Weight of the newest time in the mean of its route.
+/// Weight of the latest time in the moving average of its route.
 const TIME_WEIGHT: f64 = 0.05;
 
-/// What answers are counted by.
+/// Key under which responses are counted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Sender {
-    /// Service that answered.
+    /// Service that responded.
     pub(super) service: ServiceId,
-    /// Version that answered.
+    /// Version that responded.
     pub(super) version: SmolStr,
     /// Route of the request.
     pub(super) route: RouteId,
 }
 
-/// Means by route and model, in milliseconds.
+/// Moving averages by route and model, in milliseconds.
 type Means = HashMap<(RouteId, Option<ModelId>), f64>;
 
-/// Answers counted since they were last taken.
+/// Responses counted since the last report.
 #[derive(Debug, Default)]
 pub(super) struct Tallies {
     counts: HashMap<Sender, Evidence>,
-    /// Mean times to the first byte.
+    /// Mean times to first byte.
     times: Means,
     /// Mean times between events.
     paces: Means,
 }
 
 impl Tallies {
-    /// Counts the end of a send.
+    /// Counts the outcome of an attempt.
     pub(super) fn ended(&mut self, sender: &Sender, outcome: Outcome) {
         match outcome {
             Outcome::Good => self.of(sender).good += 1,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Counts the time to a first byte.
+    /// Counts a time to first byte.
     pub(super) fn timed(
         &mut self,
         sender: &Sender,
@@ -86,7 +86,7 @@
         counts.pace += slowness;
     }
 
-    /// Takes what was counted since the last call.
+    /// Takes the counts since the last call.
     pub(super) fn take(&mut self) -> Vec<Evidence> {
         self.counts.drain().map(|(_, counts)| counts).collect()
     }
@@ -103,8 +103,8 @@
     }
 }
 
-/// Returns a time as a share of the mean of its route and model, which follows
-/// the times of versions that are not on trial.
+/// Returns a time relative to the moving average of its route and model. Canary versions
+/// don't contribute to the average.
 fn compare(
     means: &mut Means,
     sender: &Sender,
--- a/sesamebeam_core/src/gateway/waits.rs
+++ b/sesamebeam_core/src/gateway/waits.rs
@@ -1,8 +1,9 @@
-//! How long callers wait for first events, as all entries together see it.
+//! Waits for first events of streams, averaged over all entries.
 //!
-//! Each of 295 entries sees five first events of a service in a second, one of which
-//! may stand behind a long prompt: taken from these alone, some asked the large model
-//! for nearly every unsure answer while others, at the same moment, asked for none.
+//! In a fleet of 295 entries, each one sees only about five first events of a service per
+//! second, one of which may have waited for a long prompt. When entries decided by their
+//! own waits alone, some escalated nearly every low-confidence response to the large
+//! model while others escalated none at the same time.
 
 use std::{
     collections::BTreeMap,
@@ -19,8 +20,8 @@
     policy::hash, //
 };
 
-/// Time in which a wait that all entries have seen counts half: the load of a burst
-/// or a comeback changes within a second, and 1,000 waits come in one.
+/// Half-life of the waits that all entries have reported. The load of a burst or of
+/// returning callers changes within a second, in which about 1,000 waits are reported.
 const HALF_LIFE: Duration = Duration::from_millis(700);
 
 /// Hash of a service's name.
@@ -28,51 +29,51 @@
 
 /// Returns the key of a service.
 pub fn key(service: &str) -> ServiceKey {
-    // The low half of a good hash is as good.
+    // The lower half of a 64-bit hash is sufficiently uniform.
     hash::name(service.as_bytes()) as ServiceKey
 }
 
-/// Waits that one or more entries have seen since the last report.
+/// Total of the waits that one or more entries have seen since the last report.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WaitsOf {
-    /// Of which service.
+    /// Key of the service.
     pub service: ServiceKey,
     /// Number of first events.
     pub count: u32,
-    /// Sum of the waits for them, each as a share of the time in which it is on time.
+    /// Sum of the waits, each relative to the target time of its route.
     pub sum: f32,
 }
 
 impl WaitsOf {
-    /// Adds what others have seen.
+    /// Adds the total of other entries.
     pub fn add(&mut self, other: &Self) {
         self.count += other.count;
         self.sum += other.sum;
     }
 }
 
-/// Mean wait at a service, as a share of the time in which a first event is on time.
+/// Mean wait for first events of a service, relative to the target time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MeanWait {
-    /// Which service.
+    /// Key of the service.
     pub service: ServiceKey,
-    /// The mean.
+    /// Mean of the relative waits.
     pub share: f32,
 }
 
-/// Waits that fade.
+/// Exponentially decaying mean of relative waits.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Waits {
-    /// Sum of the shares of the time in which first events were on time.
+    /// Decayed sum of the relative waits.
     sum: f64,
-    /// Number, faded like the sum.
+    /// Decayed number of waits.
     count: f64,
-    /// When they were faded last.
+    /// Time of the last update.
     at: MonoTime,
 }
 
 impl Waits {
-    /// Adds waits, of which older ones count half after `half_life`.
+    /// Adds waits and decays the previous ones by `half_life`.
     pub(super) fn add(&mut self, now: MonoTime, half_life: Duration, count: f64, sum: f64) {
         let factor = self.factor(now, half_life);
         self.sum = self.sum * factor + sum;
@@ -80,8 +81,8 @@
         self.at = now;
     }
 
-    /// Returns the mean wait. With few waits of late it leans to none: who has seen
-    /// nothing for long knows of no pressure.
+    /// Returns the mean wait. It tends to zero if there are few recent waits: without
+    /// observations no pressure is assumed.
     pub(super) fn mean(&self, now: MonoTime, half_life: Duration) -> f64 {
         let factor = self.factor(now, half_life);
         self.sum * factor / (self.count * factor + 1.0)
@@ -93,14 +94,14 @@
     }
 }
 
-/// Waits that all entries have seen, by service.
+/// Waits of all entries, by service.
 #[derive(Clone, Debug, Default)]
 pub struct PooledWaits {
     services: BTreeMap<ServiceKey, Waits>,
 }
 
 impl PooledWaits {
-    /// Takes what entries have seen.
+    /// Adds the totals that entries have reported.
     pub fn take(&mut self, now: MonoTime, waits: impl IntoIterator<Item = WaitsOf>) {
         for WaitsOf {
             service,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Returns the mean of each service.
+    /// Returns the mean wait of each service.
     pub fn means(&self, now: MonoTime) -> Vec<MeanWait> {
         let mean = |(&service, waits): (&ServiceKey, &Waits)| MeanWait {
             service,
--- a/sesamebeam_core/tests/gateway/budget.rs
+++ b/sesamebeam_core/tests/gateway/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeated sends.
+//! The retry budget.
 
 use sesamebeam_core::gateway::{
     budget::{
@@ -22,8 +22,8 @@
 
 #[test]
 fn failing_service() {
-    // Every request fails and is sent again as often as the budget allows, at
-    // ten entries. Over any window the sum stays within the bound.
+    // Ten entries, and every request fails and is retried as often as the budget allows.
+    // The total within any window stays within the bound.
     let mut entries: Vec<Budget> = (0..10).map(|_| budget(10)).collect();
     let mut repeats = Vec::new();
     for step in 0..4000u64 {
@@ -49,8 +49,8 @@
 
 #[test]
 fn burst_after_silence() {
-    // An entry starts while its service is down. It has seen no request, so
-    // that only its part of the slack is left to spend.
+    // An entry starts while its service is down. It has received no requests, so it can
+    // spend only its part of the slack.
     let mut budget = budget(10);
     let spent = (0..100).filter(|_| budget.try_repeat(ms(5), &"pool".into()));
     assert_eq!(spent.count(), 1);
@@ -58,8 +58,8 @@
 
 #[test]
 fn unknown_fleet() {
-    // Nobody has said how many entries there are. None of the slack is spent:
-    // each entry might take it for its own.
+    // The number of entries is unknown. No entry may spend the slack, as each could take
+    // it as a whole.
     let mut budget = budget(0);
     assert!(!budget.try_repeat(ms(5), &"pool".into()));
 }
@@ -76,9 +76,10 @@
 
 #[test]
 fn counted_while_starting() {
-    // All processes were killed together and start again; a replica counts the entries as
-    // they connect, within a second, and the service fails whatever is sent. Each entry
-    // took itself for one of the few that had come before it: 26 repeats of 20 allowed.
+    // All processes restart at once. A replica counts the entries as they connect, within
+    // a second, while the service fails every request. When each entry took itself for
+    // one of the few that were connected so far, they sent 26 retries where 20 are
+    // allowed.
     let mut counted = Counted::default();
     let mut entries: Vec<Budget> = (0..15).map(|_| budget(0)).collect();
     let mut spent = 0;
@@ -96,8 +97,8 @@
 
 #[test]
 fn starts_alone() {
-    // One entry is killed and starts again. The replica has counted all before, so that
-    // the entry has its part of the slack with its first request.
+    // A single entry restarts. The replica has counted all entries before, so the entry
+    // has its part of the slack from its first request.
     let mut counted = Counted::default();
     counted.connected(ms(0), 10);
     let mut budget = budget(0);
--- a/sesamebeam_core/tests/gateway/cascade.rs
+++ b/sesamebeam_core/tests/gateway/cascade.rs
@@ -1,4 +1,4 @@
-//! When an answer of a small model is kept.
+//! Decisions of the model cascade.
 
 use sesamebeam_core::{
     gateway::{
@@ -58,8 +58,8 @@
 
 #[test]
 fn under_pressure() {
-    // First events take as long as they may. Asking the large model for every
-    // second request would make all of them late, so that answers are kept.
+    // Waits for first events reach the target time. Escalating every second request to
+    // the large model would make all of them late, so responses are kept.
     let mut cascade = Cascade::default();
     for n in 0..50 {
         cascade.waited(ms(n * 20), &"pool".into(), ms(1000), ms(1000));
@@ -71,12 +71,12 @@
     assert_eq!(other, Step::Ask("large".into()));
 }
 
-/// Returns the confidence from which a cascade keeps answers of the service `pool`.
+/// Returns the confidence threshold of the service `pool`.
 fn keeps_from(cascade: &Cascade, now: u64) -> f64 {
     cascade.keep_from(ms(now), &"pool".into(), 1.0)
 }
 
-/// The mean wait at the service `pool`.
+/// Returns a mean wait of the service `pool`.
 fn mean(share: f32) -> MeanWait {
     let service = waits::key("pool");
     MeanWait { service, share }
@@ -84,9 +84,9 @@
 
 #[test]
 fn all_entries_alike() {
-    // One entry has just waited for a prompt of 50,000 tokens, the other for nothing.
-    // Callers of the first got poor answers and those of the second late ones, while
-    // the fleet as a whole was neither idle nor full.
+    // One entry has just waited for a prompt of 50,000 tokens, another one has not. When
+    // each decided by its own waits, callers of the first got poor responses and those of
+    // the second late ones, while the fleet as a whole was neither idle nor full.
     let (mut one, mut other) = (Cascade::default(), Cascade::default());
     one.waited(ms(0), &"pool".into(), ms(2400), ms(1000));
     assert!(keeps_from(&one, 10) < keeps_from(&other, 10) / 2.0);
@@ -94,14 +94,15 @@
         cascade.told(ms(10), [mean(0.2)]);
     }
     assert_eq!(keeps_from(&one, 20), keeps_from(&other, 20));
-    // What was told is old when nothing more comes: each goes by its own again.
+    // When no more means arrive, the last one expires and each entry uses its own waits
+    // again.
     assert!(keeps_from(&one, 1600) < keeps_from(&other, 1600));
 }
 
 #[test]
 fn comeback_of_all() {
-    // All entries have started anew and know of no wait, and all callers are back.
-    // Answers are kept until the fleet is known to be calm.
+    // All entries have restarted without any known waits, and all callers return.
+    // Responses are kept until the fleet is known to be without pressure.
     let mut cascade = Cascade::default();
     cascade.started(ms(1000));
     assert_eq!(keeps_from(&cascade, 1100), 0.0);
--- a/sesamebeam_core/tests/gateway/cold.rs
+++ b/sesamebeam_core/tests/gateway/cold.rs
@@ -1,4 +1,4 @@
-//! Backend servers that are cold, and what all entries together send them.
+//! Load limits of cold backend servers, over all entries.
 
 use std::{
     collections::BTreeMap,
@@ -37,8 +37,8 @@
     router_config, //
 };
 
-/// What a cold backend server bears in these tests, and how many requests it must not
-/// exceed in any second: one and a half times as many and five.
+/// Load that a cold backend server handles in these tests, and the number of requests
+/// that it must not exceed in any second: 1.5 times the rate plus five.
 const LIMITS: ColdConfig = ColdConfig {
     lasts: Duration::from_secs(3),
     per_second: 14.0,
@@ -57,7 +57,7 @@
     router
 }
 
-/// Makes the announcement of a backend server that is cold for some time.
+/// Returns an announcement of a backend server that is cold for some time.
 fn cold_for(number: u8, millis: u64) -> Announcement {
     let mut said = announcement(number);
     said.cold = ms(millis);
@@ -73,7 +73,7 @@
     Ok(choice.id)
 }
 
-/// Returns the most of some times that lie within a second.
+/// Returns the maximum number of times within one second.
 fn most_in_a_second(times: &[u64]) -> usize {
     let from = |(n, at): (usize, &u64)| times[n..].iter().take_while(|t| **t < at + 1000).count();
     times.iter().enumerate().map(from).max().unwrap_or(0)
@@ -81,8 +81,8 @@
 
 #[test]
 fn warm_ones_first() {
-    // Two of four backend servers come back cold and empty: by their load they are the
-    // best. They get nothing until they are warm.
+    // Two of four backend servers return cold and idle, so they have the lowest load.
+    // They get no requests until they are warm.
     let mut router = entry(1, 1);
     for number in 0..4 {
         router.announced(ms(0), cold_for(number, if number < 2 { 3000 } else { 0 }));
@@ -103,10 +103,11 @@
     large = { 295 },
 )]
 fn sum_of_all_entries(entries: u64) {
-    // All backend servers of a service are cold at once, and callers send more than
-    // these bear: 700 requests a second to six. Each must get no more than 26 in any
-    // second from all entries together, whose clocks show other times and which hear of
-    // the cold at other moments. Those that cannot be served are refused at once.
+    // All backend servers of a service are cold at once, and callers send more than these
+    // can handle: 700 requests a second to six servers. None may get more than 26
+    // requests in any second from all entries together, although the clocks of the
+    // entries differ and they learn of the cold servers at different times. Requests
+    // without a turn are rejected at once.
     let mut fleet: Vec<Router> = (0..entries).map(|n| entry(n, entries as u32)).collect();
     for (n, router) in fleet.iter_mut().enumerate() {
         for number in 0..6 {
@@ -131,13 +132,13 @@
             most <= BOUND,
             "{id} got {most} in a second of {entries} entries"
         );
-        // They are used as well: a quarter of what they bear at least.
+        // The capacity is used as well: at least a quarter of the tolerated rate.
         assert!(times.len() >= 35, "{id} got {} in ten seconds", times.len());
     }
 }
 
 /// Returns the probability that more than `most` of `entries` have a turn within a
-/// second, each once in a period.
+/// second, with one turn each per period.
 fn exceeds(entries: u32, most: u32) -> f64 {
     let period = f64::from(entries) / (LIMITS.per_second * SHARE);
     let p = ((1.0 + TURN.as_secs_f64()) / period).min(1.0);
@@ -157,17 +158,17 @@
     large = { 295 },
 )]
 fn worst_second(entries: u32) {
-    // The names of entries place their turns. With nine entries even all of them
-    // together have a turn each, which the bound allows; with more the probability that
-    // too many fall into one second is below one in a hundred thousand.
+    // The positions of the turns follow from the names of the entries. Nine entries can't
+    // exceed the bound even if all of them have a turn. With more entries the probability
+    // of exceeding it within a second is below one in a hundred thousand.
     let probability = exceeds(entries, BOUND as u32);
     assert!(probability < 1e-5, "{probability}");
 }
 
 #[test]
 fn few_entries() {
-    // An entry that is alone takes its turns one after the other, and no second has
-    // more of them than half of what a cold backend server bears.
+    // A single entry takes all turns one after the other. No second has more of them than
+    // half of what a cold backend server handles.
     let mut router = entry(1, 1);
     router.announced(ms(0), cold_for(0, 60_000));
     let sent = (0..20_000).step_by(3).filter(|&at| {
@@ -181,8 +182,8 @@
 
 #[test]
 fn nobody_counted() {
-    // An entry that does not know how many others there are has no turn: it could be
-    // one of hundreds.
+    // An entry that does not know the number of entries has no turns, as there could be
+    // hundreds.
     let cold = Cold::new("entry-1".into());
     let has_turn = |at| cold.has_turn(ms(at), &"server-0".into(), &LIMITS);
     assert!(!(0..10_000).any(has_turn));
@@ -190,9 +191,9 @@
 
 #[test]
 fn taken_back() {
-    // A failure domain is taken back. Its backend servers became cold a moment before,
-    // of which their next announcement tells a second later: until it is certain they
-    // are not, they get nothing while others can serve.
+    // The evacuation of a failure domain ends. Its backend servers have restarted a
+    // moment before, which their next announcement says a second later. Until it is
+    // certain that they are not cold, they get no requests while others can serve.
     let mut router = entry(1, 1);
     for number in 0..2 {
         let mut said = announcement(number);
@@ -218,9 +219,9 @@
 
 #[test]
 fn cold_again() {
-    // A backend server becomes cold again while it serves. It says so with its next
-    // announcement, which is news for everybody; the announcements after it, which
-    // count the same time down, are none.
+    // A running backend server becomes cold again. Its next announcement says so, which
+    // is a change that must be forwarded. The announcements after it only count down the
+    // same period and are not forwarded.
     let mut directory = Directory::default();
     let say = |sequence, cold| Announcement {
         sequence,
--- a/sesamebeam_core/tests/gateway/config.rs
+++ b/sesamebeam_core/tests/gateway/config.rs
@@ -1,4 +1,4 @@
-//! What makes a configuration invalid.
+//! Validation of configurations.
 
 use sesamebeam_core::gateway::config::{
     ConfigFault,
--- a/sesamebeam_core/tests/gateway/connections.rs
+++ b/sesamebeam_core/tests/gateway/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that entries keep to a backend server.
+//! Idle connections of entries to a backend server.
 
 use sesamebeam_core::gateway::connections::most_idle;
 use yare::parameterized;
@@ -13,7 +13,7 @@
     not_said = { 0, 300, 24 },
 )]
 fn part_of_all(max_connections: u32, entries: u32, most: usize) {
-    // What all entries keep leaves half of the connections for requests under way.
+    // The idle connections of all entries leave half of the limit for requests in flight.
     assert_eq!(most_idle(max_connections, entries), most);
     if max_connections > 0 {
         assert!(most * entries as usize <= max_connections as usize / 2);
--- a/sesamebeam_core/tests/gateway/crashes.rs
+++ b/sesamebeam_core/tests/gateway/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash what runs them.
+//! Detection of requests that crash backend servers.
 
 use sesamebeam_core::gateway::{
     crashes::Crashes,
@@ -18,8 +18,8 @@
 
 #[test]
 fn third_crash_convicts() {
-    // A request takes three backend servers with it, one after the other. A
-    // bystander was on board of two of them and ran to its end at a fourth.
+    // A request crashes three backend servers one after the other. An unrelated request
+    // was running on two of them and completed on a fourth.
     let mut crashes = Crashes::default();
     for (n, server) in ["a", "b", "c"].into_iter().enumerate() {
         assert_eq!(crashes.count(crash(1, server)), n == 2);
--- a/sesamebeam_core/tests/gateway/evacuations.rs
+++ b/sesamebeam_core/tests/gateway/evacuations.rs
@@ -1,4 +1,4 @@
-//! Failure domains to whose backend servers nothing is sent, by an operator's order.
+//! Evacuation of failure domains by operators.
 
 use std::collections::BTreeSet;
 
@@ -47,9 +47,9 @@
     },
 };
 
-/// Longest time in which an order is acknowledged while a majority of the replicas
-/// stands, in milliseconds: a leader is elected within half a second, and what is
-/// later than a second is missed by the operator.
+/// Maximum time to the acknowledgement of an order while a majority of the replicas is
+/// available, in milliseconds. A leader is elected within half a second, and the
+/// operator's client gives up after a second.
 const ACKNOWLEDGED_IN: u64 = 1000;
 
 fn evacuate(domain: &str) -> Call {
@@ -60,14 +60,14 @@
     Call::Readmit(domain.into())
 }
 
-/// Returns the failure domains that the state of a replica has evacuated.
+/// Returns the failure domains that are evacuated in the state of a replica.
 fn evacuated(group: &Group, node: NodeId) -> Vec<DomainId> {
     let store = group.processes[&node].core.store();
     store.orders().evacuated.iter().cloned().collect()
 }
 
-/// Gives an order to one replica after another, as an operator does, and returns how
-/// long it took until one acknowledged it.
+/// Sends an order to one replica after another, as an operator does, and returns
+/// the time until one acknowledged it, in milliseconds.
 fn order(group: &mut Group, call: &Call) -> u64 {
     let since = group.now;
     while group.now < since + ms(30_000) {
@@ -87,7 +87,7 @@
     panic!("{call:?} is not acknowledged within 30 s");
 }
 
-/// Lets all replicas lose power and come back with what is on their disks.
+/// Simulates a power loss of all replicas, which restart from their disks.
 fn lose_power(group: &mut Group) {
     let nodes: Vec<NodeId> = group.processes.keys().copied().collect();
     let disks: Vec<_> = nodes.iter().map(|&n| (n, group.kill(n))).collect();
@@ -99,8 +99,8 @@
 
 #[test]
 fn entries_are_told() {
-    // An entry that follows another replica than the one that took the order hears of
-    // it, and one that starts afterwards hears of it with the configuration.
+    // An entry that follows another replica than the one that received the order is
+    // notified. An entry that starts later learns of it together with the configuration.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     let other = (1..=3).find(|&n| n != leader).expect("there are three");
@@ -133,8 +133,8 @@
 
 #[test]
 fn outlives_power_and_disks() {
-    // All power is lost right after an acknowledgement, and one disk with it. Then
-    // enough is ordered that the state comes from a snapshot, and power is lost again.
+    // All replicas lose power right after an acknowledgement. Later the state is restored
+    // from a snapshot after further orders, and after a second power loss.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
@@ -158,8 +158,8 @@
 
 #[test]
 fn ordered_again() {
-    // The acknowledgement of an order is lost with the leader; the operator repeats it
-    // elsewhere, twice, and is told the same. Nothing else comes of it.
+    // The acknowledgement of an order is lost with the leader. The operator repeats the
+    // order twice at another replica, gets the same answer, and nothing else changes.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
@@ -175,8 +175,8 @@
 
 #[test]
 fn never_ordered() {
-    // What is not evacuated is taken back in vain, and a failure domain in which no
-    // backend server was heard of is evacuated like any: some may come there.
+    // Ending an evacuation that was never ordered has no effect. A failure domain without
+    // known backend servers can be evacuated, as some may be started there.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     assert_eq!(group.ask(leader, readmit("hall-1")), Answer::Done);
@@ -186,9 +186,9 @@
 
 #[test]
 fn lagging_replica_says_nothing() {
-    // A domain is evacuated, taken back and evacuated again. A replica that knows the
-    // first order alone must not answer the third from that: all others have it as
-    // taken back.
+    // A failure domain is evacuated, readmitted and evacuated again. A replica that knows
+    // only the first order must not acknowledge the third one based on it, as the others
+    // have the domain as readmitted.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
@@ -200,7 +200,7 @@
     assert_ne!(group.ask(away, evacuate("hall-1")), Answer::Done);
 }
 
-/// What happens to the replica that leads while an order is given.
+/// Condition of the leader when an order is given.
 #[derive(Clone, Copy, Debug)]
 enum Trouble {
     Calm,
@@ -220,10 +220,10 @@
     storm = { Trouble::Storm },
 )]
 fn acknowledged_in_time(trouble: Trouble) {
-    // An operator orders while the leader is in trouble, and asks one replica after the
-    // other. A majority stands all the while, so that one of them leads soon and
-    // acknowledges both orders within a second of being able to. At a leader that says
-    // nothing the operator itself waits for nearly a second.
+    // An operator gives an order while the leader is in trouble, asking one replica after
+    // the other. A majority is available throughout, so that one of its members becomes
+    // leader and acknowledges both orders within a second. A leader that does not respond
+    // costs the operator nearly a second more.
     let mut group = Group::start(5, 2);
     let leader = group.new_leader(None);
     group.run(500);
@@ -255,8 +255,8 @@
 
 #[test]
 fn older_snapshot() {
-    // A replica starts with a new program and the snapshot of an older one, which knew
-    // no evacuations: its state ends before them.
+    // An upgraded replica starts with a snapshot from before the introduction of
+    // evacuations, which lacks the last field.
     let mut store = Store::default();
     let document = Document {
         version: 5,
@@ -270,8 +270,8 @@
 
 #[test]
 fn no_end_of_names() {
-    // A caller makes names up without end; what a replica keeps stays bounded, and what
-    // is evacuated can still be ordered again.
+    // A caller orders evacuations of an unbounded number of made-up names. The state
+    // stays bounded, and domains that are already evacuated can be ordered again.
     let mut store = Store::default();
     for n in 0..1000 {
         store.apply(n, Command::Evacuate(format!("hall-{n}").into()));
@@ -281,7 +281,8 @@
     assert!(!store.may_evacuate(&"hall-999".into()));
 }
 
-/// Makes an entry that knows backend servers 0 to 5, by turns in three failure domains.
+/// Returns an entry that knows backend servers 0 to 5, distributed over three failure
+/// domains.
 fn three_domains() -> Router {
     let mut router = router(0);
     for number in 0..6 {
@@ -300,8 +301,8 @@
     router.set_orders(ms(index), index, orders);
 }
 
-/// Sends requests, each of which is repeated until nobody is left, and returns who got
-/// any.
+/// Sends requests, each of which is retried until no backend server is left, and returns
+/// the backend servers that got any.
 fn reached(router: &mut Router, now: u64) -> BTreeSet<ServerId> {
     let mut reached = BTreeSet::new();
     for n in 0..50 {
@@ -319,8 +320,8 @@
 
 #[test]
 fn nothing_goes_there() {
-    // No first send, and no repeat, goes to a failure domain that is evacuated, though
-    // it is the entry's own and nobody else is left.
+    // Neither a first attempt nor a retry goes to an evacuated failure domain, even if it
+    // is the entry's own and no other backend server is left.
     let mut router = three_domains();
     assert_eq!(reached(&mut router, 1).len(), 6);
     set_evacuated(&mut router, 5, &["hall-1"]);
@@ -332,7 +333,8 @@
 
 #[test]
 fn late_news() {
-    // What another replica tells of the time before the order changes nothing.
+    // A replica that lags behind reports the state before the order, which must be
+    // ignored.
     let mut router = three_domains();
     set_evacuated(&mut router, 20, &["hall-1"]);
     set_evacuated(&mut router, 15, &[]);
@@ -341,8 +343,8 @@
 
 #[test]
 fn nobody_left() {
-    // All failure domains with backend servers are evacuated. The caller is told at
-    // once; an entry that has yet to hear of any backend server waits for that.
+    // All failure domains with backend servers are evacuated. Requests are rejected at
+    // once, while an entry that does not know of any backend server waits for one.
     let mut empty = router(0);
     let mut router = three_domains();
     set_evacuated(&mut router, 5, &["hall-1", "hall-2", "hall-3"]);
@@ -356,8 +358,8 @@
 
 #[test]
 fn new_version_only_there() {
-    // A version that has taken over stands in the evacuated failure domain alone. The
-    // versions before serve its requests rather than nobody.
+    // All backend servers of a promoted version are in the evacuated failure domain. The
+    // previous versions serve the requests instead.
     let mut router = three_domains();
     let mut said = announcement(9);
     said.version = "v2".into();
--- a/sesamebeam_core/tests/gateway/plays.rs
+++ b/sesamebeam_core/tests/gateway/plays.rs
@@ -1,5 +1,5 @@
-//! Loads of a whole fleet, played through the decisions of its entries and control
-//! replica without a network, by what callers get.
+//! Simulated load on a whole fleet of entries and a control replica, without a network.
+//! The results are judged by what callers get.
 
 use std::collections::BTreeMap;
 
@@ -39,11 +39,11 @@
     router_config, //
 };
 
-/// Pause between two reports of an entry, without failures and with.
+/// Intervals between two reports of an entry, without and with failures, in milliseconds.
 const REPORT_EVERY: u64 = 200;
 const FAILURES_EVERY: u64 = 50;
 
-/// Entries before one service, and the replica that they follow.
+/// Entries of one service, and the replica that they follow.
 struct Fleet {
     entries: BTreeMap<EntryLife, Router>,
     core: Coordinator,
@@ -80,7 +80,7 @@
         ms(self.now)
     }
 
-    /// Hands an event to the replica and what it tells to the entries.
+    /// Passes an event to the replica, and its messages to the entries.
     fn event(&mut self, event: Event) {
         for action in self.core.handle(ms(self.now), event) {
             let Action::Push(to, message) = action else {
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Lets a millisecond pass, in which entries report if `pools`.
+    /// Advances the clock by a millisecond. Entries send their reports if
+    /// `shares_reports` is set.
     fn step(&mut self, pools: bool) {
         self.now += 1;
         let (now, at) = (self.now, self.at());
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Sends a booking through an entry drawn by lot and returns whether it got an
-    /// answer. Each backend server breaks off its share of the answers.
+    /// Sends a booking through a random entry and returns whether it got a response.
+    /// `failure_rate` is the share of responses that each backend server aborts.
     fn book(&mut self, number: u64, breaks: impl Fn(&ServerId) -> f64) -> bool {
         let at = self.at();
         let life = self.rng.random_range(1..=self.entries.len() as u64);
@@ -140,7 +141,7 @@
     }
 }
 
-/// Returns a configuration whose requests may run only once.
+/// Returns a configuration whose requests must be executed at most once.
 fn bookings() -> sesamebeam_core::gateway::config::GatewayConfig {
     let mut config = config(1);
     config.routes[0].repeat = Repeat::AtMostOnce;
@@ -149,8 +150,8 @@
     config
 }
 
-/// Returns how many of a rate of bookings for four seconds got no answer, while three
-/// of five backend servers break off two answers in five.
+/// Returns how many bookings got no response within four seconds in which three of five
+/// backend servers abort two responses in five.
 fn lost(entries: u64, rate: u64, pools: bool) -> usize {
     let mut fleet = Fleet::start(entries, 5);
     let bad = |id: &ServerId| ["server-0", "server-1", "server-2"].contains(&id.as_str());
@@ -174,10 +175,11 @@
     small = { 9, 35, 25, 25 },
 )]
 fn bookings_broken_off(entries: u64, rate: u64, alone: usize, pooled: usize) {
-    // Bookings are lost for as long as three of five backend servers break off a
-    // share of their answers: an entry that sends one a second never knows. Lost of
-    // 1,400 at 295 entries: 338 with each entry by itself, 27 with what all of them
-    // see; of 140 at nine entries 35 and 19.
+    // Bookings are lost as long as three of five backend servers abort some of their
+    // responses. An entry that sends one booking a second can't detect this alone. Of
+    // 1,400 bookings at 295 entries, 338 were lost when each entry used its own
+    // observations and 27 with shared reports; of 140 bookings at nine entries, 35 and
+    // 19.
     let by_themselves = lost(entries, rate, false);
     let together = lost(entries, rate, true);
     assert!(by_themselves >= alone, "{by_themselves}");
@@ -186,9 +188,9 @@
 
 #[test]
 fn first_requests_apart() {
-    // Bookings are refused within the first moments after all entries have started
-    // anew: the first request of each entry went to the same of five backend servers,
-    // 295 in place of 59. Before: 295, after: 71 or less.
+    // When all entries had restarted, the first request of each went to the same one of
+    // five backend servers, which got 295 instead of 59 requests and rejected bookings.
+    // The maximum is now 71.
     let mut fleet = Fleet::start(295, 5);
     let mut sent: BTreeMap<ServerId, usize> = BTreeMap::new();
     for (life, router) in &mut fleet.entries {
--- a/sesamebeam_core/tests/gateway/rollouts.rs
+++ b/sesamebeam_core/tests/gateway/rollouts.rs
@@ -1,4 +1,4 @@
-//! Verdicts on new versions.
+//! Decisions on rollouts of new versions.
 
 use rand::{
     RngExt,
@@ -18,7 +18,7 @@
 
 use crate::make::ms;
 
-/// Share of the requests that a bad version may get.
+/// Share of the requests that a faulty version may get.
 const SHARE: f64 = 0.15;
 
 fn rollout(phase: Phase) -> Rollout {
@@ -75,8 +75,8 @@
 
 #[test]
 fn failing_service() {
-    // The service fails a quarter of its requests on every version. That says
-    // nothing against the new one.
+    // The service fails a quarter of its requests on every version, which is no evidence
+    // against the new one.
     let mut watch = Watch::new(ms(0));
     watch.take(ms(0), "v2", &evidence("v1", 300, 100, 1.0));
     watch.take(ms(0), "v2", &evidence("v2", 30, 11, 1.0));
@@ -88,7 +88,7 @@
 
 #[test]
 fn unseen_version() {
-    // Nothing ever reached the new version; it does not take over on trust.
+    // The new version got no requests. It must not be promoted without evidence.
     let mut watch = Watch::new(ms(0));
     watch.take(ms(0), "v2", &evidence("v1", 300, 6, 1.0));
     let phase = watch.phase(ms(15_000), &rollout(Phase::Canary), SHARE);
@@ -97,8 +97,8 @@
 
 #[test]
 fn slow_on_few_requests_of_each_route() {
-    // A new version answers eight times as slowly. Within its trial each of three
-    // routes has seen it six times only; all of them together are enough.
+    // The new version is eight times as slow. As a canary it serves only six requests on
+    // each of three routes, but the total over all routes is sufficient.
     let mut watch = Watch::new(ms(0));
     for route in ["notes", "sheets", "codes"] {
         let of_route = |version, good, slowness| Evidence {
@@ -114,8 +114,8 @@
 
 #[test]
 fn slow_streams() {
-    // A new version's first bytes come as fast as ever, but its events eight
-    // times as slowly.
+    // The new version's first bytes are as fast as usual, but its events eight times as
+    // slow.
     let mut watch = Watch::new(ms(0));
     let paced = |version, count, pace| Evidence {
         paced: count,
@@ -130,9 +130,9 @@
 
 #[test]
 fn exposure_without_evidence() {
-    // A new version is bad in a way that nothing shows before the end of its
-    // roll-out, say only under a load that does not come. What reached it until
-    // then must be within the allowed share all the same.
+    // The new version has a fault that shows only after the end of its rollout, for
+    // example under a load that does not occur before. Its total exposure must still be
+    // within the limit.
     const ON_TRIAL: f64 = TRIAL_PART * SHARE;
     let mut watch = Watch::new(ms(0));
     watch.take(ms(0), "v2", &evidence("v1", 300, 0, 1.0));
@@ -150,11 +150,11 @@
     assert!(exposed <= SHARE, "{exposed:.2} of the requests");
 }
 
-/// Has a version answer for some seconds, ten reports a second, and returns when it
-/// was rolled back, with the failures that it had until then.
+/// Runs a rollout with ten reports a second for 15 s. Returns the time of the rollback
+/// with the number of failures until then.
 fn judged(per_report: u32, own: u32, bad: u32, start: u64) -> Option<(u64, u32)> {
     let mut watch = Watch::new(ms(0));
-    // In a hundred answers of any version, `own` fail.
+    // `own` of a hundred responses fail on any version.
     let mut rounding = 0;
     let mut split = |share: u32| {
         rounding += per_report * share;
@@ -186,9 +186,9 @@
     never_fails = { 10, 0 },
 )]
 fn bad_under_load(per_report: u32, own: u32) {
-    // A version answers as well as those before for nine seconds, and fails four
-    // in ten once it is loaded. Among all its answers that is a tenth more for
-    // seconds; callers would get 50 failures and more before it is known.
+    // The new version fails as often as the previous ones for nine seconds, and 40 in 100
+    // once it is under load. Judged by all its responses the difference is only a tenth
+    // for some seconds, in which callers would get 50 failures or more.
     let (at, failures) = judged(per_report, own, 40, 9000).expect("it is rolled back");
     let at_once = at <= 9500;
     assert!(
@@ -204,15 +204,15 @@
     fails_often = { 10, 20 },
 )]
 fn own_failures(per_report: u32, own: u32) {
-    // The service fails as often on both versions, the new one is good.
+    // Both versions fail equally often, so the new one is good.
     assert_eq!(judged(per_report, own, own, 0), None);
 }
 
-/// Roll-outs that each case of the table below plays.
+/// Number of simulated rollouts in each case below.
 const PLAYED: u64 = 100;
 
-/// Plays a roll-out of 20 s whose answers fail by lot, and returns whether the new
-/// version was stopped, with the failures that callers got from it.
+/// Simulates a rollout of 20 s with random failures. Returns whether the new version was
+/// rolled back, and the number of its failures.
 fn by_lot(seed: u64, rate: f64, own: f64, bad: f64) -> (bool, u32) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut watch = Watch::new(ms(0));
@@ -242,8 +242,8 @@
     (false, failures)
 }
 
-/// Stops of good versions, of [`PLAYED`] each, for services of 5, 30, 300 and 3,000
-/// requests a second.
+/// Rollbacks of good versions among [`SIMULATED_ROLLOUTS`], for services with 5, 30, 300
+/// and 3,000 requests a second.
 #[parameterized(
     never_fails = { 0.0, [0, 0, 0, 0] },
     one_in_100 = { 0.01, [0, 2, 0, 0] },
@@ -259,10 +259,10 @@
     assert!(within, "{stopped:?} of {PLAYED} stopped");
 }
 
-/// Bad versions that are not stopped, of [`PLAYED`] each, and the most failures of
-/// one, for the same services. They fail 40 in 100 beside the service's own. At 5
-/// requests a second a trial has five answers of the new version, which tell little;
-/// callers get no more than 12 failures of it.
+/// Faulty versions that are not rolled back among [`SIMULATED_ROLLOUTS`], and the maximum
+/// number of failures of one of them, for the same services. Their failure rate is 40 in
+/// 100 above that of the service. At 5 requests a second a canary yields five responses,
+/// which are weak evidence; callers get at most 12 failures from it.
 #[parameterized(
     never_fails = { 0.0, [55, 0, 0, 0], [8, 4, 7, 22] },
     twenty_in_100 = { 0.2, [73, 0, 0, 0], [12, 21, 22, 39] },
--- a/sesamebeam_core/tests/gateway/seeds.rs
+++ b/sesamebeam_core/tests/gateway/seeds.rs
@@ -1,4 +1,4 @@
-//! Seeds that have no place in the group any more.
+//! Seed processes that are no longer members of the group.
 
 use std::collections::BTreeSet;
 
@@ -18,7 +18,7 @@
 /// Number of the entry in these tests.
 const ENTRY: u64 = 50;
 
-/// Hands what was told to those who listen, until nothing is left.
+/// Delivers the queued messages to their receivers.
 fn deliver(group: &mut Group) {
     while let Some((to, told)) = group.told.pop_front() {
         let node = (1..=9).find(|&n| listens(n) == to).expect("it is known");
@@ -38,10 +38,10 @@
 
 #[test]
 fn seeds_forgot() {
-    // All processes lose their power. The members are 1 to 3; the seeds that the
-    // settings name, 7 to 9, are none any more, and come back with empty disks.
-    // An entry that starts asks the seeds alone: it is served only if a seed
-    // learns who the members are, and no seed can find them by itself.
+    // All processes lose power. The members are 1 to 3. The configured seeds, 7 to 9, are
+    // no longer members and restart with empty disks. A starting entry asks only the
+    // seeds, so they have to learn the members from the group, which they can't find by
+    // themselves.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
     let disks: Vec<_> = (1..=3).map(|n| (n, group.kill(n))).collect();
@@ -65,8 +65,8 @@
 
 #[test]
 fn members_know() {
-    // Seeds that are members hear of the group by its log. Telling them too
-    // would cost the leader connections for ever.
+    // Seeds that are members learn the group from the log. Notifying them as well would
+    // cost the leader permanent connections.
     let mut group = Group::start(3, 1);
     name_seeds(&mut group, 1..=3);
     group.new_leader(None);
@@ -76,8 +76,8 @@
 
 #[test]
 fn cut_leader_silent() {
-    // A leader that is cut off does not know who is in the group any more. What
-    // it told could send entries to processes that have left.
+    // A leader that is cut off no longer knows the current members. Its messages could
+    // send entries to processes that have left.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     group.isolate(leader);
--- a/sesamebeam_core/tests/gateway/subscription.rs
+++ b/sesamebeam_core/tests/gateway/subscription.rs
@@ -1,4 +1,4 @@
-//! Which control replica tells an entry.
+//! Selection of the control replica that an entry follows.
 
 use std::net::SocketAddr;
 
@@ -30,7 +30,7 @@
     servers: 77,
 };
 
-/// An entry of the first of three failure domains, each with a replica.
+/// An entry in the first of three failure domains, each of which has a replica.
 struct Entry {
     subscription: Subscription,
     now: u64,
@@ -51,7 +51,7 @@
         self.subscription.met(addr, format!("hall-{number}").into());
     }
 
-    /// Lets time pass, in which replicas say what they hold twice a second.
+    /// Runs for some time, in which the replicas send their summaries twice a second.
     fn run(&mut self, millis: u64, replicas: &[(u64, Summary)], own: &Holding) -> Vec<Order> {
         let until = self.now + millis;
         let mut orders = Vec::new();
@@ -85,9 +85,9 @@
 
 #[test]
 fn near_one_tells() {
-    // The replica of another failure domain is connected first and tells at once.
-    // The one nearby takes over when it has been connected for a while, and nobody
-    // is told twice.
+    // The replica of another failure domain is connected first and is followed at once.
+    // The local one takes over when it has been connected for a while, and the entry
+    // never follows both.
     let mut entry = Entry::new();
     entry.connect(2);
     let orders = entry.run(100, &[(2, SETTLED)], &HOLDING);
@@ -100,7 +100,7 @@
 
 #[test]
 fn far_one_tells() {
-    // The one nearby is down. Another tells before callers notice.
+    // The local replica is down. Another one is followed before callers notice.
     let mut entry = Entry::new();
     entry.connect(2);
     let orders = entry.run(50, &[(2, SETTLED)], &HOLDING);
@@ -114,7 +114,7 @@
     entry.subscription.lost(listens(1));
     let orders = entry.run(50, &[], &HOLDING);
     assert!(matches!(orders[..], [Order::Follow(_)]), "{orders:?}");
-    // It is back, and tells again once it has been for a while.
+    // It returns, and is followed again once it has been connected for a while.
     entry.connect(1);
     let told = [(1, SETTLED), (2, SETTLED), (3, SETTLED)];
     assert_eq!(entry.run(1000, &told, &HOLDING), []);
@@ -127,9 +127,9 @@
 
 #[test]
 fn cut_off_from_the_group() {
-    // The replica nearby is cut off from the others, the entry is not. What is
-    // acknowledged meanwhile is known to the others only: the entry asks one of
-    // them within half a second, and another tells it from then on.
+    // The local replica is cut off from the group, but not from the entry. Commands that
+    // are acknowledged meanwhile are known only to the other replicas: the entry asks one
+    // of them within half a second, and then follows another replica.
     let mut entry = Entry::new();
     entry.settle();
     let lost = Summary {
@@ -167,8 +167,8 @@
 
 #[test]
 fn differing_for_good() {
-    // Two directories differ for good, as one of them has forgotten something.
-    // Asking brings nothing, and is done ever more rarely.
+    // Two directories differ permanently, since one of them has expired a record. Resync
+    // requests don't help and become less frequent.
     let mut entry = Entry::new();
     entry.settle();
     let other = Summary {
--- a/sesamebeam_core/tests/gateway/table.rs
+++ b/sesamebeam_core/tests/gateway/table.rs
@@ -1,4 +1,4 @@
-//! Finding the route, the caller and the service of a request.
+//! Lookup of the route, the caller and the service of a request.
 
 use sesamebeam_core::gateway::table::{
     Caller,
