--- a/sesamebeam/src/gateway/attempt.rs
+++ b/sesamebeam/src/gateway/attempt.rs
@@ -19,9 +19,9 @@
 };
 use sesamebeam_core::gateway::{
     balance::Outcome,
-    cascade::Step,
+    cascade::Decision,
     directory::ServerId,
-    request::AnswerHead,
+    request::ResponseHead,
     router::{
         Choice,
         Plan,
@@ -107,7 +107,7 @@
     /// Its head and body.
     pub(super) response: Response<Incoming>,
     /// What its head says.
-    pub(super) head: AnswerHead,
+    pub(super) head: ResponseHead,
     /// The connection that it comes on.
     pub(super) lease: Lease,
 }
@@ -266,7 +266,7 @@
     }
 
     /// Keeps a connection for the next request, for as long as its server says.
-    pub(super) fn give_back(&self, lease: Lease, head: &AnswerHead) {
+    pub(super) fn give_back(&self, lease: Lease, head: &ResponseHead) {
         if !head.closing {
             let most_idle = self.gateway.router().most_idle(&self.plan);
             lease.give_back_for(head.keep_alive, most_idle);
@@ -281,7 +281,7 @@
 
     /// Returns whether a request that may have run may be sent again.
     fn may_repeat(&self) -> bool {
-        !self.plan.route.runs_once()
+        !self.plan.route.runs_at_most_once()
     }
 
     /// Decides what follows after a send.
@@ -402,7 +402,7 @@
                 && router.has_room(now, &self.plan, &self.tried);
             let step = match self.model {
                 Some(_) => router.judge(now, &self.plan, &model, head, left),
-                None => Step::Keep,
+                None => Decision::Keep,
             };
             (step, router.keep_from(now, &self.plan))
         };
@@ -418,7 +418,7 @@
             config = self.plan.table.config().version;
             "stream began"
         );
-        if let Step::Ask(larger) = step {
+        if let Decision::Ask(larger) = step {
             choice.end(Outcome::Dropped);
             // Closing the connection ends the run, which has begun all the same.
             drop(arrived);
--- a/sesamebeam/src/gateway/feed.rs
+++ b/sesamebeam/src/gateway/feed.rs
@@ -32,8 +32,8 @@
     limits::LimitOf,
     store::Document,
     subscription::{
-        Order,
         Subscription, //
+        SubscriptionAction,
     },
 };
 use smol_str::SmolStr;
@@ -241,7 +241,7 @@
             Heard::Said(said) => self.said(addr, said),
             Heard::Lost => {
                 self.links.remove(&addr);
-                self.subscription.lost(addr);
+                self.subscription.disconnected(addr);
                 self.look();
             }
         }
@@ -251,7 +251,7 @@
     fn look(&mut self) {
         let now = self.gateway.now();
         let holding = self.gateway.router().holding();
-        for order in self.subscription.look(now, &holding) {
+        for order in self.subscription.poll(now, &holding) {
             log::info!(
                 order:? = order, config:? = holding.config, index = holding.index,
                 servers = holding.servers;
@@ -259,7 +259,7 @@
             );
             let held = self.gateway.router().held();
             match order {
-                Order::Follow(addr) => {
+                SubscriptionAction::Follow(addr) => {
                     self.send(addr, FromEntry::Follow(held));
                     let ages = self.gateway.router().rollout_ages(now);
                     let report = Report {
@@ -268,8 +268,8 @@
                     };
                     self.send(addr, FromEntry::Report(report));
                 }
-                Order::Unfollow(addr) => self.send(addr, FromEntry::Unfollow),
-                Order::Ask(addr) => self.send(addr, FromEntry::Lacks(held)),
+                SubscriptionAction::Unfollow(addr) => self.send(addr, FromEntry::Unfollow),
+                SubscriptionAction::Ask(addr) => self.send(addr, FromEntry::Lacks(held)),
             }
         }
     }
@@ -287,7 +287,7 @@
         gateway.meters.set(Level::Limited, limited as u64);
         let backed_off = gateway.router().backed_off(now);
         gateway.meters.set(Level::BackedOff, backed_off as u64);
-        let Some(teller) = self.subscription.teller() else {
+        let Some(teller) = self.subscription.followed() else {
             return;
         };
         let report = gateway.router().take_report(now);
@@ -322,7 +322,7 @@
                 entries,
             } => {
                 gateway.router().set_entries(now, entries);
-                self.subscription.met(addr, domain);
+                self.subscription.set_domain(addr, domain);
                 // A replica that knows of nobody yet says nothing.
                 if !replicas.is_empty() {
                     self.replicas = replicas.into_iter().collect();
@@ -330,7 +330,8 @@
             }
             ToEntry::Alive(summary) => {
                 let holding = gateway.router().holding();
-                self.subscription.told(now, addr, summary, &holding);
+                self.subscription
+                    .summary_received(now, addr, summary, &holding);
             }
             ToEntry::State {
                 index,
--- a/sesamebeam/src/gateway/protocol.rs
+++ b/sesamebeam/src/gateway/protocol.rs
@@ -9,13 +9,13 @@
 };
 use sesamebeam_core::gateway::{
     config::{
-        ConfigFault,
+        ConfigError,
         GatewayConfig, //
     },
     request::{
-        AnswerHead,
         Head,
         Outgoing, //
+        ResponseHead,
     },
 };
 use thiserror::Error;
@@ -45,12 +45,12 @@
     fn outgoing(&self, headers: &mut HeaderMap, out: &Outgoing<'_>);
 
     /// Reads the head of an answer.
-    fn answer(&self, head: &response::Parts) -> AnswerHead;
+    fn answer(&self, head: &response::Parts) -> ResponseHead;
 
     /// Reads a configuration.
     ///
     /// # Errors
     ///
     /// Fails if it cannot be read or its parts do not fit.
-    fn config(&self, document: &[u8]) -> Result<GatewayConfig, ConfigFault>;
+    fn config(&self, document: &[u8]) -> Result<GatewayConfig, ConfigError>;
 }
--- a/sesamebeam/src/gateway/send.rs
+++ b/sesamebeam/src/gateway/send.rs
@@ -22,9 +22,9 @@
 use sesamebeam_core::gateway::{
     backoff::Backoff,
     request::{
-        AnswerHead,
         Head,
         Outgoing, //
+        ResponseHead,
     },
     router::{
         Choice,
@@ -102,7 +102,7 @@
 /// How a send went.
 pub(super) enum Sent {
     /// An answer has begun.
-    Answered(Box<Response<Incoming>>, AnswerHead, Lease),
+    Answered(Box<Response<Incoming>>, ResponseHead, Lease),
     /// Not one byte has left.
     Unsent(ClientError),
     /// The connection broke, or another request's answer came; it may have run.
@@ -194,7 +194,7 @@
     }
 
     /// Notes the limit that an answer names, or that it names none.
-    fn note_limit(&self, choice: &Choice, sent_at: Duration, answer: &AnswerHead) {
+    fn note_limit(&self, choice: &Choice, sent_at: Duration, answer: &ResponseHead) {
         let mut router = self.router();
         if router.limit_heard(self.now(), choice, sent_at, answer) {
             log::info!(server:% = choice.id, limit:? = answer.limit; "limit heard");
@@ -202,7 +202,7 @@
     }
 
     /// Notes that the backend server asks for a pause, or leaves.
-    fn note_backoff(&self, choice: &Choice, answer: &AnswerHead) {
+    fn note_backoff(&self, choice: &Choice, answer: &ResponseHead) {
         let asked = self.router().backoff_heard(self.now(), choice, answer);
         match asked {
             Some(Backoff::Pause(pause)) => {
--- a/sesamebeam/src/gateway/stream.rs
+++ b/sesamebeam/src/gateway/stream.rs
@@ -24,7 +24,7 @@
 };
 use sesamebeam_core::gateway::{
     balance::Outcome,
-    request::AnswerHead, //
+    request::ResponseHead, //
 };
 use tokio::time::timeout_at;
 
@@ -68,7 +68,7 @@
 struct Source {
     choice: Flight,
     body: Incoming,
-    head: AnswerHead,
+    head: ResponseHead,
     lease: Option<Lease>,
 }
 
--- a/sesamebeam_bench/benches/directory.rs
+++ b/sesamebeam_bench/benches/directory.rs
@@ -14,10 +14,9 @@
 use sesamebeam_core::{
     gateway::{
         balance::Outcome,
-        budget::BudgetConfig,
         config::{
             GatewayConfig,
-            Repeat,
+            RetrySafety,
             RouteConfig,
             ServiceConfig, //
         },
@@ -30,6 +29,7 @@
             Head,
             PromptPart, //
         },
+        retry_budget::RetryBudgetConfig,
         router::{
             Router,
             RouterConfig, //
@@ -62,7 +62,7 @@
     let mut router = Router::new(RouterConfig {
         name: "entry-1".into(),
         domain: "hall-1".into(),
-        budget: BudgetConfig {
+        budget: RetryBudgetConfig {
             ratio: 1.0,
             slack: 1_000.0,
             window: Duration::from_secs(10),
@@ -84,17 +84,17 @@
             name: "notes".into(),
             host: "desk.example".into(),
             prefix: "/".into(),
-            repeat: Repeat::AtMostOnce,
+            retry_safety: RetrySafety::AtMostOnce,
             streaming: true,
             resumable: true,
             timeout: Duration::from_secs(20),
             target: Duration::from_secs(1),
             gap: None,
             rank: 1,
-            sizes: vec!["small".into(), "large".into()],
+            models: vec!["small".into(), "large".into()],
             backends: vec![("pool".into(), 1)],
             max_attempts: 3,
-            anonymous: true,
+            allows_anonymous: true,
         }],
         services: vec![ServiceConfig {
             name: "pool".into(),
@@ -119,7 +119,7 @@
         model: None,
         prompt: vec![part(prompt), part(prompt + 1)],
         prompt_tokens: 800,
-        answer_tokens: None,
+        response_tokens: None,
         session: None,
         resume_after: None,
     }
--- a/sesamebeam_core/src/gateway.rs
+++ b/sesamebeam_core/src/gateway.rs
@@ -1,13 +1,11 @@
 //! Routing by host and path to the backend servers of declared services.
 //!
-//! The decisions of an entry that passes requests through unchanged: which
-//! route, which model, which backend server, whether to try again, and how far
-//! a new version is trusted; and the state that the control group replicates
-//! for it.
+//! Contains the decisions of an entry that forwards requests unchanged: the choice of
+//! route, model and backend server, retries, and the exposure of new versions. Also
+//! contains the state that the control group replicates for these decisions.
 
 pub mod backoff;
 pub mod balance;
-pub mod budget;
 pub mod cascade;
 pub mod cold;
 pub mod config;
@@ -19,21 +17,22 @@
 pub mod enquiry;
 pub mod entries;
 pub mod feed;
-mod lengths;
 pub mod limits;
 pub mod loads;
-mod paths;
-mod pause;
 pub mod pool;
-mod reading;
+mod prefill;
+mod prompt_lengths;
+mod quarantine;
+mod reachability;
 pub mod request;
+mod response_counts;
+pub mod retry_budget;
+mod retry_delay;
 pub mod rollout;
 pub mod router;
 pub mod sessions;
 pub mod shortage;
 pub mod store;
 pub mod subscription;
-mod suspects;
 pub mod table;
-mod tallies;
 pub mod waits;
--- a/sesamebeam_core/src/gateway/backoff.rs
+++ b/sesamebeam_core/src/gateway/backoff.rs
@@ -9,7 +9,7 @@
 
 use super::{
     directory::ServerId,
-    request::AnswerHead, //
+    request::ResponseHead, //
 };
 use crate::{
     ids::MonoTime,
@@ -27,11 +27,13 @@
 
 impl Backoff {
     /// Returns what the head of an answer asks for; none if nothing.
-    fn of(now: MonoTime, answer: &AnswerHead) -> Option<Self> {
+    fn of(now: MonoTime, answer: &ResponseHead) -> Option<Self> {
         if answer.leaving {
             return Some(Self::Leaving);
         }
-        let asked = answer.retry_after.filter(|_| answer.turns_away())?;
+        let asked = answer
+            .retry_after
+            .filter(|_| answer.rejects_for_capacity())?;
         Some(Self::Pause(RequestedPause::new(now, asked)))
     }
 
@@ -61,7 +63,12 @@
 impl Backoffs {
     /// Takes what an answer asks for, and returns that if it is more than what was asked
     /// before: answers on different connections overtake each other.
-    pub fn heard(&mut self, now: MonoTime, id: &ServerId, answer: &AnswerHead) -> Option<Backoff> {
+    pub fn heard(
+        &mut self,
+        now: MonoTime,
+        id: &ServerId,
+        answer: &ResponseHead,
+    ) -> Option<Backoff> {
         let asked = Backoff::of(now, answer)?;
         let known = self.of.get(id);
         if known.is_some_and(|&known| !asked.outlasts(known)) {
--- a/sesamebeam_core/src/gateway/balance.rs
+++ b/sesamebeam_core/src/gateway/balance.rs
@@ -17,21 +17,21 @@
     },
     loads::{
         self,
-        LoadOf,
         Loads,
         ServerKey, //
+        ServerLoad,
     },
-    paths::Paths,
-    pause::Pause,
     pool::{
         Doubt,
         Outcomes, //
     },
-    reading::{
+    prefill::{
         self,
-        Queue, //
+        PrefillQueue, //
     },
+    reachability::Reachability,
     request::Load,
+    retry_delay::RetryDelay,
 };
 use crate::{
     ids::{
@@ -118,11 +118,11 @@
     /// Share of its answers that failed.
     failures: f64,
     /// Pause in which it gets nothing, as it could not be reached.
-    pause: Pause,
+    pause: RetryDelay,
     /// When anything last came from it.
     heard_at: MonoTime,
     /// Long prompts that it has yet to read.
-    queue: Queue,
+    queue: PrefillQueue,
 }
 
 /// Load that a backend server reported.
@@ -185,7 +185,7 @@
 #[derive(Debug, Default)]
 pub struct Balance {
     seen: HashMap<ServerId, Seen>,
-    paths: Paths,
+    paths: Reachability,
     /// What was heard here and is to be told to the others.
     heard: Loads,
     /// Answers that are to be told to the others, good and bad.
@@ -213,8 +213,8 @@
         let seen = self.seen.entry(chosen.said.id.clone()).or_default();
         seen.in_flight += 1;
         seen.domain = chosen.said.domain.clone();
-        self.paths.tries(now, &chosen.said.domain);
-        if need.reading >= reading::LONG {
+        self.paths.record_attempt(now, &chosen.said.domain);
+        if need.reading >= prefill::LONG_PREFILL {
             self.expect_queue(now, &chosen.said.id, need.reading);
         }
         Some(chosen)
@@ -224,13 +224,13 @@
     pub fn heard(&mut self, now: MonoTime, id: &ServerId, load: Option<Load>) {
         let seen = self.seen.entry(id.clone()).or_default();
         seen.heard_at = now;
-        seen.pause = Pause::default();
-        self.paths.heard(&seen.domain);
+        seen.pause = RetryDelay::default();
+        self.paths.record_response(&seen.domain);
         if let Some(load) = load {
-            let load = LoadOf::new(id, load);
+            let load = ServerLoad::new(id, load);
             seen.load = Some(seen.reported(now, load));
-            let load = load.reading(seen.queue.own_left(now));
-            self.heard.take(now, [load]);
+            let load = load.with_prefill(seen.queue.own_remaining(now));
+            self.heard.merge(now, [load]);
         }
     }
 
@@ -247,10 +247,10 @@
     }
 
     /// Notes a load that another entry has heard.
-    pub fn told(&mut self, now: MonoTime, id: &ServerId, load: LoadOf) {
+    pub fn told(&mut self, now: MonoTime, id: &ServerId, load: ServerLoad) {
         let seen = self.seen.entry(id.clone()).or_default();
         seen.shared = Some(seen.reported(now, load));
-        seen.queue.told(now, load.reads_for());
+        seen.queue.reported(now, load.prefill_time());
     }
 
     /// Notes that a long prompt is on its way, here and for the others, until its
@@ -261,29 +261,29 @@
     /// taken for one that the small model reads, and faded within a second.
     fn expect_queue(&mut self, now: MonoTime, id: &ServerId, reading: Duration) {
         let seen = self.seen.entry(id.clone()).or_default();
-        seen.queue.send(now, reading);
+        seen.queue.sent(now, reading);
         let newest = seen.newest();
         let load = Load {
             running: newest.map_or(0, |r| r.running),
             waiting: newest.map_or(0, |r| r.waiting),
             slots: 0,
         };
-        let load = LoadOf::new(id, load).reading(seen.queue.own_left(now));
-        self.heard.take(now, [load]);
+        let load = ServerLoad::new(id, load).with_prefill(seen.queue.own_remaining(now));
+        self.heard.merge(now, [load]);
     }
 
     /// Notes that a long prompt was read, or that its request ended before.
     pub fn read(&mut self, now: MonoTime, id: &ServerId, reading: Duration) {
-        if reading >= reading::LONG
+        if reading >= prefill::LONG_PREFILL
             && let Some(seen) = self.seen.get_mut(id)
         {
-            seen.queue.done(now, reading);
+            seen.queue.finished(now, reading);
         }
     }
 
     /// Takes the loads that the others should be told of, if it is time.
-    pub fn take_heard(&mut self, now: MonoTime) -> Option<Vec<LoadOf>> {
-        self.heard.due(now, 0)
+    pub fn take_heard(&mut self, now: MonoTime) -> Option<Vec<ServerLoad>> {
+        self.heard.take_due(now, 0)
     }
 
     /// Returns when anything last came from a backend server.
@@ -326,10 +326,10 @@
             return;
         }
         if seen.pause.is_over(now) {
-            seen.pause.lengthen(now, MAX_PAUSE);
+            seen.pause.start_next(now, MAX_PAUSE);
         }
         if !is_down {
-            self.paths.unreached(now, domain, id);
+            self.paths.record_unreachable(now, domain, id);
         }
     }
 
@@ -343,7 +343,7 @@
     /// rests, here and at entries nearby, until it is heard.
     pub fn overdue(&mut self, now: MonoTime, id: &ServerId) {
         let seen = self.seen.entry(id.clone()).or_default();
-        seen.pause.at_least(now, OVERDUE_REST);
+        seen.pause.extend_to(now, OVERDUE_REST);
         self.unreached.push((loads::key(id), true));
     }
 
@@ -367,7 +367,7 @@
             }
             Outcome::Down => {
                 self.unreached.push((loads::key(id), true));
-                seen.pause.lengthen(now, MAX_PAUSE);
+                seen.pause.start_next(now, MAX_PAUSE);
             }
             Outcome::Unreachable | Outcome::Silent => {
                 // Busy engines are silent for seconds: what others make of that
@@ -375,8 +375,8 @@
                 if outcome == Outcome::Unreachable {
                     self.unreached.push((loads::key(id), false));
                 }
-                seen.pause.lengthen(now, MAX_PAUSE);
-                self.paths.unreached(now, &seen.domain, id);
+                seen.pause.start_next(now, MAX_PAUSE);
+                self.paths.record_unreachable(now, &seen.domain, id);
             }
             Outcome::Refused | Outcome::Dropped => {}
         }
@@ -387,7 +387,7 @@
     pub fn reaches(&self, now: MonoTime, known: &Known) -> bool {
         let seen = self.seen.get(&known.said.id);
         let rested = seen.is_none_or(|s| s.pause.is_over(now));
-        rested && !self.paths.avoids(now, &known.said.domain)
+        rested && !self.paths.is_avoided(now, &known.said.domain)
     }
 
     /// Returns the share of the slots of some backend servers that are taken.
@@ -499,7 +499,7 @@
     /// Returns for how long an engine reads long prompts that were sent there.
     fn reads_for(&self, now: MonoTime, known: &Known) -> Duration {
         let seen = self.seen.get(&known.said.id);
-        seen.map_or(Duration::ZERO, |seen| seen.queue.left(now))
+        seen.map_or(Duration::ZERO, |seen| seen.queue.remaining(now))
     }
 
     /// Returns the share of failures for which a backend server is passed over.
@@ -526,8 +526,8 @@
     /// Returns whether it says anything of a choice now: this entry has had an answer or
     /// a failure there, or the load that it was told of has not faded.
     fn tells(&self, now: MonoTime) -> bool {
-        let is_known = self.heard_at > MonoTime::ZERO || self.pause != Pause::default();
-        let reads = !self.queue.left(now).is_zero();
+        let is_known = self.heard_at > MonoTime::ZERO || self.pause != RetryDelay::default();
+        let reads = !self.queue.remaining(now).is_zero();
         let shared = self.shared;
         is_known || reads || shared.is_some_and(|s| now < s.at + TOLD_COUNTS_FOR)
     }
@@ -553,7 +553,7 @@
     }
 
     /// Makes a report of what was said now.
-    fn reported(&self, now: MonoTime, load: LoadOf) -> Reported {
+    fn reported(&self, now: MonoTime, load: ServerLoad) -> Reported {
         Reported {
             running: load.running,
             waiting: load.waiting,
--- a/sesamebeam_core/src/gateway/cascade.rs
+++ b/sesamebeam_core/src/gateway/cascade.rs
@@ -16,10 +16,10 @@
     config::ServiceId,
     waits::{
         self,
+        DecayingMean,
         MeanWait,
         ServiceKey,
-        Waits,
-        WaitsOf, //
+        WaitTotal, //
     },
 };
 use crate::ids::{
@@ -30,43 +30,43 @@
 /// Confidence threshold, from 0 to 100, without pressure. Measured: on a calm day in two
 /// deployments, thresholds of 25 and 75 each gave 0.03 to 0.05 less credit net of prices
 /// than 50.
-const KEEP_CALM: f64 = 57.0;
+const BASE_THRESHOLD: f64 = 57.0;
 
 /// Decrease of the threshold for each factor of e in the relative cost of a request. A
 /// poor short answer to a long prompt loses less than the large model costs.
-const KEEP_PER_EXPENSE: f64 = 5.0;
+const THRESHOLD_DECREASE_PER_COST: f64 = 5.0;
 
 /// Price of a prompt token relative to a generated token.
 const PROMPT_PRICE: f64 = 0.25;
 
 /// Relative cost of a request that does not state the length of its response. It assumes
 /// a response of a quarter of the prompt's length.
-const USUAL_EXPENSE: f64 = 2.0;
+const DEFAULT_RELATIVE_COST: f64 = 2.0;
 
 /// Confidence threshold under full pressure.
-const KEEP_PRESSED: f64 = 0.0;
+const FULL_PRESSURE_THRESHOLD: f64 = 0.0;
 
 /// Wait for a first event, relative to the target time, up to which there is no pressure.
-const CALM_WAIT: f64 = 0.15;
+const NO_PRESSURE_WAIT: f64 = 0.15;
 
 /// Wait from which there is full pressure: a request that is escalated would be late.
-const PRESSED_WAIT: f64 = 0.4;
+const FULL_PRESSURE_WAIT: f64 = 0.4;
 
 /// Half-life of the waits that this entry has measured itself.
 const HALF_LIFE: Duration = Duration::from_millis(1500);
 
 /// How long the reported mean of all entries is used. It arrives five times a second.
-const TOLD_FOR: Duration = Duration::from_millis(1500);
+const FLEET_MEAN_LIFETIME: Duration = Duration::from_millis(1500);
 
 /// Time after startup in which full pressure is assumed until a mean of all entries is
 /// known. After a power loss all entries start and all callers return at the same time.
 /// Without this, the 2,700 requests of the first 0.65 s were judged as without pressure,
 /// and for three seconds nine in ten first events took up to 1.1 s.
-const START_PRESSED: Duration = Duration::from_millis(600);
+const STARTUP_PRESSURE_TIME: Duration = Duration::from_millis(600);
 
 /// What to do with a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Decision {
     /// Forward it to the caller.
     Keep,
     /// Discard it and ask this model.
@@ -76,45 +76,51 @@
 /// Decides whether to keep a response or to ask a larger model.
 #[derive(Clone, Debug, Default)]
 pub struct Cascade {
-    waits: HashMap<ServiceId, Waits>,
+    own_waits: HashMap<ServiceId, DecayingMean>,
     /// Waits that have not been reported to the other entries, as number and sum.
-    fresh: HashMap<ServiceKey, (u32, f64)>,
+    unreported: HashMap<ServiceKey, (u32, f64)>,
     /// Mean waits over all entries, with the time of their receipt.
-    told: HashMap<ServiceKey, (f64, MonoTime)>,
+    fleet_means: HashMap<ServiceKey, (f64, MonoTime)>,
     /// End of the startup phase, in which full pressure is assumed if no mean is known.
-    pressed_until: MonoTime,
+    startup_until: MonoTime,
 }
 
 impl Cascade {
     /// Records how long a first event took, and its target time.
-    pub fn waited(&mut self, now: MonoTime, service: &ServiceId, took: Duration, target: Duration) {
-        let share = took.as_secs_f64() / target.as_secs_f64().max(0.001);
-        let waits = self.waits.entry(service.clone()).or_default();
-        waits.add(now, HALF_LIFE, 1.0, share);
-        let (count, sum) = self.fresh.entry(waits::key(service)).or_default();
+    pub fn record_wait(
+        &mut self,
+        now: MonoTime,
+        service: &ServiceId,
+        wait: Duration,
+        target: Duration,
+    ) {
+        let ratio = wait.as_secs_f64() / target.as_secs_f64().max(0.001);
+        let waits = self.own_waits.entry(service.clone()).or_default();
+        waits.add(now, HALF_LIFE, 1.0, ratio);
+        let (count, sum) = self.unreported.entry(waits::key(service)).or_default();
         *count += 1;
-        *sum += share;
+        *sum += ratio;
     }
 
     /// Records that this entry has received its first configuration.
     pub fn started(&mut self, now: MonoTime) {
-        self.pressed_until = now + START_PRESSED;
+        self.startup_until = now + STARTUP_PRESSURE_TIME;
     }
 
     /// Takes the waits to report to the other entries.
-    pub fn take_fresh(&mut self) -> Vec<WaitsOf> {
-        let waits = |(service, (count, sum))| WaitsOf {
+    pub fn take_unreported(&mut self) -> Vec<WaitTotal> {
+        let waits = |(service, (count, sum))| WaitTotal {
             service,
             count,
             sum: sum as f32,
         };
-        self.fresh.drain().map(waits).collect()
+        self.unreported.drain().map(waits).collect()
     }
 
     /// Sets the mean waits over all entries.
-    pub fn told(&mut self, now: MonoTime, means: impl IntoIterator<Item = MeanWait>) {
-        let told = |mean: MeanWait| (mean.service, (f64::from(mean.share), now));
-        self.told.extend(means.into_iter().map(told));
+    pub fn set_fleet_means(&mut self, now: MonoTime, means: impl IntoIterator<Item = MeanWait>) {
+        let fleet_mean = |mean: MeanWait| (mean.service, (f64::from(mean.ratio), now));
+        self.fleet_means.extend(means.into_iter().map(fleet_mean));
     }
 
     /// Judges a response of a model by its stated confidence.
@@ -122,37 +128,38 @@
         &self,
         now: MonoTime,
         service: &ServiceId,
-        sizes: &[ModelId],
-        asked: &str,
+        models: &[ModelId],
+        model: &str,
         confidence: Option<u8>,
-        expense: f64,
-    ) -> Step {
-        let (Some(confidence), Some(largest)) = (confidence, sizes.last()) else {
-            return Step::Keep;
+        relative_cost: f64,
+    ) -> Decision {
+        let (Some(confidence), Some(largest)) = (confidence, models.last()) else {
+            return Decision::Keep;
         };
-        let is_largest = asked == largest.as_str();
-        if is_largest || f64::from(confidence) >= self.keep_from(now, service, expense) {
-            return Step::Keep;
+        let is_largest = model == largest.as_str();
+        if is_largest || f64::from(confidence) >= self.threshold(now, service, relative_cost) {
+            return Decision::Keep;
         }
-        Step::Ask(largest.clone())
+        Decision::Ask(largest.clone())
     }
 
     /// Returns the current confidence threshold of a service.
-    pub fn keep_from(&self, now: MonoTime, service: &ServiceId, expense: f64) -> f64 {
+    pub fn threshold(&self, now: MonoTime, service: &ServiceId, relative_cost: f64) -> f64 {
         let wait = self.wait(now, service);
-        let pressure = (wait - CALM_WAIT) / (PRESSED_WAIT - CALM_WAIT);
-        let calm = (KEEP_CALM - KEEP_PER_EXPENSE * expense.max(1.0).ln()).max(KEEP_PRESSED);
-        calm + (KEEP_PRESSED - calm) * pressure.clamp(0.0, 1.0)
+        let pressure = (wait - NO_PRESSURE_WAIT) / (FULL_PRESSURE_WAIT - NO_PRESSURE_WAIT);
+        let base = (BASE_THRESHOLD - THRESHOLD_DECREASE_PER_COST * relative_cost.max(1.0).ln())
+            .max(FULL_PRESSURE_THRESHOLD);
+        base + (FULL_PRESSURE_THRESHOLD - base) * pressure.clamp(0.0, 1.0)
     }
 
     /// Returns the mean wait for a service, over all entries if it is known.
     fn wait(&self, now: MonoTime, service: &ServiceId) -> f64 {
-        let told = self.told.get(&waits::key(service));
-        match told {
-            Some((wait, at)) if now.saturating_sub(*at) < TOLD_FOR => *wait,
-            _ if now < self.pressed_until => PRESSED_WAIT,
+        let fleet_mean = self.fleet_means.get(&waits::key(service));
+        match fleet_mean {
+            Some((wait, at)) if now.saturating_sub(*at) < FLEET_MEAN_LIFETIME => *wait,
+            _ if now < self.startup_until => FULL_PRESSURE_WAIT,
             _ => {
-                let own = self.waits.get(service);
+                let own = self.own_waits.get(service);
                 own.map_or(0.0, |w| w.mean(now, HALF_LIFE))
             }
         }
@@ -161,9 +168,9 @@
 
 /// Returns the relative cost of a request: the number of tokens charged for each token of
 /// the response, counted in prices of generated tokens.
-pub fn expense(prompt_tokens: u32, answer_tokens: Option<u32>) -> f64 {
-    let Some(answer) = answer_tokens.filter(|&tokens| tokens > 0) else {
-        return USUAL_EXPENSE;
+pub fn relative_cost(prompt_tokens: u32, response_tokens: Option<u32>) -> f64 {
+    let Some(response) = response_tokens.filter(|&tokens| tokens > 0) else {
+        return DEFAULT_RELATIVE_COST;
     };
-    1.0 + PROMPT_PRICE * f64::from(prompt_tokens) / f64::from(answer)
+    1.0 + PROMPT_PRICE * f64::from(prompt_tokens) / f64::from(response)
 }
--- a/sesamebeam_core/src/gateway/cold.rs
+++ b/sesamebeam_core/src/gateway/cold.rs
@@ -45,20 +45,20 @@
 
 /// Share of a cold backend server's tolerated rate that is assigned to turns. The rest is
 /// a margin for turns that coincide by chance and for delayed sends.
-pub const SHARE: f64 = 0.5;
+pub const TURN_SHARE: f64 = 0.5;
 
 /// Mean load of the warm backend servers, relative to their slots, from which cold ones
 /// also get requests. Below it, requests are better served by the warm ones, which have
 /// prompts cached.
-pub const PRESSED: f64 = 0.75;
+pub const OVERFLOW_LOAD: f64 = 0.75;
 
 /// Maximum length of a turn. An entry in a large fleet sends only a few requests a
 /// second, one of which has to fall into the turn.
-pub const TURN: Duration = Duration::from_millis(400);
+pub const MAX_TURN: Duration = Duration::from_millis(400);
 
 /// Cold backend servers as seen by one entry, and its turns at them.
 #[derive(Debug)]
-pub struct Cold {
+pub struct ColdServers {
     /// Name of this entry, which determines the position of its turns.
     name: SmolStr,
     /// Number of entries that share the turns. There are no turns until it is known.
@@ -66,17 +66,17 @@
     /// Time at which the evacuation of each failure domain last ended.
     readmitted: BTreeMap<DomainId, MonoTime>,
     /// Number of the last used turn at each backend server.
-    used: HashMap<ServerId, u64>,
+    used_turns: HashMap<ServerId, u64>,
 }
 
-impl Cold {
+impl ColdServers {
     /// Creates an empty table.
     pub fn new(name: SmolStr) -> Self {
         Self {
             name,
             entries: EntryCount::default(),
             readmitted: BTreeMap::new(),
-            used: HashMap::new(),
+            used_turns: HashMap::new(),
         }
     }
 
@@ -100,37 +100,37 @@
             return false;
         };
         let readmitted = self.readmitted.get(&known.said.domain);
-        let may_be = readmitted.is_some_and(|at| now < *at + limits.lasts);
-        may_be || now < known.cold_until
+        let may_have_restarted = readmitted.is_some_and(|at| now < *at + limits.duration);
+        may_have_restarted || now < known.cold_until
     }
 
     /// Returns whether this entry currently has an unused turn at a cold backend server.
     pub fn has_turn(&self, now: MonoTime, id: &ServerId, limits: &ColdConfig) -> bool {
         let turn = self.turn(now, id, limits);
-        turn.is_some_and(|turn| self.used.get(id) != Some(&turn))
+        turn.is_some_and(|turn| self.used_turns.get(id) != Some(&turn))
     }
 
     /// Marks the current turn at a backend server as used, if there is one.
     pub fn use_turn(&mut self, now: MonoTime, id: &ServerId, limits: &ColdConfig) {
         if let Some(turn) = self.turn(now, id, limits) {
-            self.used.insert(id.clone(), turn);
+            self.used_turns.insert(id.clone(), turn);
         }
     }
 
     /// Removes the turns at backend servers that no longer exist.
     pub fn retain(&mut self, known: impl Fn(&ServerId) -> bool) {
-        self.used.retain(|id, _| known(id));
+        self.used_turns.retain(|id, _| known(id));
     }
 
     /// Returns the number of this entry's turn at a backend server, if it is in progress.
     fn turn(&self, now: MonoTime, id: &ServerId, limits: &ColdConfig) -> Option<u64> {
-        let rate = limits.per_second * SHARE;
+        let rate = limits.per_second * TURN_SHARE;
         let entries = self.entries.most();
         if entries == 0 || rate <= 0.0 {
             return None;
         }
         let period = f64::from(entries) / rate;
-        let turn = TURN.as_secs_f64().min(period);
+        let turn = MAX_TURN.as_secs_f64().min(period);
         let at = now.as_secs_f64() / period + hash::unit(id.as_bytes(), &self.name);
         (at.fract() * period < turn).then_some(at.floor() as u64)
     }
--- a/sesamebeam_core/src/gateway/config.rs
+++ b/sesamebeam_core/src/gateway/config.rs
@@ -42,7 +42,7 @@
 
 /// Whether a request that may have been executed can be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// It can be executed any number of times.
     Idempotent,
     /// It must be executed at most once.
@@ -59,7 +59,7 @@
     /// Path prefix, with a slash at both ends.
     pub prefix: SmolStr,
     /// Whether its requests can be repeated.
-    pub repeat: Repeat,
+    pub retry_safety: RetrySafety,
     /// Whether its responses are event streams.
     pub streaming: bool,
     /// Whether an interrupted stream can be resumed at another backend server.
@@ -73,21 +73,21 @@
     /// Rank of its requests.
     pub rank: Rank,
     /// Models of the cascade, smallest first. Empty if the caller selects the model.
-    pub sizes: Vec<ModelId>,
+    pub models: Vec<ModelId>,
     /// Services with their weights.
     pub backends: Vec<(ServiceId, u32)>,
     /// Maximum number of backend servers to which one request is sent.
     pub max_attempts: u32,
     /// Whether requests without a key are accepted.
-    pub anonymous: bool,
+    pub allows_anonymous: bool,
 }
 
 impl RouteConfig {
     /// Returns whether a request that may have been executed must not be sent again.
-    pub fn runs_once(&self) -> bool {
-        match self.repeat {
-            Repeat::Idempotent => false,
-            Repeat::AtMostOnce => !(self.streaming && self.resumable),
+    pub fn runs_at_most_once(&self) -> bool {
+        match self.retry_safety {
+            RetrySafety::Idempotent => false,
+            RetrySafety::AtMostOnce => !(self.streaming && self.resumable),
         }
     }
 }
@@ -111,7 +111,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdConfig {
     /// How long a backend server is cold after its start.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests a second from all entries together.
     pub per_second: f64,
 }
@@ -122,7 +122,7 @@
     /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Capacity of its KV cache in tokens.
-    pub memory_tokens: u64,
+    pub kv_capacity_tokens: u64,
     /// Models with their cost per 1,000 generated tokens.
     pub models: Vec<(ModelId, f64)>,
 }
@@ -165,7 +165,7 @@
 
 /// Reason for which a configuration is rejected.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum ConfigFault {
+pub enum ConfigError {
     /// The document cannot be parsed.
     #[error("cannot be read: {0}")]
     Unreadable(String),
@@ -179,7 +179,7 @@
     },
     /// Two routes have the same host and prefix.
     #[error("routes {first} and {second} have the same host and prefix")]
-    SamePlace {
+    DuplicateRoute {
         /// One of them.
         first: RouteId,
         /// The other.
@@ -207,13 +207,13 @@
     /// # Errors
     ///
     /// Returns the first error found.
-    pub fn check(&self) -> Result<(), ConfigFault> {
+    pub fn validate(&self) -> Result<(), ConfigError> {
         let services: HashSet<&ServiceId> = self.services.iter().map(|s| &s.name).collect();
         for route in &self.routes {
             check_route(route, &services)?;
         }
-        self.check_places()?;
-        self.check_keys()
+        self.check_routes_unique()?;
+        self.check_keys_unique()
     }
 
     /// Returns a service by name.
@@ -221,11 +221,11 @@
         self.services.iter().find(|s| s.name == name)
     }
 
-    fn check_places(&self) -> Result<(), ConfigFault> {
-        let mut places = std::collections::HashMap::new();
+    fn check_routes_unique(&self) -> Result<(), ConfigError> {
+        let mut names_by_route = std::collections::HashMap::new();
         for route in &self.routes {
-            if let Some(first) = places.insert((&route.host, &route.prefix), &route.name) {
-                return Err(ConfigFault::SamePlace {
+            if let Some(first) = names_by_route.insert((&route.host, &route.prefix), &route.name) {
+                return Err(ConfigError::DuplicateRoute {
                     first: first.clone(),
                     second: route.name.clone(),
                 });
@@ -234,13 +234,13 @@
         Ok(())
     }
 
-    fn check_keys(&self) -> Result<(), ConfigFault> {
-        let mut owners = std::collections::HashMap::new();
+    fn check_keys_unique(&self) -> Result<(), ConfigError> {
+        let mut owners_by_key = std::collections::HashMap::new();
         for org in &self.organisations {
             for key in &org.keys {
-                match owners.insert(key, &org.name) {
+                match owners_by_key.insert(key, &org.name) {
                     Some(first) if *first != org.name => {
-                        return Err(ConfigFault::SharedKey {
+                        return Err(ConfigError::SharedKey {
                             first: first.clone(),
                             second: org.name.clone(),
                         });
@@ -253,20 +253,20 @@
     }
 }
 
-fn check_route(route: &RouteConfig, services: &HashSet<&ServiceId>) -> Result<(), ConfigFault> {
+fn check_route(route: &RouteConfig, services: &HashSet<&ServiceId>) -> Result<(), ConfigError> {
     for (service, _) in &route.backends {
         if !services.contains(service) {
-            return Err(ConfigFault::UnknownService {
+            return Err(ConfigError::UnknownService {
                 route: route.name.clone(),
                 service: service.clone(),
             });
         }
     }
     if route.backends.iter().all(|(_, weight)| *weight == 0) {
-        return Err(ConfigFault::NoWeight(route.name.clone()));
+        return Err(ConfigError::NoWeight(route.name.clone()));
     }
     if route.timeout.is_zero() {
-        return Err(ConfigFault::NoTimeout(route.name.clone()));
+        return Err(ConfigError::NoTimeout(route.name.clone()));
     }
     Ok(())
 }
--- a/sesamebeam_core/src/gateway/connections.rs
+++ b/sesamebeam_core/src/gateway/connections.rs
@@ -10,17 +10,17 @@
 const IDLE_SHARE: f64 = 0.5;
 
 /// Maximum number of idle connections per backend server that are worth keeping.
-const MOST: usize = 24;
+const MAX_IDLE: usize = 24;
 
 /// Returns how many idle connections an entry may keep to a backend server.
 ///
 /// `max_connections` is the number that the backend server accepts from all entries, or 0
 /// if it is unknown. With more entries than connections even one each may be too many,
 /// and none are kept.
-pub fn most_idle(max_connections: u32, entries: u32) -> usize {
+pub fn max_idle(max_connections: u32, entries: u32) -> usize {
     if max_connections == 0 {
-        return MOST;
+        return MAX_IDLE;
     }
-    let part = IDLE_SHARE * f64::from(max_connections) / f64::from(entries.max(1));
-    (part as usize).min(MOST)
+    let share = IDLE_SHARE * f64::from(max_connections) / f64::from(entries.max(1));
+    (share as usize).min(MAX_IDLE)
 }
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -38,7 +38,7 @@
 };
 use super::{
     config::ServiceId,
-    crashes::Crashes,
+    crashes::CrashTracker,
     digests::Section,
     directory::{
         Announcement,
@@ -72,7 +72,7 @@
         Command,
         Store, //
     },
-    waits::PooledWaits,
+    waits::FleetWaits,
 };
 use crate::{
     ids::{
@@ -299,11 +299,11 @@
     waiting: BTreeMap<Ticket, Waiting>,
     confirming: BTreeMap<u64, Confirming>,
     next_ticket: u64,
-    crashes: Crashes,
+    crashes: CrashTracker,
     loads: Loads,
     limits: NamedLimits,
     pool: Pool,
-    waits: PooledWaits,
+    waits: FleetWaits,
     shortages: Shortages,
     look_at: MonoTime,
     /// Write that is not synced yet, and since when.
@@ -332,11 +332,11 @@
             waiting: BTreeMap::new(),
             confirming: BTreeMap::new(),
             next_ticket: 1,
-            crashes: Crashes::default(),
+            crashes: CrashTracker::default(),
             loads: Loads::default(),
             limits: NamedLimits::default(),
             pool: Pool::default(),
-            waits: PooledWaits::default(),
+            waits: FleetWaits::default(),
             shortages: Shortages::default(),
             look_at: now,
             writing: None,
@@ -517,7 +517,7 @@
             }),
             Command::Evacuate(domain) => Some(self.evacuation(index, domain, true)),
             Command::Readmit(domain) => Some(self.evacuation(index, domain, false)),
-            Command::Start { .. } | Command::Move { .. } => None,
+            Command::StartRollout { .. } | Command::SetRolloutPhase { .. } => None,
         }
     }
 
--- a/sesamebeam_core/src/gateway/coordinator/calls.rs
+++ b/sesamebeam_core/src/gateway/coordinator/calls.rs
@@ -117,7 +117,7 @@
                 ref target,
                 duration,
             } => {
-                let command = Command::Start {
+                let command = Command::StartRollout {
                     service: service.clone(),
                     target: target.clone(),
                     duration,
@@ -127,7 +127,7 @@
             // Never answered from the state at hand, as configurations are: between
             // an order and its repeat the opposite may have been acknowledged, of
             // which a replica that lags knows nothing.
-            Call::Evacuate(ref domain) if !self.store.may_evacuate(domain) => {
+            Call::Evacuate(ref domain) if !self.store.can_evacuate(domain) => {
                 self.answer(ticket, Answer::Unavailable);
             }
             Call::Evacuate(ref domain) => {
--- a/sesamebeam_core/src/gateway/coordinator/telling.rs
+++ b/sesamebeam_core/src/gateway/coordinator/telling.rs
@@ -200,10 +200,10 @@
     pub(super) fn take_report(&mut self, report: &Report) {
         self.trials.have_run(self.now, &self.store, &report.ages);
         self.trials.take(self.now, &self.store, &report.evidence);
-        self.loads.take(self.now, report.loads.iter().copied());
+        self.loads.merge(self.now, report.loads.iter().copied());
         self.limits.take(self.now, report.limits.iter().copied());
         self.pool.take(report.outcomes.iter().copied());
-        self.waits.take(self.now, report.waits.iter().copied());
+        self.waits.add(self.now, report.waits.iter().copied());
         self.shortages.take(self.now, report.work.iter().copied());
         self.count_crashes(&report.crashes);
         for kept in &report.kept {
@@ -250,7 +250,7 @@
             let unreached = ToEntry::Unreached(unreached.into_iter().collect());
             self.push(self.telling.followers(), unreached);
         }
-        if let Some(loads) = self.loads.due(self.now, self.directory.count()) {
+        if let Some(loads) = self.loads.take_due(self.now, self.directory.count()) {
             let waits = self.waits.means(self.now);
             let shares = self.shortages.shares(self.now);
             self.note_shares(&shares);
@@ -422,7 +422,7 @@
     fn count_crashes(&mut self, crashes: &[Crash]) {
         let mut found = false;
         for crash in crashes {
-            found |= self.crashes.count(crash.clone());
+            found |= self.crashes.record(crash.clone());
         }
         if found {
             let push = ToEntry::Quarantined(self.crashes.quarantined());
--- a/sesamebeam_core/src/gateway/coordinator/trial.rs
+++ b/sesamebeam_core/src/gateway/coordinator/trial.rs
@@ -20,10 +20,10 @@
             Kept, //
         },
         rollout::{
+            RolloutMonitor, //
             Rollouts,
-            Watch, //
         },
-        sessions::GATHER,
+        sessions::COLLECTION_TIME,
         store::{
             Command,
             Store, //
@@ -35,7 +35,7 @@
 /// Roll-outs that are watched.
 #[derive(Debug, Default)]
 pub(super) struct Trials {
-    watched: BTreeMap<(ServiceId, SmolStr), Watch>,
+    watched: BTreeMap<(ServiceId, SmolStr), RolloutMonitor>,
     /// When roll-outs started that are not applied here yet.
     heard: BTreeMap<(ServiceId, SmolStr), MonoTime>,
     /// Sessions that stay on the versions before.
@@ -54,7 +54,7 @@
             let key = (service.clone(), rollout.target.clone());
             if !self.watched.contains_key(&key) {
                 let started = self.heard.remove(&key).unwrap_or(now);
-                self.watched.insert(key, Watch::new(started));
+                self.watched.insert(key, RolloutMonitor::new(started));
             }
         }
     }
@@ -71,7 +71,7 @@
         {
             let key = (service.clone(), target.clone());
             match self.watched.get_mut(&key) {
-                Some(watch) => watch.has_run(now, *age),
+                Some(watch) => watch.set_min_age(now, *age),
                 None => {
                     let started = now.saturating_sub(*age);
                     let heard = self.heard.entry(key).or_insert(started);
@@ -91,14 +91,14 @@
     /// Returns the sessions that stay, and whether those that ran when the
     /// roll-out started have all been reported.
     pub(super) fn kept(&self, now: MonoTime) -> Vec<(Kept, bool)> {
-        let report = |(key, watch): (&(ServiceId, SmolStr), &Watch)| {
+        let report = |(key, watch): (&(ServiceId, SmolStr), &RolloutMonitor)| {
             let sessions = self.kept.get(key).into_iter().flatten().copied();
             let kept = Kept {
                 service: key.0.clone(),
                 target: key.1.clone(),
                 sessions: sessions.collect(),
             };
-            (kept, watch.age(now) > GATHER)
+            (kept, watch.age(now) > COLLECTION_TIME)
         };
         self.watched.iter().map(report).collect()
     }
@@ -112,7 +112,7 @@
             };
             let key = (counts.service.clone(), rollout.target.clone());
             if let Some(watch) = self.watched.get_mut(&key) {
-                watch.take(now, &rollout.target, counts);
+                watch.add(now, &rollout.target, counts);
             }
         }
     }
@@ -141,7 +141,7 @@
                 phase,
                 counts,
             });
-            self.propose_own(&Command::Move {
+            self.propose_own(&Command::SetRolloutPhase {
                 service,
                 target,
                 phase,
--- a/sesamebeam_core/src/gateway/crashes.rs
+++ b/sesamebeam_core/src/gateway/crashes.rs
@@ -18,36 +18,42 @@
 
 /// Number of crashes after which a request is quarantined. An unrelated request that was
 /// running at the same time is counted once, rarely twice, as it is retried elsewhere.
-const CONVICTING: usize = 3;
+const QUARANTINE_THRESHOLD: usize = 3;
 
 /// Maximum number of requests to track; the oldest are dropped. An outage of all backend
 /// servers reports a few thousand.
-const MAX_KEPT: usize = 4096;
+const MAX_TRACKED: usize = 4096;
 
 /// Crashed backend servers by running request.
 #[derive(Clone, Debug, Default)]
-pub struct Crashes {
-    kept: VecDeque<(Digest, BTreeSet<Life>)>,
+pub struct CrashTracker {
+    tracked: VecDeque<(Digest, BTreeSet<Life>)>,
 }
 
-impl Crashes {
+impl CrashTracker {
     /// Counts a crash and returns whether its request is now quarantined.
-    pub fn count(&mut self, crash: Crash) -> bool {
-        let found = self.kept.iter_mut().find(|(f, _)| *f == crash.fingerprint);
+    pub fn record(&mut self, crash: Crash) -> bool {
+        let found = self
+            .tracked
+            .iter_mut()
+            .find(|(f, _)| *f == crash.fingerprint);
         if let Some((_, servers)) = found {
-            return servers.insert(crash.server) && servers.len() == CONVICTING;
+            return servers.insert(crash.server) && servers.len() == QUARANTINE_THRESHOLD;
         }
-        if self.kept.len() >= MAX_KEPT {
-            self.kept.pop_front();
+        if self.tracked.len() >= MAX_TRACKED {
+            self.tracked.pop_front();
         }
         let servers = BTreeSet::from([crash.server]);
-        self.kept.push_back((crash.fingerprint, servers));
+        self.tracked.push_back((crash.fingerprint, servers));
         false
     }
 
     /// Returns the quarantined requests.
     pub fn quarantined(&self) -> Vec<Digest> {
-        let convicted = self.kept.iter().filter(|(_, s)| s.len() >= CONVICTING);
-        convicted.map(|(fingerprint, _)| *fingerprint).collect()
+        let quarantined = self
+            .tracked
+            .iter()
+            .filter(|(_, s)| s.len() >= QUARANTINE_THRESHOLD);
+        quarantined.map(|(fingerprint, _)| *fingerprint).collect()
     }
 }
--- a/sesamebeam_core/src/gateway/feed.rs
+++ b/sesamebeam_core/src/gateway/feed.rs
@@ -37,8 +37,8 @@
     },
     limits::LimitOf,
     loads::{
-        LoadOf,
         ServerKey, //
+        ServerLoad,
     },
     pool::{
         Doubt,
@@ -54,7 +54,7 @@
     },
     waits::{
         MeanWait,
-        WaitsOf, //
+        WaitTotal, //
     },
 };
 use crate::{
@@ -138,7 +138,7 @@
     /// Answers of versions in a roll-out.
     pub evidence: Vec<Evidence>,
     /// Loads that backend servers have told.
-    pub loads: Vec<LoadOf>,
+    pub loads: Vec<ServerLoad>,
     /// Limits that backend servers have named, or named no more.
     pub limits: Vec<LimitOf>,
     /// Answers of backend servers, good and bad.
@@ -147,7 +147,7 @@
     /// from one may be within reach of another, so that these stay in their own.
     pub unreached: Vec<Unreached>,
     /// Waits for first events.
-    pub waits: Vec<WaitsOf>,
+    pub waits: Vec<WaitTotal>,
     /// What became of requests to plain services.
     pub work: Vec<WorkOf>,
     /// Requests that were running when backend servers went down.
@@ -213,7 +213,7 @@
         merge(
             &mut taken.loads,
             |l| l.server,
-            |highest, other| highest.reading = highest.reading.max(other.reading),
+            |highest, other| highest.prefill_ms = highest.prefill_ms.max(other.prefill_ms),
         );
         taken.waits.sort_by_key(|w| w.service);
         merge(&mut taken.waits, |w| w.service, |sum, other| sum.add(other));
@@ -283,7 +283,7 @@
     /// What all entries have seen of late.
     Loads {
         /// Loads that backend servers have told.
-        loads: Vec<LoadOf>,
+        loads: Vec<ServerLoad>,
         /// Mean waits for first events.
         waits: Vec<MeanWait>,
         /// Shares of the requests that are admitted to services that are short.
--- a/sesamebeam_core/src/gateway/loads.rs
+++ b/sesamebeam_core/src/gateway/loads.rs
@@ -28,12 +28,12 @@
 
 /// Minimum interval between two load reports, slightly less than the 200 ms interval at
 /// which due messages are checked. A queue that matters lasts longer than this.
-pub const TELL_EVERY: Duration = Duration::from_millis(180);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(180);
 
 /// Maximum number of loads in one report. At eight bytes each this is 11 KB a second,
 /// which leaves room for the other messages within the 14 KB a second that an entry may
 /// receive.
-pub const MOST_TOLD: usize = 256;
+pub const MAX_REPORTED: usize = 256;
 
 /// Mean number of requests per backend server below which small loads are not reported.
 const IDLE_MEAN: f64 = 0.25;
@@ -51,7 +51,7 @@
 
 /// Load of one backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadOf {
+pub struct ServerLoad {
     /// Key of the backend server.
     pub server: ServerKey,
     /// Number of running requests.
@@ -59,29 +59,29 @@
     /// Number of queued requests.
     pub waiting: u32,
     /// Remaining prefill time of long prompts, in milliseconds.
-    pub reading: u16,
+    pub prefill_ms: u16,
 }
 
-impl LoadOf {
+impl ServerLoad {
     /// Creates a record from the load that a backend server has reported.
     pub fn new(id: &ServerId, load: Load) -> Self {
         Self {
             server: key(id),
             running: load.running,
             waiting: load.waiting,
-            reading: 0,
+            prefill_ms: 0,
         }
     }
 
     /// Sets the remaining prefill time of long prompts.
-    pub fn reading(self, left: Duration) -> Self {
-        let reading = u16::try_from(left.as_millis()).unwrap_or(u16::MAX);
-        Self { reading, ..self }
+    pub fn with_prefill(self, remaining: Duration) -> Self {
+        let prefill_ms = u16::try_from(remaining.as_millis()).unwrap_or(u16::MAX);
+        Self { prefill_ms, ..self }
     }
 
     /// Returns the remaining prefill time of long prompts.
-    pub fn reads_for(&self) -> Duration {
-        Duration::from_millis(self.reading.into())
+    pub fn prefill_time(&self) -> Duration {
+        Duration::from_millis(self.prefill_ms.into())
     }
 
     /// Returns the number of running and queued requests.
@@ -94,44 +94,50 @@
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
     /// Each load with the time at which the prefill of its long prompts will be finished.
-    fresh: HashMap<ServerKey, (LoadOf, MonoTime)>,
-    told_at: MonoTime,
+    pending: HashMap<ServerKey, (ServerLoad, MonoTime)>,
+    reported_at: MonoTime,
 }
 
 impl Loads {
     /// Merges received loads. The highest of several loads of one backend server is
     /// reported: a queue is seen first by a single entry, and reports from before it
     /// formed may arrive later from others.
-    pub fn take(&mut self, now: MonoTime, loads: impl IntoIterator<Item = LoadOf>) {
+    pub fn merge(&mut self, now: MonoTime, loads: impl IntoIterator<Item = ServerLoad>) {
         for load in loads {
-            let until = now + load.reads_for();
-            let (held, held_until) = self.fresh.entry(load.server).or_insert((load, until));
-            if load.total() > held.total() {
-                *held = load;
+            let until = now + load.prefill_time();
+            let (current, current_until) = self.pending.entry(load.server).or_insert((load, until));
+            if load.total() > current.total() {
+                *current = load;
             }
-            *held_until = until.max(*held_until);
+            *current_until = until.max(*current_until);
         }
     }
 
     /// Returns the loads to report, if a report is due.
     ///
-    /// `among` is the number of backend servers, or 0 if it is unknown. If these are
+    /// `server_count` is the number of backend servers, or 0 if it is unknown. If these are
     /// mostly idle, loads up to [`LOAD_SPARE`] are omitted, since balancing ignores them.
-    pub fn due(&mut self, now: MonoTime, among: usize) -> Option<Vec<LoadOf>> {
-        if self.fresh.is_empty() || now < self.told_at + TELL_EVERY {
+    pub fn take_due(&mut self, now: MonoTime, server_count: usize) -> Option<Vec<ServerLoad>> {
+        if self.pending.is_empty() || now < self.reported_at + REPORT_INTERVAL {
             return None;
         }
-        self.told_at = now;
-        let fresh = self.fresh.drain();
-        let left =
-            |(_, (load, until)): (_, (LoadOf, MonoTime))| load.reading(until.saturating_sub(now));
-        let mut told: Vec<LoadOf> = fresh.map(left).collect();
-        let total: f64 = told.iter().map(|load| f64::from(load.total())).sum();
-        if total < IDLE_MEAN * among as f64 {
-            told.retain(|load| f64::from(load.total()) > LOAD_SPARE || load.reading > 0);
+        self.reported_at = now;
+        let pending = self.pending.drain();
+        let remaining = |(_, (load, until)): (_, (ServerLoad, MonoTime))| {
+            load.with_prefill(until.saturating_sub(now))
+        };
+        let mut reported: Vec<ServerLoad> = pending.map(remaining).collect();
+        let total: f64 = reported.iter().map(|load| f64::from(load.total())).sum();
+        if total < IDLE_MEAN * server_count as f64 {
+            reported.retain(|load| f64::from(load.total()) > LOAD_SPARE || load.prefill_ms > 0);
         }
-        told.sort_by_key(|load| (std::cmp::Reverse((load.reading, load.total())), load.server));
-        told.truncate(MOST_TOLD);
-        Some(told)
+        reported.sort_by_key(|load| {
+            (
+                std::cmp::Reverse((load.prefill_ms, load.total())),
+                load.server,
+            )
+        });
+        reported.truncate(MAX_REPORTED);
+        Some(reported)
     }
 }
--- a/sesamebeam_core/src/gateway/reading.rs
+++ b/sesamebeam_core/src/gateway/prefill.rs
@@ -19,11 +19,11 @@
 
 /// Minimum prompt length for which the wait for a first event indicates the prefill
 /// speed. For shorter prompts, the fixed cost of a request dominates.
-const TELLING_TOKENS: u32 = 4_000;
+const MIN_SAMPLE_TOKENS: u32 = 4_000;
 
 /// Initial prefill time per token, in seconds. The documented speed of engines with small
 /// models is 100 to 160 tokens per millisecond.
-const FIRST_RATE: f64 = 10e-6;
+const INITIAL_RATE: f64 = 10e-6;
 
 /// Quantile of the waits that is taken as the prefill time. Waits include queueing, so
 /// the shorter ones reflect the prefill alone.
@@ -31,82 +31,87 @@
 
 /// Relative step by which one wait adjusts the estimate. Ten consecutive waits on one
 /// side change it by half.
-const STEP: f64 = 0.1;
+const ADJUSTMENT_STEP: f64 = 0.1;
 
 /// Prefill time from which other requests are kept away from the engine. It is as long as
 /// prefilling the shared parts of a prompt again elsewhere, and a tenth of the target
 /// time of first events.
-pub(super) const LONG: Duration = Duration::from_millis(150);
+pub(super) const LONG_PREFILL: Duration = Duration::from_millis(150);
 
 /// Prefill time per token in seconds, by service and model.
 #[derive(Debug, Default)]
-pub(super) struct ReadingTimes {
+pub(super) struct PrefillTimes {
     rates: HashMap<(ServiceId, Option<ModelId>), f64>,
 }
 
-impl ReadingTimes {
+impl PrefillTimes {
     /// Records the wait for the first event after a prompt.
-    pub(super) fn note(
+    pub(super) fn record(
         &mut self,
         service: &ServiceId,
         model: Option<&str>,
         tokens: u32,
-        took: Duration,
+        wait: Duration,
     ) {
-        if tokens < TELLING_TOKENS {
+        if tokens < MIN_SAMPLE_TOKENS {
             return;
         }
-        let sample = took.as_secs_f64() / f64::from(tokens);
+        let sample = wait.as_secs_f64() / f64::from(tokens);
         let key = (service.clone(), model.map(ModelId::from));
         let rate = self.rates.entry(key).or_insert(sample);
         let is_shorter = if sample < *rate { 1.0 } else { 0.0 };
-        *rate *= 1.0 + STEP * (QUANTILE - is_shorter);
+        *rate *= 1.0 + ADJUSTMENT_STEP * (QUANTILE - is_shorter);
     }
 
     /// Returns the expected prefill time of a prompt.
-    pub(super) fn expect(&self, service: &ServiceId, model: Option<&str>, tokens: u32) -> Duration {
+    pub(super) fn estimate(
+        &self,
+        service: &ServiceId,
+        model: Option<&str>,
+        tokens: u32,
+    ) -> Duration {
         let key = (service.clone(), model.map(ModelId::from));
-        let rate = self.rates.get(&key).copied().unwrap_or(FIRST_RATE);
+        let rate = self.rates.get(&key).copied().unwrap_or(INITIAL_RATE);
         Duration::from_secs_f64(rate * f64::from(tokens))
     }
 }
 
 /// Long prompts that an engine has yet to prefill.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Queue {
+pub(super) struct PrefillQueue {
     /// Total prefill time of the prompts that this entry has sent.
-    own: Duration,
+    own_time: Duration,
     /// Time at which the engine will have prefilled them.
     own_until: MonoTime,
     /// Time at which it will have prefilled those of other entries.
-    told_until: MonoTime,
+    others_until: MonoTime,
 }
 
-impl Queue {
+impl PrefillQueue {
     /// Records that a prompt was sent.
-    pub(super) fn send(&mut self, now: MonoTime, reading: Duration) {
-        self.own += reading;
-        self.own_until = self.own_until.max(now) + reading;
+    pub(super) fn sent(&mut self, now: MonoTime, time: Duration) {
+        self.own_time += time;
+        self.own_until = self.own_until.max(now) + time;
     }
 
     /// Records that a prompt was prefilled, or that its request ended before that.
-    pub(super) fn done(&mut self, now: MonoTime, reading: Duration) {
-        self.own = self.own.saturating_sub(reading);
-        self.own_until = now + self.own;
+    pub(super) fn finished(&mut self, now: MonoTime, time: Duration) {
+        self.own_time = self.own_time.saturating_sub(time);
+        self.own_until = now + self.own_time;
     }
 
     /// Records the remaining prefill time that other entries have reported.
-    pub(super) fn told(&mut self, now: MonoTime, left: Duration) {
-        self.told_until = self.told_until.max(now + left);
+    pub(super) fn reported(&mut self, now: MonoTime, remaining: Duration) {
+        self.others_until = self.others_until.max(now + remaining);
     }
 
     /// Returns the remaining prefill time of the prompts that this entry has sent.
-    pub(super) fn own_left(&self, now: MonoTime) -> Duration {
+    pub(super) fn own_remaining(&self, now: MonoTime) -> Duration {
         self.own_until.saturating_sub(now)
     }
 
     /// Returns the remaining prefill time of the prompts of all entries.
-    pub(super) fn left(&self, now: MonoTime) -> Duration {
-        self.own_until.max(self.told_until).saturating_sub(now)
+    pub(super) fn remaining(&self, now: MonoTime) -> Duration {
+        self.own_until.max(self.others_until).saturating_sub(now)
     }
 }
--- a/sesamebeam_core/src/gateway/lengths.rs
+++ b/sesamebeam_core/src/gateway/prompt_lengths.rs
@@ -8,29 +8,29 @@
         RouteConfig,
         RouteId, //
     },
-    table::Table,
+    table::RouteTable,
 };
 
 /// Number of ranks that an engine distinguishes.
 const ENGINE_RANKS: usize = 10;
 
 /// Number of length classes: short, medium and long.
-const SIZES: usize = 3;
+const LENGTH_CLASSES: usize = 3;
 
 /// Ratio to the mean length of its route from which a prompt counts as long, or below
 /// whose inverse it counts as short.
-const SIZE_STEP: f64 = 2.0;
+const CLASS_RATIO: f64 = 2.0;
 
 /// Weight of the latest prompt in the moving average of its route.
-const SIZE_WEIGHT: f64 = 0.02;
+const MEAN_WEIGHT: f64 = 0.02;
 
 /// Mean prompt lengths by route, in tokens.
 #[derive(Debug, Default)]
-pub(super) struct Lengths {
+pub(super) struct PromptLengths {
     means: HashMap<RouteId, f64>,
 }
 
-impl Lengths {
+impl PromptLengths {
     /// Returns the rank to send to the engine.
     ///
     /// Within a rank, an engine prefills one prompt at a time: a prompt of 50,000 tokens
@@ -38,23 +38,23 @@
     /// the mean wait. A request never overtakes one of a more urgent rank.
     pub(super) fn engine_rank(
         &mut self,
-        table: &Table,
+        table: &RouteTable,
         route: &RouteConfig,
         rank: Rank,
         tokens: u32,
     ) -> Rank {
         let tokens = f64::from(tokens);
         let mean = self.means.entry(route.name.clone()).or_insert(tokens);
-        *mean += SIZE_WEIGHT * (tokens - *mean);
+        *mean += MEAN_WEIGHT * (tokens - *mean);
         let mean = *mean;
-        let (place, ranks) = table.place(rank);
-        let sizes = (ENGINE_RANKS / ranks.max(1)).clamp(1, SIZES);
-        let size = match tokens {
-            t if t > mean * SIZE_STEP => SIZES - 1,
-            t if t > mean / SIZE_STEP => SIZES - 2,
+        let (rank_index, ranks) = table.rank_index(rank);
+        let classes = (ENGINE_RANKS / ranks.max(1)).clamp(1, LENGTH_CLASSES);
+        let class = match tokens {
+            t if t > mean * CLASS_RATIO => LENGTH_CLASSES - 1,
+            t if t > mean / CLASS_RATIO => LENGTH_CLASSES - 2,
             _ => 0,
         };
-        let told = place * sizes + size * sizes / SIZES;
-        Rank::try_from(told.min(ENGINE_RANKS - 1)).unwrap_or(Rank::MAX)
+        let engine_rank = rank_index * classes + class * classes / LENGTH_CLASSES;
+        Rank::try_from(engine_rank.min(ENGINE_RANKS - 1)).unwrap_or(Rank::MAX)
     }
 }
--- a/sesamebeam_core/src/gateway/suspects.rs
+++ b/sesamebeam_core/src/gateway/quarantine.rs
@@ -16,7 +16,7 @@
 
 /// What one entry knows about requests that crash backend servers.
 #[derive(Debug, Default)]
-pub(super) struct Suspects {
+pub(super) struct Quarantine {
     /// Requests that the control replicas have quarantined.
     quarantined: HashSet<Digest>,
     /// Crashes to report.
@@ -25,9 +25,9 @@
     completed: IndexSet<Digest>,
 }
 
-impl Suspects {
+impl Quarantine {
     /// Adds requests that the control replicas have quarantined.
-    pub(super) fn quarantine(&mut self, fingerprints: impl IntoIterator<Item = Digest>) {
+    pub(super) fn add(&mut self, fingerprints: impl IntoIterator<Item = Digest>) {
         self.quarantined.extend(fingerprints);
     }
 
@@ -41,7 +41,7 @@
     /// A common request without a body has the same fingerprint every time and is in
     /// flight during many crashes by coincidence. Completed requests are therefore never
     /// blamed.
-    pub(super) fn completed(&mut self, fingerprint: Digest) {
+    pub(super) fn record_completion(&mut self, fingerprint: Digest) {
         if self.completed.len() >= MAX_COMPLETED {
             self.completed.shift_remove_index(0);
         }
@@ -49,7 +49,7 @@
     }
 
     /// Records that a request was running when a backend server crashed.
-    pub(super) fn crashed(&mut self, fingerprint: Digest, server: Life) {
+    pub(super) fn record_crash(&mut self, fingerprint: Digest, server: Life) {
         if self.completed.contains(&fingerprint) {
             return;
         }
--- a/sesamebeam_core/src/gateway/paths.rs
+++ b/sesamebeam_core/src/gateway/reachability.rs
@@ -13,7 +13,7 @@
 
 use super::{
     directory::ServerId,
-    pause::Pause, //
+    retry_delay::RetryDelay, //
 };
 use crate::ids::{
     DomainId,
@@ -23,65 +23,65 @@
 /// Number of unreachable backend servers, without any response from their failure domain
 /// in between, from which the domain counts as unreachable. A single one is often down by
 /// itself.
-const CUT_FROM: usize = 2;
+const UNREACHABLE_THRESHOLD: usize = 2;
 
 /// Maximum retry delay. It is long compared with the time that a request loses on a
 /// failed attempt, and limits how long backend servers stay unused after the domain is
 /// reachable again.
-const MAX_PAUSE: Duration = Duration::from_secs(2);
+const MAX_DELAY: Duration = Duration::from_secs(2);
 
 /// State of a failure domain since the first failed attempt.
 #[derive(Clone, Debug, Default)]
-struct Way {
+struct DomainState {
     /// Unreachable backend servers since the last response from this domain.
-    unreached: Vec<ServerId>,
+    unreachable: Vec<ServerId>,
     /// Delay during which requests go elsewhere.
-    pause: Pause,
+    delay: RetryDelay,
 }
 
 /// Reachability of failure domains as seen by one entry.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Paths {
-    ways: HashMap<DomainId, Way>,
+pub(super) struct Reachability {
+    domains: HashMap<DomainId, DomainState>,
 }
 
-impl Paths {
+impl Reachability {
     /// Records a response from a failure domain.
-    pub(super) fn heard(&mut self, domain: &str) {
-        self.ways.remove(domain);
+    pub(super) fn record_response(&mut self, domain: &str) {
+        self.domains.remove(domain);
     }
 
     /// Records that a backend server could not be reached.
-    pub(super) fn unreached(&mut self, now: MonoTime, domain: &DomainId, id: &ServerId) {
-        let way = self.ways.entry(domain.clone()).or_default();
-        if !way.is_cut() && !way.unreached.contains(id) {
-            way.unreached.push(id.clone());
+    pub(super) fn record_unreachable(&mut self, now: MonoTime, domain: &DomainId, id: &ServerId) {
+        let state = self.domains.entry(domain.clone()).or_default();
+        if !state.is_unreachable() && !state.unreachable.contains(id) {
+            state.unreachable.push(id.clone());
         }
-        if way.is_cut() && way.pause.is_over(now) {
-            way.pause.lengthen(now, MAX_PAUSE);
+        if state.is_unreachable() && state.delay.is_over(now) {
+            state.delay.start_next(now, MAX_DELAY);
         }
     }
 
     /// Records that a request is sent to a failure domain. If the domain is unreachable,
     /// this is the only request to it until the next delay has passed, as one outcome is
     /// as informative as many.
-    pub(super) fn tries(&mut self, now: MonoTime, domain: &str) {
-        if let Some(way) = self.ways.get_mut(domain)
-            && way.is_cut()
+    pub(super) fn record_attempt(&mut self, now: MonoTime, domain: &str) {
+        if let Some(state) = self.domains.get_mut(domain)
+            && state.is_unreachable()
         {
-            way.pause.lengthen(now, MAX_PAUSE);
+            state.delay.start_next(now, MAX_DELAY);
         }
     }
 
     /// Returns whether requests should go to other failure domains.
-    pub(super) fn avoids(&self, now: MonoTime, domain: &str) -> bool {
-        let way = self.ways.get(domain);
-        way.is_some_and(|way| way.is_cut() && !way.pause.is_over(now))
+    pub(super) fn is_avoided(&self, now: MonoTime, domain: &str) -> bool {
+        let state = self.domains.get(domain);
+        state.is_some_and(|state| state.is_unreachable() && !state.delay.is_over(now))
     }
 }
 
-impl Way {
-    fn is_cut(&self) -> bool {
-        self.unreached.len() >= CUT_FROM
+impl DomainState {
+    fn is_unreachable(&self) -> bool {
+        self.unreachable.len() >= UNREACHABLE_THRESHOLD
     }
 }
--- a/sesamebeam_core/src/gateway/request.rs
+++ b/sesamebeam_core/src/gateway/request.rs
@@ -43,7 +43,7 @@
     /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
     /// Expected length of the response in tokens, if stated.
-    pub answer_tokens: Option<u32>,
+    pub response_tokens: Option<u32>,
     /// Session of the request.
     pub session: Option<SmolStr>,
     /// Id of the last event that the caller has received of a stream to resume.
@@ -58,9 +58,9 @@
     }
 
     /// Returns the number of prompt tokens that are not shared with other requests.
-    pub fn own_tokens(&self) -> u32 {
-        let own = self.prompt.last().map(|part| part.tokens);
-        own.unwrap_or(self.prompt_tokens)
+    pub fn unshared_tokens(&self) -> u32 {
+        let last = self.prompt.last().map(|part| part.tokens);
+        last.unwrap_or(self.prompt_tokens)
     }
 }
 
@@ -103,7 +103,7 @@
 
 /// Contents of a response head.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// HTTP status code.
     pub status: u16,
     /// Id of the request that this responds to.
@@ -134,14 +134,14 @@
     pub keep_alive: Option<Duration>,
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// Returns whether the status code is a success.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
     /// Returns whether the status code rejects the request for lack of capacity.
-    pub fn turns_away(&self) -> bool {
+    pub fn rejects_for_capacity(&self) -> bool {
         matches!(self.status, TOO_MANY_REQUESTS | SERVICE_UNAVAILABLE)
     }
 }
--- a/sesamebeam_core/src/gateway/tallies.rs
+++ b/sesamebeam_core/src/gateway/response_counts.rs
@@ -18,11 +18,11 @@
 use crate::ids::ModelId;
 
 /// Weight of the latest time in the moving average of its route.
-const TIME_WEIGHT: f64 = 0.05;
+const MEAN_WEIGHT: f64 = 0.05;
 
 /// Key under which responses are counted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Sender {
+pub(super) struct CountKey {
     /// Service that responded.
     pub(super) service: ServiceId,
     /// Version that responded.
@@ -36,20 +36,20 @@
 
 /// Responses counted since the last report.
 #[derive(Debug, Default)]
-pub(super) struct Tallies {
-    counts: HashMap<Sender, Evidence>,
+pub(super) struct ResponseCounts {
+    counts: HashMap<CountKey, Evidence>,
     /// Mean times to first byte.
-    times: Means,
+    first_byte_means: Means,
     /// Mean times between events.
-    paces: Means,
+    event_interval_means: Means,
 }
 
-impl Tallies {
+impl ResponseCounts {
     /// Counts the outcome of an attempt.
-    pub(super) fn ended(&mut self, sender: &Sender, outcome: Outcome) {
+    pub(super) fn record_outcome(&mut self, key: &CountKey, outcome: Outcome) {
         match outcome {
-            Outcome::Good => self.of(sender).good += 1,
-            Outcome::Failed => self.of(sender).bad += 1,
+            Outcome::Good => self.counts_mut(key).good += 1,
+            Outcome::Failed => self.counts_mut(key).bad += 1,
             Outcome::Refused
             | Outcome::Unreachable
             | Outcome::Down
@@ -59,29 +59,35 @@
     }
 
     /// Counts a time to first byte.
-    pub(super) fn timed(
+    pub(super) fn record_first_byte(
         &mut self,
-        sender: &Sender,
+        key: &CountKey,
         model: Option<&str>,
-        took: Duration,
-        on_trial: bool,
+        time: Duration,
+        is_canary: bool,
     ) {
-        let slowness = compare(&mut self.times, sender, model, took, on_trial);
-        let counts = self.of(sender);
+        let slowness = relative_to_mean(&mut self.first_byte_means, key, model, time, is_canary);
+        let counts = self.counts_mut(key);
         counts.timed += 1;
         counts.slowness += slowness;
     }
 
     /// Counts the mean time between the events of a stream.
-    pub(super) fn paced(
+    pub(super) fn record_event_interval(
         &mut self,
-        sender: &Sender,
+        key: &CountKey,
         model: Option<&str>,
-        pace: Duration,
-        on_trial: bool,
+        interval: Duration,
+        is_canary: bool,
     ) {
-        let slowness = compare(&mut self.paces, sender, model, pace, on_trial);
-        let counts = self.of(sender);
+        let slowness = relative_to_mean(
+            &mut self.event_interval_means,
+            key,
+            model,
+            interval,
+            is_canary,
+        );
+        let counts = self.counts_mut(key);
         counts.paced += 1;
         counts.pace += slowness;
     }
@@ -91,33 +97,31 @@
         self.counts.drain().map(|(_, counts)| counts).collect()
     }
 
-    fn of(&mut self, sender: &Sender) -> &mut Evidence {
-        self.counts
-            .entry(sender.clone())
-            .or_insert_with(|| Evidence {
-                service: sender.service.clone(),
-                version: sender.version.clone(),
-                route: sender.route.clone(),
-                ..Evidence::default()
-            })
+    fn counts_mut(&mut self, key: &CountKey) -> &mut Evidence {
+        self.counts.entry(key.clone()).or_insert_with(|| Evidence {
+            service: key.service.clone(),
+            version: key.version.clone(),
+            route: key.route.clone(),
+            ..Evidence::default()
+        })
     }
 }
 
 /// Returns a time relative to the moving average of its route and model. Canary versions
 /// don't contribute to the average.
-fn compare(
+fn relative_to_mean(
     means: &mut Means,
-    sender: &Sender,
+    key: &CountKey,
     model: Option<&str>,
-    took: Duration,
-    on_trial: bool,
+    time: Duration,
+    is_canary: bool,
 ) -> f64 {
-    let key = (sender.route.clone(), model.map(SmolStr::new));
-    let millis = took.as_secs_f64() * 1e3;
+    let key = (key.route.clone(), model.map(SmolStr::new));
+    let millis = time.as_secs_f64() * 1e3;
     let mean = means.entry(key).or_insert(millis);
-    let share = millis / mean.max(0.1);
-    if !on_trial {
-        *mean += TIME_WEIGHT * (millis - *mean);
+    let ratio = millis / mean.max(0.1);
+    if !is_canary {
+        *mean += MEAN_WEIGHT * (millis - *mean);
     }
-    share
+    ratio
 }
--- a/sesamebeam_core/src/gateway/budget.rs
+++ b/sesamebeam_core/src/gateway/retry_budget.rs
@@ -21,16 +21,16 @@
 
 /// Number of buckets in the window. More buckets take more memory; fewer ones delay the
 /// expiry of old counts by up to a bucket's width.
-const PARTS: u32 = 20;
+const BUCKETS: u32 = 20;
 
 /// Share of the bound that is spent. Entries count a request when they read it and a
 /// retry when they send it, while its users are counted at arrival. The margin covers
 /// events that fall on different sides of a window's edge.
-const SPENT: f64 = 0.85;
+const SPENDABLE_SHARE: f64 = 0.85;
 
 /// Bound on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetConfig {
+pub struct RetryBudgetConfig {
     /// Retries per request.
     pub ratio: f64,
     /// Additional retries of all entries together.
@@ -41,24 +41,24 @@
 
 /// Requests and retries in one bucket of the window.
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct Bucket {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Retry budget of one entry.
 #[derive(Clone, Debug)]
-pub struct Budget {
-    cfg: BudgetConfig,
+pub struct RetryBudget {
+    cfg: RetryBudgetConfig,
     /// Number of entries that share the slack.
     entries: EntryCount,
-    services: HashMap<ServiceId, VecDeque<Part>>,
+    services: HashMap<ServiceId, VecDeque<Bucket>>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Creates a budget with an unknown number of entries.
-    pub fn new(cfg: BudgetConfig) -> Self {
+    pub fn new(cfg: RetryBudgetConfig) -> Self {
         Self {
             cfg,
             entries: EntryCount::default(),
@@ -77,51 +77,51 @@
     }
 
     /// Counts a request.
-    pub fn request(&mut self, now: MonoTime, service: &ServiceId) {
-        self.part(now, service).requests += 1;
+    pub fn record_request(&mut self, now: MonoTime, service: &ServiceId) {
+        self.current_bucket(now, service).requests += 1;
     }
 
     /// Spends one retry if the budget allows it.
-    pub fn try_repeat(&mut self, now: MonoTime, service: &ServiceId) -> bool {
-        self.part(now, service);
-        let (requests, repeats) = self.counted(service);
+    pub fn try_retry(&mut self, now: MonoTime, service: &ServiceId) -> bool {
+        self.current_bucket(now, service);
+        let (requests, retries) = self.totals(service);
         let slack = match self.entries.most() {
             0 => 0.0,
             n => self.cfg.slack / f64::from(n),
         };
-        let allowed = (self.cfg.ratio * f64::from(requests) + slack) * SPENT;
-        if f64::from(repeats) + 1.0 > allowed {
+        let allowed = (self.cfg.ratio * f64::from(requests) + slack) * SPENDABLE_SHARE;
+        if f64::from(retries) + 1.0 > allowed {
             return false;
         }
-        self.part(now, service).repeats += 1;
+        self.current_bucket(now, service).retries += 1;
         true
     }
 
-    fn counted(&self, service: &ServiceId) -> (u32, u32) {
-        let parts = self.services.get(service).into_iter().flatten();
-        parts.fold((0, 0), |(requests, repeats), p| {
-            (requests + p.requests, repeats + p.repeats)
+    fn totals(&self, service: &ServiceId) -> (u32, u32) {
+        let buckets = self.services.get(service).into_iter().flatten();
+        buckets.fold((0, 0), |(requests, retries), p| {
+            (requests + p.requests, retries + p.retries)
         })
     }
 
     /// Returns the current bucket, after removing those outside the window.
-    fn part(&mut self, now: MonoTime, service: &ServiceId) -> &mut Part {
-        let width = self.cfg.window / PARTS;
+    fn current_bucket(&mut self, now: MonoTime, service: &ServiceId) -> &mut Bucket {
+        let width = self.cfg.window / BUCKETS;
         let number = (now.as_nanos() / width.as_nanos().max(1)) as u64;
-        let parts = self.services.entry(service.clone()).or_default();
-        while parts
+        let buckets = self.services.entry(service.clone()).or_default();
+        while buckets
             .front()
-            .is_some_and(|p| p.number + u64::from(PARTS) <= number)
+            .is_some_and(|p| p.number + u64::from(BUCKETS) <= number)
         {
-            parts.pop_front();
+            buckets.pop_front();
         }
-        if parts.back().is_none_or(|p| p.number != number) {
-            parts.push_back(Part {
+        if buckets.back().is_none_or(|p| p.number != number) {
+            buckets.push_back(Bucket {
                 number,
-                ..Part::default()
+                ..Bucket::default()
             });
         }
-        let last = parts.len() - 1;
-        &mut parts[last]
+        let last = buckets.len() - 1;
+        &mut buckets[last]
     }
 }
--- a/sesamebeam_core/src/gateway/rollout.rs
+++ b/sesamebeam_core/src/gateway/rollout.rs
@@ -1,8 +1,8 @@
 //! Rollouts of a new version of a service.
 //!
 //! The new version first serves a small share of the traffic as a canary. Its responses
-//! are compared with those of the previous versions in the same period. It is promoted
-//! when half of the rollout's duration has passed without evidence against it, and rolled
+//! are compared with those of the previous versions in the same period. It is promoted in
+//! the second half of the rollout if there is no evidence against it by then, and rolled
 //! back as soon as there is such evidence.
 
 use std::{
@@ -30,11 +30,11 @@
 
 /// Part of the allowed exposure that is used by the traffic share of a canary. The rest
 /// is reserved for the time after its promotion.
-pub const TRIAL_PART: f64 = 0.4;
+pub const CANARY_PART: f64 = 0.4;
 
 /// Earliest point of a rollout, as a share of its duration, at which a version is
 /// promoted. Sessions must not change version in the first half.
-const PROMOTE_FROM: f64 = 0.52;
+const EARLIEST_PROMOTION: f64 = 0.52;
 
 /// Time before the end of a rollout at which a promoted version counts as completed.
 /// Operators poll the state about once a second.
@@ -48,18 +48,18 @@
 /// excess as the only criterion, 26 of 100 good versions were rolled back at 30 requests
 /// a second; with the evidence it is one. For a service that normally never fails, four
 /// failures among 20 responses give twice the evidence required here.
-const BAD: Suspicion = Suspicion {
+const ROLLBACK_CRITERIA: FailureCriteria = FailureCriteria {
     bad: 4,
     excess: 0.12,
     evidence: 5.0,
 };
 
-/// Criteria that prevent a promotion. They are stricter because the errors differ in
-/// cost: a good version that is rolled back can be rolled out again, while a faulty one
-/// that is promoted serves all requests once the old version is gone. For a service that
-/// fails 15 in 100 requests, a version that had failed 11 of 42 under load was promoted
-/// without them.
-const DOUBT: Suspicion = Suspicion {
+/// Criteria for a rollback in place of a promotion or completion. They are stricter than
+/// those for an immediate rollback, because the errors differ in cost: a good version that
+/// is rolled back can be rolled out again, while a faulty one that is promoted serves all
+/// requests once the old version is gone. For a service that fails 15 in 100 requests, a
+/// version that had failed 11 of 42 under load was promoted without them.
+const BLOCKING_CRITERIA: FailureCriteria = FailureCriteria {
     bad: 2,
     excess: 0.05,
     evidence: 2.0,
@@ -70,21 +70,21 @@
 /// A version that fails only under load has many good responses by then: counted together
 /// with these, 50 failures in five seconds were only a tenth. The load of a burst lasts a
 /// few seconds.
-const RECENT: Duration = Duration::from_secs(4);
+const RECENT_PERIOD: Duration = Duration::from_secs(4);
 
 /// Criteria for a rollback by recent responses alone. This evidence arises by chance once
 /// in about ten thousand periods, of which a rollout has a few hundred.
-const BAD_OF_LATE: Suspicion = Suspicion {
+const RECENT_ROLLBACK_CRITERIA: FailureCriteria = FailureCriteria {
     evidence: 9.0,
-    ..BAD
+    ..ROLLBACK_CRITERIA
 };
 
 /// Length of the intervals in which recent responses are counted. Reports arrive five
 /// times a second.
-const RECENT_STEP: Duration = Duration::from_millis(200);
+const RECENT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Minimum number of timings for a comparison.
-const MIN_TIMED: u32 = 8;
+const MIN_TIMINGS: u32 = 8;
 
 /// Ratio of its mean time to that of the previous versions from which a version counts as
 /// slow. Smaller differences may be caused by load.
@@ -117,7 +117,7 @@
 /// Minimum differences in failures at which a new version counts as worse than the
 /// previous ones. All of them must be met.
 #[derive(Clone, Copy, Debug)]
-struct Suspicion {
+struct FailureCriteria {
     /// Number of failures.
     bad: u32,
     /// Difference between the failure rates.
@@ -139,24 +139,24 @@
 
 /// Responses in one interval, by route.
 #[derive(Debug)]
-struct Step {
+struct Interval {
     /// Start of the interval.
-    at: MonoTime,
+    started_at: MonoTime,
     counts: BTreeMap<RouteId, Counts>,
 }
 
 /// Evidence that the leader collects about a running rollout.
 #[derive(Debug, Default)]
-pub struct Watch {
+pub struct RolloutMonitor {
     /// Start of the rollout, as far as this replica knows.
     since: MonoTime,
     new: BTreeMap<RouteId, Counts>,
     old: BTreeMap<RouteId, Counts>,
     /// Recent responses of the new version by interval, oldest first.
-    recent: VecDeque<Step>,
+    recent: VecDeque<Interval>,
 }
 
-impl Watch {
+impl RolloutMonitor {
     /// Starts monitoring a rollout.
     pub fn new(now: MonoTime) -> Self {
         Self {
@@ -169,7 +169,7 @@
     ///
     /// A replica that has restarted since the rollout began does not know its start.
     /// Counted from the restart, the rollout would end too late.
-    pub fn has_run(&mut self, now: MonoTime, age: Duration) {
+    pub fn set_min_age(&mut self, now: MonoTime, age: Duration) {
         self.since = self.since.min(now.saturating_sub(age));
     }
 
@@ -179,9 +179,9 @@
     }
 
     /// Adds evidence that an entry has reported.
-    pub fn take(&mut self, now: MonoTime, target: &str, evidence: &Evidence) {
+    pub fn add(&mut self, now: MonoTime, target: &str, evidence: &Evidence) {
         if evidence.version == target {
-            let counts = self.recent_of(now, &evidence.route);
+            let counts = self.recent_counts(now, &evidence.route);
             counts.good += evidence.good;
             counts.bad += evidence.bad;
         }
@@ -210,30 +210,32 @@
             return Phase::RolledBack;
         }
         let elapsed = now.saturating_sub(self.since);
-        let part = elapsed.as_secs_f64() / rollout.duration.as_secs_f64().max(0.001);
-        let left = rollout.duration.saturating_sub(elapsed);
-        let seen: u32 = self.new.values().map(|c| c.good).sum();
+        let progress = elapsed.as_secs_f64() / rollout.duration.as_secs_f64().max(0.001);
+        let remaining = rollout.duration.saturating_sub(elapsed);
+        let successes: u32 = self.new.values().map(|c| c.good).sum();
         match rollout.phase {
-            Phase::Canary if part >= promote_at(exposure) && seen > 0 => {
-                self.unless_doubtful(Phase::Promoted)
+            Phase::Canary if progress >= promotion_point(exposure) && successes > 0 => {
+                self.next_unless_doubtful(Phase::Promoted)
+            }
+            Phase::Promoted if remaining <= COMPLETE_BEFORE => {
+                self.next_unless_doubtful(Phase::Completed)
             }
-            Phase::Promoted if left <= COMPLETE_BEFORE => self.unless_doubtful(Phase::Completed),
             phase => phase,
         }
     }
 
     /// Returns the next phase, or a rollback if the version may be faulty.
-    fn unless_doubtful(&self, next: Phase) -> Phase {
-        let mut routes = self.routes();
-        let doubtful = DOUBT.holds(total(&self.new), total(&self.old))
-            || routes.any(|(new, old)| DOUBT.holds(new, old));
+    fn next_unless_doubtful(&self, next: Phase) -> Phase {
+        let mut counts_by_route = self.counts_by_route();
+        let doubtful = BLOCKING_CRITERIA.are_met(total(&self.new), total(&self.old))
+            || counts_by_route.any(|(new, old)| BLOCKING_CRITERIA.are_met(new, old));
         if doubtful { Phase::RolledBack } else { next }
     }
 
     /// Returns the counters of the new and the previous versions for each route.
-    fn routes(&self) -> impl Iterator<Item = (Counts, Counts)> + '_ {
-        let routes = self.new.iter();
-        routes.map(|(r, new)| (*new, self.old.get(r).copied().unwrap_or_default()))
+    fn counts_by_route(&self) -> impl Iterator<Item = (Counts, Counts)> + '_ {
+        let counts_by_route = self.new.iter();
+        counts_by_route.map(|(r, new)| (*new, self.old.get(r).copied().unwrap_or_default()))
     }
 
     /// Returns the successes and failures of the new version and of the previous ones,
@@ -245,13 +247,16 @@
     }
 
     /// Returns the counters of a route in the current interval.
-    fn recent_of(&mut self, now: MonoTime, route: &RouteId) -> &mut Counts {
-        let is_old = |step: &mut Step| step.at + RECENT < now;
+    fn recent_counts(&mut self, now: MonoTime, route: &RouteId) -> &mut Counts {
+        let is_old = |interval: &mut Interval| interval.started_at + RECENT_PERIOD < now;
         while self.recent.pop_front_if(is_old).is_some() {}
         let newest = self.recent.back();
-        if newest.is_none_or(|step| step.at + RECENT_STEP <= now) {
+        if newest.is_none_or(|interval| interval.started_at + RECENT_INTERVAL <= now) {
             let counts = BTreeMap::new();
-            self.recent.push_back(Step { at: now, counts });
+            self.recent.push_back(Interval {
+                started_at: now,
+                counts,
+            });
         }
         let last = self.recent.len() - 1;
         let counts = &mut self.recent[last].counts;
@@ -261,15 +266,15 @@
     /// Returns whether the recent responses of the new version, over any period up to
     /// now, fail more often than all responses of the previous versions. Covers all
     /// routes if `route` is `None`.
-    fn fails_of_late(&self, route: Option<&RouteId>, old: Counts) -> bool {
+    fn fails_recently(&self, route: Option<&RouteId>, old: Counts) -> bool {
         let mut new = Counts::default();
-        self.recent.iter().rev().any(|step| {
-            let counts = step.counts.iter();
+        self.recent.iter().rev().any(|interval| {
+            let counts = interval.counts.iter();
             for (_, counts) in counts.filter(|(r, _)| route.is_none_or(|route| route == *r)) {
                 new.good += counts.good;
                 new.bad += counts.bad;
             }
-            BAD_OF_LATE.holds(new, old)
+            RECENT_ROLLBACK_CRITERIA.are_met(new, old)
         })
     }
 
@@ -277,16 +282,16 @@
         let (new, old) = (total(&self.new), total(&self.old));
         // Times are relative to the mean of their route, so they can be summed over all
         // routes, which reaches the minimum number earlier than each route alone.
-        if BAD.holds(new, old) || is_slower(new, old) {
+        if ROLLBACK_CRITERIA.are_met(new, old) || is_slower(new, old) {
             return true;
         }
-        let mut of_routes = self.old.iter();
-        let late = self.fails_of_late(None, old);
-        if late || of_routes.any(|(r, old)| self.fails_of_late(Some(r), *old)) {
+        let mut old_by_route = self.old.iter();
+        let fails_overall = self.fails_recently(None, old);
+        if fails_overall || old_by_route.any(|(r, old)| self.fails_recently(Some(r), *old)) {
             return true;
         }
-        let mut routes = self.routes();
-        routes.any(|(new, old)| BAD.holds(new, old) || is_slower(new, old))
+        let mut counts_by_route = self.counts_by_route();
+        counts_by_route.any(|(new, old)| ROLLBACK_CRITERIA.are_met(new, old) || is_slower(new, old))
     }
 }
 
@@ -295,10 +300,10 @@
 /// A fault may show only under a load that does not occur during the rollout. The
 /// promotion is late enough to keep the total exposure within the limit even then.
 /// Promotion at half of the duration would expose more than half of all requests.
-fn promote_at(exposure: f64) -> f64 {
-    let on_trial = TRIAL_PART * exposure;
-    let latest = (1.0 - exposure) / (1.0 - on_trial).max(f64::EPSILON);
-    latest.max(PROMOTE_FROM)
+fn promotion_point(exposure: f64) -> f64 {
+    let canary_share = CANARY_PART * exposure;
+    let latest = (1.0 - exposure) / (1.0 - canary_share).max(f64::EPSILON);
+    latest.max(EARLIEST_PROMOTION)
 }
 
 fn total(side: &BTreeMap<RouteId, Counts>) -> Counts {
@@ -312,27 +317,27 @@
     })
 }
 
-impl Suspicion {
+impl FailureCriteria {
     /// Returns whether the new version meets the criteria.
-    fn holds(&self, new: Counts, old: Counts) -> bool {
+    fn are_met(&self, new: Counts, old: Counts) -> bool {
         let share = |c: Counts| f64::from(c.bad) / f64::from((c.good + c.bad).max(1));
-        let more = new.bad >= self.bad && share(new) > share(old) + self.excess;
-        more && evidence(new, old) >= self.evidence
+        let exceeds = new.bad >= self.bad && share(new) > share(old) + self.excess;
+        exceeds && log_likelihood_ratio(new, old) >= self.evidence
     }
 }
 
 /// Returns the log-likelihood ratio of two different failure rates to a common one.
-fn evidence(new: Counts, old: Counts) -> f64 {
-    let both = Counts {
+fn log_likelihood_ratio(new: Counts, old: Counts) -> f64 {
+    let combined = Counts {
         good: new.good + old.good,
         bad: new.bad + old.bad,
         ..Counts::default()
     };
-    likelihood(new) + likelihood(old) - likelihood(both)
+    log_likelihood(new) + log_likelihood(old) - log_likelihood(combined)
 }
 
 /// Returns the log-likelihood of the responses under their own failure rate.
-fn likelihood(c: Counts) -> f64 {
+fn log_likelihood(c: Counts) -> f64 {
     let all = f64::from(c.good + c.bad);
     let term = |n: u32| match n {
         0 => 0.0,
@@ -349,7 +354,7 @@
 fn is_slower(new: Counts, old: Counts) -> bool {
     let slower = |new: (u32, f64), old: (u32, f64)| {
         let mean = |(count, sum): (u32, f64)| sum / f64::from(count.max(1));
-        new.0 >= MIN_TIMED && old.0 >= MIN_TIMED && mean(new) > mean(old) * SLOW_RATIO
+        new.0 >= MIN_TIMINGS && old.0 >= MIN_TIMINGS && mean(new) > mean(old) * SLOW_RATIO
     };
     let first = slower((new.timed, new.slowness), (old.timed, old.slowness));
     first || slower((new.paced, new.pace), (old.paced, old.pace))
@@ -368,7 +373,7 @@
 
 impl Allowed {
     /// Returns whether a version is allowed.
-    pub fn has(&self, version: &str) -> bool {
+    pub fn includes(&self, version: &str) -> bool {
         match self {
             Allowed::Any => true,
             Allowed::Only(v) => v == version,
--- a/sesamebeam_core/src/gateway/router.rs
+++ b/sesamebeam_core/src/gateway/router.rs
@@ -22,16 +22,12 @@
         Balance,
         Outcome, //
     },
-    budget::{
-        Budget,
-        BudgetConfig, //
-    },
     cascade::{
         self,
         Cascade,
-        Step, //
+        Decision, //
     },
-    cold::Cold,
+    cold::ColdServers,
     config::{
         ConfigVersion,
         GatewayConfig,
@@ -51,28 +47,32 @@
         Age,
         Kept, //
     },
-    lengths::Lengths,
     limits::Limits,
-    reading::ReadingTimes,
+    prefill::PrefillTimes,
+    prompt_lengths::PromptLengths,
+    quarantine::Quarantine,
     request::{
-        AnswerHead,
         Head,
         Load,
         PromptPart, //
+        ResponseHead,
+    },
+    response_counts::{
+        CountKey,
+        ResponseCounts, //
     },
-    rollout::TRIAL_PART,
+    retry_budget::{
+        RetryBudget,
+        RetryBudgetConfig, //
+    },
+    rollout::CANARY_PART,
     sessions::Sessions,
     shortage::Admission,
     store::Orders,
-    suspects::Suspects,
     table::{
         self,
         Caller,
-        Table, //
-    },
-    tallies::{
-        Sender,
-        Tallies, //
+        RouteTable, //
     },
 };
 use crate::{
@@ -98,7 +98,7 @@
     /// Failure domain of this entry.
     pub domain: DomainId,
     /// Budget of repeated sends.
-    pub budget: BudgetConfig,
+    pub budget: RetryBudgetConfig,
     /// Share of a service's requests that a new version may get while it may
     /// still turn out bad.
     pub exposure_share: f64,
@@ -152,7 +152,7 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Configuration that decided.
-    pub table: Arc<Table>,
+    pub table: Arc<RouteTable>,
     /// Its route.
     pub route: RouteConfig,
     /// Service that it goes to.
@@ -179,8 +179,8 @@
 
 impl Plan {
     /// Returns what answers of a backend server are counted by.
-    fn sender(&self, choice: &Choice) -> Sender {
-        Sender {
+    fn sender(&self, choice: &Choice) -> CountKey {
+        CountKey {
             service: self.service.clone(),
             version: choice.version.clone(),
             route: self.route.name.clone(),
@@ -219,24 +219,24 @@
 #[derive(Debug)]
 pub struct Router {
     cfg: RouterConfig,
-    table: Option<Arc<Table>>,
+    table: Option<Arc<RouteTable>>,
     /// Whether the configuration is as new as any was when this entry started.
     current: bool,
     index: LogIndex,
     orders: Orders,
     directory: Directory,
-    cold: Cold,
+    cold: ColdServers,
     limits: Limits,
     backoffs: Backoffs,
     admission: Admission,
     balance: Balance,
-    budget: Budget,
+    budget: RetryBudget,
     cascade: Cascade,
-    tallies: Tallies,
-    suspects: Suspects,
+    tallies: ResponseCounts,
+    suspects: Quarantine,
     sessions: Sessions,
-    lengths: Lengths,
-    reading: ReadingTimes,
+    lengths: PromptLengths,
+    reading: PrefillTimes,
     /// When what is over is forgotten next.
     tidy_at: MonoTime,
 }
@@ -245,9 +245,9 @@
     /// Makes a router that knows nothing yet.
     pub fn new(cfg: RouterConfig) -> Self {
         Self {
-            budget: Budget::new(cfg.budget),
-            sessions: Sessions::new(cfg.session_pause, cfg.exposure_share * TRIAL_PART),
-            cold: Cold::new(cfg.name.clone()),
+            budget: RetryBudget::new(cfg.budget),
+            sessions: Sessions::new(cfg.session_pause, cfg.exposure_share * CANARY_PART),
+            cold: ColdServers::new(cfg.name.clone()),
             limits: Limits::new(cfg.name.clone()),
             backoffs: Backoffs::default(),
             cfg,
@@ -259,16 +259,16 @@
             admission: Admission::default(),
             balance: Balance::default(),
             cascade: Cascade::default(),
-            tallies: Tallies::default(),
-            suspects: Suspects::default(),
-            lengths: Lengths::default(),
-            reading: ReadingTimes::default(),
+            tallies: ResponseCounts::default(),
+            suspects: Quarantine::default(),
+            lengths: PromptLengths::default(),
+            reading: PrefillTimes::default(),
             tidy_at: MonoTime::ZERO,
         }
     }
 
     /// Returns the configuration in force.
-    pub fn table(&self) -> Option<&Arc<Table>> {
+    pub fn table(&self) -> Option<&Arc<RouteTable>> {
         self.table.as_ref()
     }
 
@@ -296,7 +296,7 @@
         if self.table.is_none() {
             self.cascade.started(now);
         }
-        self.table = Some(Table::new(config));
+        self.table = Some(RouteTable::new(config));
         true
     }
 
@@ -315,7 +315,7 @@
             return false;
         }
         for (service, rollout) in &orders.rollouts {
-            self.sessions.start(now, service, &rollout.target);
+            self.sessions.track_rollout(now, service, &rollout.target);
         }
         for domain in self.orders.evacuated.difference(&orders.evacuated) {
             self.cold.readmit(now, domain.clone());
@@ -351,7 +351,7 @@
         self.cold.retain(|id| directory.get(id).is_some());
         self.limits.retain(|id| directory.get(id).is_some());
         self.backoffs.retain(now, |id| directory.get(id).is_some());
-        self.sessions.tidy(now);
+        self.sessions.expire(now);
     }
 
     /// Decides what happens to a request.
@@ -368,13 +368,13 @@
         let organisation = match &caller {
             Caller::Unknown => return Err(self.if_current(Refusal::UnknownKey)),
             Caller::Anonymous => None,
-            Caller::Of(org) => Some(org.name.clone()),
+            Caller::Member(org) => Some(org.name.clone()),
         };
         // Drawn by the request's own id: counted by each entry, the first requests of
         // all entries that had started together went to the same backend server.
         let seed = hash::name(head.id.as_bytes());
         let service = table.service(route, seed).clone();
-        self.budget.request(now, &service);
+        self.budget.record_request(now, &service);
         if !route.streaming && !self.admission.admits(now, &service, route, head) {
             return Err(Refusal::Short);
         }
@@ -382,13 +382,13 @@
         let fair = self.fair_share(&service);
         let on_trial = self
             .sessions
-            .may_try(now, &service, session, &head.id, fair);
+            .may_use_canary(now, &service, session, &head.id, fair);
         let rank = table::rank(route, &caller);
         let open = head
             .model
             .as_deref()
             .is_none_or(|m| m == crate::ids::ANY_MODEL);
-        let model = route.sizes.first().filter(|_| open).cloned();
+        let model = route.models.first().filter(|_| open).cloned();
         Ok(Plan {
             engine_rank: self
                 .lengths
@@ -396,9 +396,9 @@
             route: route.clone(),
             organisation,
             model,
-            expense: cascade::expense(head.prompt_tokens, head.answer_tokens),
+            expense: cascade::relative_cost(head.prompt_tokens, head.response_tokens),
             shared: head.shared_part().copied(),
-            own_tokens: head.own_tokens(),
+            own_tokens: head.unshared_tokens(),
             session: head.session.clone(),
             on_trial,
             seed,
@@ -425,10 +425,10 @@
         now: MonoTime,
         plan: &Plan,
         asked: &str,
-        answer: &AnswerHead,
+        answer: &ResponseHead,
         attempts_left: bool,
-    ) -> Step {
-        let sizes = &plan.route.sizes;
+    ) -> Decision {
+        let sizes = &plan.route.models;
         let step = self.cascade.judge(
             now,
             &plan.service,
@@ -438,10 +438,10 @@
             plan.expense,
         );
         if !attempts_left {
-            return Step::Keep;
+            return Decision::Keep;
         }
-        if matches!(step, Step::Ask(_)) && !self.try_repeat(now, plan) {
-            return Step::Keep;
+        if matches!(step, Decision::Ask(_)) && !self.try_repeat(now, plan) {
+            return Decision::Keep;
         }
         step
     }
@@ -471,9 +471,9 @@
         took: Duration,
     ) {
         let target = plan.route.target;
-        self.cascade.waited(now, &plan.service, took, target);
+        self.cascade.record_wait(now, &plan.service, took, target);
         self.reading
-            .note(&plan.service, model, plan.own_tokens, took);
+            .record(&plan.service, model, plan.own_tokens, took);
         self.balance.read(now, &choice.id, choice.reading);
     }
 
@@ -484,21 +484,21 @@
 
     /// Returns the confidence from which an answer is kept now.
     pub fn keep_from(&self, now: MonoTime, plan: &Plan) -> f64 {
-        self.cascade.keep_from(now, &plan.service, plan.expense)
+        self.cascade.threshold(now, &plan.service, plan.expense)
     }
 
     /// Notes the time from a send to the first byte of its success.
     pub fn timed(&mut self, plan: &Plan, choice: &Choice, model: Option<&str>, took: Duration) {
         let on_trial = self.is_target(&plan.service, &choice.version);
         self.tallies
-            .timed(&plan.sender(choice), model, took, on_trial);
+            .record_first_byte(&plan.sender(choice), model, took, on_trial);
     }
 
     /// Notes the mean time between the events of a stream.
     pub fn paced(&mut self, plan: &Plan, choice: &Choice, model: Option<&str>, pace: Duration) {
         let on_trial = self.is_target(&plan.service, &choice.version);
         self.tallies
-            .paced(&plan.sender(choice), model, pace, on_trial);
+            .record_event_interval(&plan.sender(choice), model, pace, on_trial);
     }
 
     /// Notes that a request that is no stream was answered.
@@ -522,7 +522,7 @@
         };
         self.balance.finished(now, &choice.id, outcome);
         self.keep_session(now, plan, choice);
-        self.tallies.ended(&plan.sender(choice), outcome);
+        self.tallies.record_outcome(&plan.sender(choice), outcome);
     }
 
     /// Notes that another life answers at the address of a backend server.
@@ -538,7 +538,7 @@
 
     /// Takes sessions that must stay on the versions before a roll-out.
     pub fn keep_sessions(&mut self, now: MonoTime, kept: &Kept, all: bool) {
-        self.sessions.keep(now, kept, all);
+        self.sessions.exclude(now, kept, all);
     }
 
     /// Returns how long each roll-out has run.
@@ -549,7 +549,7 @@
     /// Takes the requests that crash what runs them, as the control replicas
     /// have found.
     pub fn set_quarantined(&mut self, fingerprints: impl IntoIterator<Item = Digest>) {
-        self.suspects.quarantine(fingerprints);
+        self.suspects.add(fingerprints);
     }
 
     /// Returns whether a request may run.
@@ -566,17 +566,17 @@
 
     /// Notes that a request ran to its end.
     pub fn completed(&mut self, fingerprint: Digest) {
-        self.suspects.completed(fingerprint);
+        self.suspects.record_completion(fingerprint);
     }
 
     /// Notes that a request was running when a backend server went down.
     pub fn crashed(&mut self, fingerprint: Digest, choice: &Choice) {
-        self.suspects.crashed(fingerprint, choice.life());
+        self.suspects.record_crash(fingerprint, choice.life());
     }
 
     fn keep_session(&mut self, now: MonoTime, plan: &Plan, choice: &Choice) {
         if let Some(session) = &plan.session {
-            self.sessions.ran(now, session, &choice.version);
+            self.sessions.record_version(now, session, &choice.version);
         }
     }
 }
--- a/sesamebeam_core/src/gateway/router/choosing.rs
+++ b/sesamebeam_core/src/gateway/router/choosing.rs
@@ -75,7 +75,7 @@
     ) -> Result<Choice, Unserved> {
         let orders = &self.orders;
         let groups = self.directory.groups(&plan.service);
-        let groups = groups.filter(|g| orders.admit(g.domain) && allowed.has(g.version));
+        let groups = groups.filter(|g| orders.admits(g.domain) && allowed.includes(g.version));
         let mut fit: Vec<&Known> = groups
             .flat_map(|g| self.directory.members(&g, window))
             .collect();
@@ -99,13 +99,13 @@
             return Err(Unserved::Cold);
         }
         let affinity = affinity(plan, model);
-        let reading = self.reading.expect(&plan.service, model, plan.own_tokens);
+        let reading = self.reading.estimate(&plan.service, model, plan.own_tokens);
         let need = Need {
             affinity,
             reading,
             domain: &self.cfg.domain,
             tried,
-            once: plan.route.runs_once(),
+            once: plan.route.runs_at_most_once(),
             seed: plan.seed,
         };
         let chosen = self.balance.choose(now, &fit, &need);
@@ -157,7 +157,7 @@
         let open = self.open(&plan.service);
         open.filter(move |k| {
             let id = &k.said.id;
-            !tried.contains(id) && allowed.has(&k.said.version) && self.takes(now, id)
+            !tried.contains(id) && allowed.includes(&k.said.version) && self.takes(now, id)
         })
     }
 
@@ -174,7 +174,7 @@
         service: &'a str,
     ) -> impl Iterator<Item = Group<'a>> + 'a {
         let groups = self.directory.groups(service);
-        groups.filter(|g| self.orders.admit(g.domain))
+        groups.filter(|g| self.orders.admits(g.domain))
     }
 
     /// Returns the share of the slots of a plan's service that are taken, at as many
@@ -192,7 +192,7 @@
     fn window(&self, plan: &Plan, model: Option<&str>, allowed: &Allowed, most: usize) -> Window {
         let point = affinity(plan, model).map_or(plan.seed, |a| hash::name(&a.key.to_le_bytes()));
         let groups = self.open_groups(&plan.service);
-        let groups = groups.filter(|g| allowed.has(g.version));
+        let groups = groups.filter(|g| allowed.includes(g.version));
         Window::new(point as ServerKey, most, groups.map(|g| g.count()).sum())
     }
 
@@ -233,7 +233,7 @@
             !is_cold(k) && !tried.contains(&k.said.id) && self.balance.reaches(now, k)
         };
         let warm: Vec<&Known> = fit.iter().filter(serves).copied().collect();
-        let is_pressed = warm.is_empty() || self.balance.taken(now, &warm) >= cold::PRESSED;
+        let is_pressed = warm.is_empty() || self.balance.taken(now, &warm) >= cold::OVERFLOW_LOAD;
         if is_pressed && fit.iter().any(has_turn) {
             fit.retain(has_turn);
         } else {
--- a/sesamebeam_core/src/gateway/router/exchange.rs
+++ b/sesamebeam_core/src/gateway/router/exchange.rs
@@ -11,11 +11,11 @@
             Unreached, //
         },
         limits::LimitOf,
-        loads::LoadOf,
+        loads::ServerLoad,
         pool::Doubt,
         rollout::Phase,
         shortage::ShareOf,
-        subscription::Holding,
+        subscription::LocalSummary,
         waits::MeanWait,
     },
     ids::MonoTime,
@@ -32,8 +32,8 @@
     }
 
     /// Returns the same in brief.
-    pub fn holding(&mut self) -> Holding {
-        Holding {
+    pub fn holding(&mut self) -> LocalSummary {
+        LocalSummary {
             config: self.version(),
             index: self.index,
             servers: self.directory.digests().whole(),
@@ -41,8 +41,8 @@
     }
 
     /// Notes loads and waits that any entry has heard.
-    pub fn told_loads(&mut self, now: MonoTime, told: Vec<LoadOf>, waits: Vec<MeanWait>) {
-        self.cascade.told(now, waits);
+    pub fn told_loads(&mut self, now: MonoTime, told: Vec<ServerLoad>, waits: Vec<MeanWait>) {
+        self.cascade.set_fleet_means(now, waits);
         for load in told {
             for known in self.directory.with_key(load.server) {
                 self.balance.told(now, &known.said.id, load);
@@ -98,10 +98,10 @@
             limits: self.limits.take_fresh(),
             outcomes: self.balance.take_outcomes(),
             unreached: self.take_unreached(),
-            waits: self.cascade.take_fresh(),
+            waits: self.cascade.take_unreported(),
             work: self.admission.take_fresh(),
             crashes: self.suspects.take_crashes(),
-            kept: self.sessions.take_fresh(),
+            kept: self.sessions.take_unreported(),
             ages: Vec::new(),
         }
     }
--- a/sesamebeam_core/src/gateway/router/retry_after.rs
+++ b/sesamebeam_core/src/gateway/router/retry_after.rs
@@ -42,7 +42,7 @@
         let allowed = self.allowed(plan);
         let may_run = self.open(&plan.service);
         let may_run = may_run
-            .filter(|k| allowed.has(&k.said.version))
+            .filter(|k| allowed.includes(&k.said.version))
             .map(|k| &k.said.id);
         let mut stays = may_run
             .filter(|id| !self.backoffs.is_leaving(id))
--- a/sesamebeam_core/src/gateway/router/shared.rs
+++ b/sesamebeam_core/src/gateway/router/shared.rs
@@ -11,7 +11,7 @@
         backoff::Backoff,
         connections,
         directory::ServerId,
-        request::AnswerHead, //
+        request::ResponseHead, //
     },
     ids::MonoTime,
 };
@@ -26,7 +26,7 @@
 
     /// Returns whether one more send of a request is in the budget, and spends it.
     pub fn try_repeat(&mut self, now: MonoTime, plan: &Plan) -> bool {
-        self.budget.try_repeat(now, &plan.service)
+        self.budget.try_retry(now, &plan.service)
     }
 
     /// Takes the limit that the answer to a request names, or none, and returns whether
@@ -40,7 +40,7 @@
         now: MonoTime,
         choice: &Choice,
         sent_at: MonoTime,
-        answer: &AnswerHead,
+        answer: &ResponseHead,
     ) -> bool {
         let says = answer.limit.is_some() || answer.sealed;
         says && self.lives(choice) && self.limits.heard(now, &choice.id, sent_at, answer.limit)
@@ -51,7 +51,7 @@
     pub fn most_idle(&self, plan: &Plan) -> usize {
         let service = plan.table.config().service(&plan.service);
         let takes = service.map_or(0, |s| s.max_connections);
-        connections::most_idle(takes, self.budget.entries())
+        connections::max_idle(takes, self.budget.entries())
     }
 
     /// Returns how many backend servers name a limit.
@@ -67,7 +67,7 @@
         &mut self,
         now: MonoTime,
         choice: &Choice,
-        answer: &AnswerHead,
+        answer: &ResponseHead,
     ) -> Option<Backoff> {
         if answer.misdirected || !self.lives(choice) {
             return None;
--- a/sesamebeam_core/src/gateway/router/trial.rs
+++ b/sesamebeam_core/src/gateway/router/trial.rs
@@ -13,8 +13,8 @@
         },
         rollout::{
             Allowed,
+            CANARY_PART, //
             Phase,
-            TRIAL_PART, //
         },
     },
     policy::hash,
@@ -51,7 +51,7 @@
     /// Returns how many backend servers of a new version are tried, for so many of
     /// the versions before.
     pub(super) fn few_on_trial(&self, before: usize) -> usize {
-        let share = self.cfg.exposure_share * TRIAL_PART;
+        let share = self.cfg.exposure_share * CANARY_PART;
         (share * before as f64).floor().max(1.0) as usize
     }
 
--- a/sesamebeam_core/src/gateway/sessions.rs
+++ b/sesamebeam_core/src/gateway/sessions.rs
@@ -35,116 +35,123 @@
 
 /// Time from the start of a rollout until sessions may use the new version, several times
 /// as long as a report takes to reach all entries.
-pub const GATHER: Duration = Duration::from_millis(1000);
+pub const COLLECTION_TIME: Duration = Duration::from_millis(1000);
 
 /// Added to the session timeout, which the caller counts from the end of its last
 /// request, slightly later than this entry.
-const MARGIN: Duration = Duration::from_millis(1500);
+const EXPIRY_MARGIN: Duration = Duration::from_millis(1500);
 
 /// Interval between the starts of two canary pulses. Each pulse has room for some dozen
 /// responses of a plain service, and the shortest rollout for ten pulses.
-const PULSE_EVERY: Duration = Duration::from_secs(2);
+const PULSE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Session state of one rollout.
 #[derive(Debug)]
-struct Trial {
+struct Canary {
     target: SmolStr,
     /// Time at which this entry learned of the rollout.
     since: MonoTime,
     /// Time from which sessions may use the new version.
-    from: MonoTime,
+    open_from: MonoTime,
     /// Sampled sessions that stay on the previous versions, by hash.
-    kept: HashSet<u64>,
+    excluded: HashSet<u64>,
     /// Those of them that have not been reported yet.
-    fresh: Vec<u64>,
+    unreported: Vec<u64>,
 }
 
 /// Sessions seen by this entry, and those reported by others.
 #[derive(Debug)]
 pub struct Sessions {
     /// Time between two requests after which they no longer belong to the same session.
-    pause: Duration,
+    timeout: Duration,
     /// Share of the sessions that may use a canary.
-    share: f64,
+    canary_share: f64,
     /// Last version of each session, with the time of its last request.
-    seen: HashMap<SessionId, (SmolStr, MonoTime)>,
-    trials: HashMap<ServiceId, Trial>,
+    last_versions: HashMap<SessionId, (SmolStr, MonoTime)>,
+    canaries: HashMap<ServiceId, Canary>,
 }
 
 impl Sessions {
     /// Creates an empty table.
-    pub fn new(pause: Duration, share: f64) -> Self {
+    pub fn new(timeout: Duration, canary_share: f64) -> Self {
         Self {
-            pause,
-            share,
-            seen: HashMap::new(),
-            trials: HashMap::new(),
+            timeout,
+            canary_share,
+            last_versions: HashMap::new(),
+            canaries: HashMap::new(),
         }
     }
 
     /// Records the version on which a session runs.
-    pub fn ran(&mut self, now: MonoTime, session: &SessionId, version: &SmolStr) {
-        self.seen.insert(session.clone(), (version.clone(), now));
+    pub fn record_version(&mut self, now: MonoTime, session: &SessionId, version: &SmolStr) {
+        self.last_versions
+            .insert(session.clone(), (version.clone(), now));
     }
 
     /// Starts to track a rollout, unless it is already known.
-    pub fn start(&mut self, now: MonoTime, service: &ServiceId, target: &SmolStr) {
+    pub fn track_rollout(&mut self, now: MonoTime, service: &ServiceId, target: &SmolStr) {
         if self
-            .trials
+            .canaries
             .get(service)
             .is_some_and(|t| t.target == *target)
         {
             return;
         }
-        let drawn = self.seen.iter().filter(|(session, (version, at))| {
-            version != target
-                && is_drawn(session, target, self.share)
-                && now < *at + self.pause + MARGIN
-        });
-        let kept: HashSet<u64> = drawn.map(|(s, _)| hash::name(s.as_bytes())).collect();
-        let trial = Trial {
+        let sampled = self
+            .last_versions
+            .iter()
+            .filter(|(session, (version, at))| {
+                version != target
+                    && is_sampled(session, target, self.canary_share)
+                    && now < *at + self.timeout + EXPIRY_MARGIN
+            });
+        let excluded: HashSet<u64> = sampled.map(|(s, _)| hash::name(s.as_bytes())).collect();
+        let canary = Canary {
             target: target.clone(),
             since: now,
-            from: now + GATHER,
-            fresh: kept.iter().copied().collect(),
-            kept,
+            open_from: now + COLLECTION_TIME,
+            unreported: excluded.iter().copied().collect(),
+            excluded,
         };
-        self.trials.insert(service.clone(), trial);
+        self.canaries.insert(service.clone(), canary);
     }
 
     /// Adds sessions that other entries have reported. `all` is set if the reports of all
     /// entries are included.
-    pub fn keep(&mut self, now: MonoTime, kept: &Kept, all: bool) {
-        self.start(now, &kept.service, &kept.target);
-        if let Some(trial) = self.trials.get_mut(&kept.service)
-            && trial.target == kept.target
+    pub fn exclude(&mut self, now: MonoTime, kept: &Kept, all: bool) {
+        self.track_rollout(now, &kept.service, &kept.target);
+        if let Some(canary) = self.canaries.get_mut(&kept.service)
+            && canary.target == kept.target
         {
-            trial.kept.extend(&kept.sessions);
+            canary.excluded.extend(&kept.sessions);
             if all {
-                trial.from = trial.from.min(now);
+                canary.open_from = canary.open_from.min(now);
             }
         }
     }
 
     /// Returns the age of each rollout.
     pub fn ages(&self, now: MonoTime) -> Vec<Age> {
-        let age = |(service, trial): (&ServiceId, &Trial)| Age {
+        let age = |(service, canary): (&ServiceId, &Canary)| Age {
             service: service.clone(),
-            target: trial.target.clone(),
-            age: now.saturating_sub(trial.since),
+            target: canary.target.clone(),
+            age: now.saturating_sub(canary.since),
         };
-        self.trials.iter().map(age).collect()
+        self.canaries.iter().map(age).collect()
     }
 
     /// Takes the sampled sessions to report.
-    pub fn take_fresh(&mut self) -> Vec<Kept> {
-        let with_fresh = self.trials.iter_mut().filter(|(_, t)| !t.fresh.is_empty());
-        let report = |(service, trial): (&ServiceId, &mut Trial)| Kept {
+    pub fn take_unreported(&mut self) -> Vec<Kept> {
+        let with_unreported = self
+            .canaries
+            .iter_mut()
+            .filter(|(_, t)| !t.unreported.is_empty());
+        let report = |(service, canary): (&ServiceId, &mut Canary)| Kept {
             service: service.clone(),
-            target: trial.target.clone(),
-            sessions: std::mem::take(&mut trial.fresh),
+            target: canary.target.clone(),
+            sessions: std::mem::take(&mut canary.unreported),
         };
-        with_fresh.map(report).collect()
+        with_unreported.map(report).collect()
     }
 
     /// Returns whether a request may be sent to the canary. `name` identifies a request
@@ -157,7 +164,7 @@
     /// was the only one left. Requests without a session are therefore sent in pulses,
     /// which put the full load on the canary for part of the time at the same total
     /// exposure.
-    pub fn may_try(
+    pub fn may_use_canary(
         &mut self,
         now: MonoTime,
         service: &ServiceId,
@@ -165,41 +172,41 @@
         name: &str,
         fair: f64,
     ) -> bool {
-        let Some(trial) = self.trials.get_mut(service) else {
+        let Some(canary) = self.canaries.get_mut(service) else {
             return false;
         };
         let Some(session) = session else {
-            let share = self.share.max(fair);
-            let pulse = PULSE_EVERY.mul_f64(self.share / share);
-            let into = now.saturating_sub(trial.since).as_nanos() % PULSE_EVERY.as_nanos();
-            return into < pulse.as_nanos() && is_drawn(name, &trial.target, share);
+            let share = self.canary_share.max(fair);
+            let pulse = PULSE_INTERVAL.mul_f64(self.canary_share / share);
+            let elapsed = now.saturating_sub(canary.since).as_nanos() % PULSE_INTERVAL.as_nanos();
+            return elapsed < pulse.as_nanos() && is_sampled(name, &canary.target, share);
         };
-        let last = self.seen.get(session);
+        let last = self.last_versions.get(session);
         if let Some((version, at)) = last
-            && now < *at + self.pause + MARGIN
+            && now < *at + self.timeout + EXPIRY_MARGIN
         {
-            return *version == trial.target;
+            return *version == canary.target;
         }
-        if !is_drawn(session, &trial.target, self.share) {
+        if !is_sampled(session, &canary.target, self.canary_share) {
             return false;
         }
         let key = hash::name(session.as_bytes());
-        if now >= trial.from {
-            return !trial.kept.contains(&key);
+        if now >= canary.open_from {
+            return !canary.excluded.contains(&key);
         }
-        if trial.kept.insert(key) {
-            trial.fresh.push(key);
+        if canary.excluded.insert(key) {
+            canary.unreported.push(key);
         }
         false
     }
 
     /// Removes expired sessions.
-    pub fn tidy(&mut self, now: MonoTime) {
-        let kept = self.pause + MARGIN;
-        self.seen.retain(|_, (_, at)| now < *at + kept);
+    pub fn expire(&mut self, now: MonoTime) {
+        let lifetime = self.timeout + EXPIRY_MARGIN;
+        self.last_versions.retain(|_, (_, at)| now < *at + lifetime);
     }
 }
 
-fn is_drawn(name: &str, target: &str, share: f64) -> bool {
+fn is_sampled(name: &str, target: &str, share: f64) -> bool {
     hash::unit(name.as_bytes(), target) < share
 }
--- a/sesamebeam_core/src/gateway/store.rs
+++ b/sesamebeam_core/src/gateway/store.rs
@@ -48,7 +48,7 @@
     /// Activates a configuration, unless the current version is the same or higher.
     Apply(Document),
     /// Starts a rollout.
-    Start {
+    StartRollout {
         /// Name of the service.
         service: ServiceId,
         /// Version that is rolled out.
@@ -57,7 +57,7 @@
         duration: Duration,
     },
     /// Moves a rollout to another phase.
-    Move {
+    SetRolloutPhase {
         /// Name of the service.
         service: ServiceId,
         /// Version that is rolled out.
@@ -82,7 +82,7 @@
 
 impl Orders {
     /// Returns whether requests may go to the backend servers of a failure domain.
-    pub fn admit(&self, domain: &DomainId) -> bool {
+    pub fn admits(&self, domain: &DomainId) -> bool {
         !self.evacuated.contains(domain)
     }
 }
@@ -119,18 +119,18 @@
         self.index = index;
         match command {
             Command::Apply(document) => self.apply_config(document),
-            Command::Start {
+            Command::StartRollout {
                 service,
                 target,
                 duration,
-            } => self.start(service, target, duration),
-            Command::Move {
+            } => self.start_rollout(service, target, duration),
+            Command::SetRolloutPhase {
                 service,
                 target,
                 phase,
-            } => self.advance(&service, &target, phase),
+            } => self.set_rollout_phase(&service, &target, phase),
             Command::Evacuate(domain) => {
-                self.may_evacuate(&domain) && self.orders.evacuated.insert(domain)
+                self.can_evacuate(&domain) && self.orders.evacuated.insert(domain)
             }
             Command::Readmit(domain) => self.orders.evacuated.remove(&domain),
         }
@@ -166,23 +166,23 @@
     }
 
     /// Returns whether the limit on evacuated failure domains allows this one.
-    pub fn may_evacuate(&self, domain: &DomainId) -> bool {
+    pub fn can_evacuate(&self, domain: &DomainId) -> bool {
         let evacuated = &self.orders.evacuated;
         evacuated.len() < MAX_EVACUATED || evacuated.contains(domain)
     }
 
     fn apply_config(&mut self, document: Document) -> bool {
-        let newer = self
+        let is_newer = self
             .config
             .as_ref()
-            .is_none_or(|held| document.version > held.version);
-        if newer {
+            .is_none_or(|current| document.version > current.version);
+        if is_newer {
             self.config = Some(document);
         }
-        newer
+        is_newer
     }
 
-    fn start(&mut self, service: ServiceId, target: SmolStr, duration: Duration) -> bool {
+    fn start_rollout(&mut self, service: ServiceId, target: SmolStr, duration: Duration) -> bool {
         if self.has_started(&service, &target) {
             return false;
         }
@@ -197,12 +197,12 @@
     }
 
     /// Moves a rollout to another phase. Finished rollouts don't change.
-    fn advance(&mut self, service: &str, target: &str, phase: Phase) -> bool {
+    fn set_rollout_phase(&mut self, service: &str, target: &str, phase: Phase) -> bool {
         let Some(rollout) = self.orders.rollouts.get_mut(service) else {
             return false;
         };
-        let ended = matches!(rollout.phase, Phase::Completed | Phase::RolledBack);
-        if rollout.target != target || ended || rollout.phase == phase {
+        let is_finished = matches!(rollout.phase, Phase::Completed | Phase::RolledBack);
+        if rollout.target != target || is_finished || rollout.phase == phase {
             return false;
         }
         rollout.phase = phase;
--- a/sesamebeam_core/src/gateway/subscription.rs
+++ b/sesamebeam_core/src/gateway/subscription.rs
@@ -28,32 +28,32 @@
 
 /// How long the followed replica may know no leader before the entry switches to a
 /// replica that knows one. Longer than an election.
-const UNSETTLED_FOR: Duration = Duration::from_millis(1000);
+const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// How long a replica in the entry's own failure domain must have been connected before
 /// the entry switches back to it. A replica that has just started still has to rebuild
 /// its log and directory. An entry without a followed replica takes any replica at once.
-const BACK_FOR: Duration = Duration::from_secs(2);
+const FAILBACK_DELAY: Duration = Duration::from_secs(2);
 
 /// How long another replica may be ahead of the entry before it is asked for its state.
 /// Pushes from the followed replica arrive within a few milliseconds.
-const BEHIND_FOR: Duration = Duration::from_millis(300);
+const LAG_TOLERANCE: Duration = Duration::from_millis(300);
 
 /// Minimum interval between two resync requests to one replica.
-const ASK_EVERY: Duration = Duration::from_millis(500);
+const RESYNC_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Number of consecutive summaries with a different server digest before the replica is
 /// asked for its state. A single mismatch is usually an update that is still in flight.
-const DIFFERING: u32 = 2;
+const MISMATCHES_BEFORE_RESYNC: u32 = 2;
 
 /// Upper limit of that number. It doubles after each request that does not resolve the
 /// mismatch, because two directories can differ for a long time in records that one of
 /// them has expired.
-const MAX_DIFFERING: u32 = 64;
+const MAX_MISMATCHES_BEFORE_RESYNC: u32 = 64;
 
 /// An action that the entry has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum SubscriptionAction {
     /// Follow this replica, which then pushes updates.
     Follow(ProcessAddr),
     /// Stop following this replica.
@@ -64,7 +64,7 @@
 
 /// Summary of the entry's own state, for comparison with those of the replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Holding {
+pub struct LocalSummary {
     /// Version of its configuration.
     pub config: Option<ConfigVersion>,
     /// Log index of its operator orders.
@@ -75,22 +75,22 @@
 
 /// A connected replica.
 #[derive(Clone, Debug)]
-struct Link {
+struct Replica {
     /// Time of the connection.
-    since: MonoTime,
+    connected_at: MonoTime,
     /// Failure domain of the replica, once known.
     domain: Option<DomainId>,
     summary: Summary,
     /// Start of the period in which the replica has known no leader.
-    unsettled_since: Option<MonoTime>,
+    leaderless_since: Option<MonoTime>,
     /// Start of the period in which the replica has been ahead of the entry.
     ahead_since: Option<MonoTime>,
     /// Earliest time of the next resync request.
-    ask_at: MonoTime,
+    next_resync_at: MonoTime,
     /// Consecutive summaries with a different server digest.
-    differing: u32,
+    mismatches: u32,
     /// Value of `mismatches` from which the replica is asked.
-    ask_from: u32,
+    resync_threshold: u32,
 }
 
 /// The control replicas to which an entry is connected.
@@ -100,8 +100,8 @@
     /// others.
     name: String,
     domain: DomainId,
-    links: BTreeMap<ProcessAddr, Link>,
-    teller: Option<ProcessAddr>,
+    replicas: BTreeMap<ProcessAddr, Replica>,
+    followed: Option<ProcessAddr>,
 }
 
 impl Subscription {
@@ -110,124 +110,135 @@
         Self {
             name: name.to_owned(),
             domain: domain.clone(),
-            links: BTreeMap::new(),
-            teller: None,
+            replicas: BTreeMap::new(),
+            followed: None,
         }
     }
 
     /// Returns the replica that this entry follows.
-    pub fn teller(&self) -> Option<ProcessAddr> {
-        self.teller
+    pub fn followed(&self) -> Option<ProcessAddr> {
+        self.followed
     }
 
     /// Records a new connection.
     pub fn connected(&mut self, now: MonoTime, addr: ProcessAddr) {
-        let link = Link {
-            since: now,
+        let replica = Replica {
+            connected_at: now,
             domain: None,
             summary: Summary::default(),
-            unsettled_since: Some(now),
+            leaderless_since: Some(now),
             ahead_since: None,
-            ask_at: MonoTime::ZERO,
-            differing: 0,
-            ask_from: DIFFERING,
+            next_resync_at: MonoTime::ZERO,
+            mismatches: 0,
+            resync_threshold: MISMATCHES_BEFORE_RESYNC,
         };
-        self.links.insert(addr, link);
+        self.replicas.insert(addr, replica);
     }
 
     /// Records that a connection was closed.
-    pub fn lost(&mut self, addr: ProcessAddr) {
-        self.links.remove(&addr);
-        self.teller.take_if(|teller| *teller == addr);
+    pub fn disconnected(&mut self, addr: ProcessAddr) {
+        self.replicas.remove(&addr);
+        self.followed.take_if(|followed| *followed == addr);
     }
 
     /// Records the failure domain of a replica.
-    pub fn met(&mut self, addr: ProcessAddr, domain: DomainId) {
-        if let Some(link) = self.links.get_mut(&addr) {
-            link.domain = Some(domain);
+    pub fn set_domain(&mut self, addr: ProcessAddr, domain: DomainId) {
+        if let Some(replica) = self.replicas.get_mut(&addr) {
+            replica.domain = Some(domain);
         }
     }
 
     /// Records the summary that a replica has sent, and compares it with the entry's own.
-    pub fn told(&mut self, now: MonoTime, addr: ProcessAddr, summary: Summary, own: &Holding) {
-        let Some(link) = self.links.get_mut(&addr) else {
+    pub fn summary_received(
+        &mut self,
+        now: MonoTime,
+        addr: ProcessAddr,
+        summary: Summary,
+        local: &LocalSummary,
+    ) {
+        let Some(replica) = self.replicas.get_mut(&addr) else {
             return;
         };
-        link.summary = summary;
+        replica.summary = summary;
         if summary.settled {
-            link.unsettled_since = None;
+            replica.leaderless_since = None;
         } else {
-            link.unsettled_since.get_or_insert(now);
+            replica.leaderless_since.get_or_insert(now);
         }
-        if summary.servers == own.servers {
-            link.differing = 0;
-            link.ask_from = DIFFERING;
+        if summary.servers == local.servers {
+            replica.mismatches = 0;
+            replica.resync_threshold = MISMATCHES_BEFORE_RESYNC;
         } else {
-            link.differing += 1;
+            replica.mismatches += 1;
         }
     }
 
     /// Returns the actions that are due.
-    pub fn look(&mut self, now: MonoTime, own: &Holding) -> Vec<Order> {
-        let mut orders = self.choose(now);
-        for (&addr, link) in &mut self.links {
-            if link.should_ask(now, own) {
-                orders.push(Order::Ask(addr));
+    pub fn poll(&mut self, now: MonoTime, local: &LocalSummary) -> Vec<SubscriptionAction> {
+        let mut actions = self.choose_followed(now);
+        for (&addr, replica) in &mut self.replicas {
+            if replica.should_resync(now, local) {
+                actions.push(SubscriptionAction::Ask(addr));
             }
         }
-        orders
+        actions
     }
 
     /// Chooses the replica to follow and returns the actions for a change.
-    fn choose(&mut self, now: MonoTime) -> Vec<Order> {
-        let Some(best) = self.best(now) else {
+    fn choose_followed(&mut self, now: MonoTime) -> Vec<SubscriptionAction> {
+        let Some(best_replica) = self.best_replica(now) else {
             return Vec::new();
         };
-        let held = self.teller.and_then(|t| Some((t, self.links.get(&t)?)));
-        let Some((teller, link)) = held else {
-            self.teller = Some(best);
-            return vec![Order::Follow(best)];
+        let current = self
+            .followed
+            .and_then(|t| Some((t, self.replicas.get(&t)?)));
+        let Some((followed, replica)) = current else {
+            self.followed = Some(best_replica);
+            return vec![SubscriptionAction::Follow(best_replica)];
         };
-        let lags = link.is_unsettled(now);
-        let best_link = &self.links[&best];
-        let returns = !self.is_near(link)
-            && self.is_near(best_link)
-            && now.saturating_sub(best_link.since) >= BACK_FOR;
-        let better = best_link.summary.settled && (lags || returns);
-        if best == teller || !better {
+        let is_leaderless = replica.is_leaderless(now);
+        let best_state = &self.replicas[&best_replica];
+        let should_fail_back = !self.is_local(replica)
+            && self.is_local(best_state)
+            && now.saturating_sub(best_state.connected_at) >= FAILBACK_DELAY;
+        let should_switch = best_state.summary.settled && (is_leaderless || should_fail_back);
+        if best_replica == followed || !should_switch {
             return Vec::new();
         }
-        self.teller = Some(best);
-        vec![Order::Unfollow(teller), Order::Follow(best)]
+        self.followed = Some(best_replica);
+        vec![
+            SubscriptionAction::Unfollow(followed),
+            SubscriptionAction::Follow(best_replica),
+        ]
     }
 
     /// Returns the best replica to follow.
-    fn best(&self, now: MonoTime) -> Option<ProcessAddr> {
-        let rank = |(addr, link): &(&ProcessAddr, &Link)| {
+    fn best_replica(&self, now: MonoTime) -> Option<ProcessAddr> {
+        let rank = |(addr, replica): &(&ProcessAddr, &Replica)| {
             let weight = hash::rendezvous(&self.name, addr.to_string().as_bytes());
-            (!link.is_unsettled(now), self.is_near(link), weight)
+            (!replica.is_leaderless(now), self.is_local(replica), weight)
         };
-        let best = self.links.iter().max_by_key(rank);
-        best.map(|(&addr, _)| addr)
+        let best_replica = self.replicas.iter().max_by_key(rank);
+        best_replica.map(|(&addr, _)| addr)
     }
 
-    fn is_near(&self, link: &Link) -> bool {
-        link.domain.as_ref() == Some(&self.domain)
+    fn is_local(&self, replica: &Replica) -> bool {
+        replica.domain.as_ref() == Some(&self.domain)
     }
 }
 
-impl Link {
+impl Replica {
     /// Returns whether the replica has known no leader for too long.
-    fn is_unsettled(&self, now: MonoTime) -> bool {
-        let since = self.unsettled_since;
-        since.is_some_and(|since| now.saturating_sub(since) >= UNSETTLED_FOR)
+    fn is_leaderless(&self, now: MonoTime) -> bool {
+        let since = self.leaderless_since;
+        since.is_some_and(|since| now.saturating_sub(since) >= LEADERLESS_TIMEOUT)
     }
 
     /// Returns whether the replica should be asked to resynchronise, and schedules the
     /// next request if so.
-    fn should_ask(&mut self, now: MonoTime, own: &Holding) -> bool {
+    fn should_resync(&mut self, now: MonoTime, local: &LocalSummary) -> bool {
         let summary = &self.summary;
-        let is_ahead = summary.config > own.config || summary.index > own.index;
+        let is_ahead = summary.config > local.config || summary.index > local.index;
         let ahead_since = match is_ahead {
             true => *self.ahead_since.get_or_insert(now),
             false => {
@@ -235,15 +246,15 @@
                 now
             }
         };
-        let is_behind = now.saturating_sub(ahead_since) >= BEHIND_FOR;
-        let differs = self.differing >= self.ask_from;
-        if now < self.ask_at || !is_behind && !differs {
+        let is_behind = now.saturating_sub(ahead_since) >= LAG_TOLERANCE;
+        let differs = self.mismatches >= self.resync_threshold;
+        if now < self.next_resync_at || !is_behind && !differs {
             return false;
         }
-        self.ask_at = now + ASK_EVERY;
+        self.next_resync_at = now + RESYNC_INTERVAL;
         if differs {
-            self.differing = 0;
-            self.ask_from = (self.ask_from * 2).min(MAX_DIFFERING);
+            self.mismatches = 0;
+            self.resync_threshold = (self.resync_threshold * 2).min(MAX_MISMATCHES_BEFORE_RESYNC);
         }
         true
     }
--- a/sesamebeam_core/src/gateway/table.rs
+++ b/sesamebeam_core/src/gateway/table.rs
@@ -21,7 +21,7 @@
 
 /// A configuration with its indexes.
 #[derive(Debug)]
-pub struct Table {
+pub struct RouteTable {
     config: GatewayConfig,
     /// Indexes of each host's routes, longest prefix first.
     hosts: HashMap<SmolStr, Vec<usize>>,
@@ -37,12 +37,12 @@
     /// The request needs no key.
     Anonymous,
     /// A member of an organisation.
-    Of(&'a OrganisationConfig),
+    Member(&'a OrganisationConfig),
     /// The key is missing or unknown.
     Unknown,
 }
 
-impl Table {
+impl RouteTable {
     /// Builds the indexes.
     pub fn new(config: GatewayConfig) -> Arc<Self> {
         let mut hosts: HashMap<SmolStr, Vec<usize>> = HashMap::new();
@@ -72,7 +72,7 @@
     }
 
     /// Returns the index of a rank among those that requests can have, and their number.
-    pub fn place(&self, rank: Rank) -> (usize, usize) {
+    pub fn rank_index(&self, rank: Rank) -> (usize, usize) {
         let before = self.ranks.iter().filter(|&&r| r < rank).count();
         (before, self.ranks.len())
     }
@@ -93,8 +93,8 @@
             return Caller::Anonymous;
         }
         match key.and_then(|key| self.keys.get(key)) {
-            Some(&at) => Caller::Of(&self.config.organisations[at]),
-            None if route.anonymous => Caller::Anonymous,
+            Some(&at) => Caller::Member(&self.config.organisations[at]),
+            None if route.allows_anonymous => Caller::Anonymous,
             None => Caller::Unknown,
         }
     }
@@ -117,7 +117,7 @@
 /// route's.
 pub fn rank(route: &RouteConfig, caller: &Caller<'_>) -> Rank {
     match caller {
-        Caller::Of(org) => org.rank.unwrap_or(route.rank),
+        Caller::Member(org) => org.rank.unwrap_or(route.rank),
         Caller::Anonymous | Caller::Unknown => route.rank,
     }
 }
--- a/sesamebeam_core/src/gateway/waits.rs
+++ b/sesamebeam_core/src/gateway/waits.rs
@@ -35,7 +35,7 @@
 
 /// Total of the waits that one or more entries have seen since the last report.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WaitsOf {
+pub struct WaitTotal {
     /// Key of the service.
     pub service: ServiceKey,
     /// Number of first events.
@@ -44,7 +44,7 @@
     pub sum: f32,
 }
 
-impl WaitsOf {
+impl WaitTotal {
     /// Adds the total of other entries.
     pub fn add(&mut self, other: &Self) {
         self.count += other.count;
@@ -58,12 +58,12 @@
     /// Key of the service.
     pub service: ServiceKey,
     /// Mean of the relative waits.
-    pub share: f32,
+    pub ratio: f32,
 }
 
 /// Exponentially decaying mean of relative waits.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Waits {
+pub(super) struct DecayingMean {
     /// Decayed sum of the relative waits.
     sum: f64,
     /// Decayed number of waits.
@@ -72,23 +72,23 @@
     at: MonoTime,
 }
 
-impl Waits {
+impl DecayingMean {
     /// Adds waits and decays the previous ones by `half_life`.
     pub(super) fn add(&mut self, now: MonoTime, half_life: Duration, count: f64, sum: f64) {
-        let factor = self.factor(now, half_life);
-        self.sum = self.sum * factor + sum;
-        self.count = self.count * factor + count;
+        let decay = self.decay(now, half_life);
+        self.sum = self.sum * decay + sum;
+        self.count = self.count * decay + count;
         self.at = now;
     }
 
     /// Returns the mean wait. It tends to zero if there are few recent waits: without
     /// observations no pressure is assumed.
     pub(super) fn mean(&self, now: MonoTime, half_life: Duration) -> f64 {
-        let factor = self.factor(now, half_life);
-        self.sum * factor / (self.count * factor + 1.0)
+        let decay = self.decay(now, half_life);
+        self.sum * decay / (self.count * decay + 1.0)
     }
 
-    fn factor(&self, now: MonoTime, half_life: Duration) -> f64 {
+    fn decay(&self, now: MonoTime, half_life: Duration) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
         0.5f64.powf(age / half_life.as_secs_f64())
     }
@@ -96,14 +96,14 @@
 
 /// Waits of all entries, by service.
 #[derive(Clone, Debug, Default)]
-pub struct PooledWaits {
-    services: BTreeMap<ServiceKey, Waits>,
+pub struct FleetWaits {
+    services: BTreeMap<ServiceKey, DecayingMean>,
 }
 
-impl PooledWaits {
+impl FleetWaits {
     /// Adds the totals that entries have reported.
-    pub fn take(&mut self, now: MonoTime, waits: impl IntoIterator<Item = WaitsOf>) {
-        for WaitsOf {
+    pub fn add(&mut self, now: MonoTime, waits: impl IntoIterator<Item = WaitTotal>) {
+        for WaitTotal {
             service,
             count,
             sum,
@@ -116,9 +116,9 @@
 
     /// Returns the mean wait of each service.
     pub fn means(&self, now: MonoTime) -> Vec<MeanWait> {
-        let mean = |(&service, waits): (&ServiceKey, &Waits)| MeanWait {
+        let mean = |(&service, waits): (&ServiceKey, &DecayingMean)| MeanWait {
             service,
-            share: waits.mean(now, HALF_LIFE) as f32,
+            ratio: waits.mean(now, HALF_LIFE) as f32,
         };
         self.services.iter().map(mean).collect()
     }
--- a/sesamebeam_core/tests/gateway/backoff.rs
+++ b/sesamebeam_core/tests/gateway/backoff.rs
@@ -9,8 +9,8 @@
         backoff::Backoff,
         directory::ServerId,
         request::{
-            AnswerHead,
             Load, //
+            ResponseHead,
         },
         router::{
             Router,
@@ -40,21 +40,21 @@
     entry_of("entry-1", 3, servers)
 }
 
-fn turned_away(pause: u64) -> AnswerHead {
-    AnswerHead {
+fn turned_away(pause: u64) -> ResponseHead {
+    ResponseHead {
         status: 503,
         not_run: true,
         retry_after: Some(ms(pause)),
-        ..AnswerHead::default()
+        ..ResponseHead::default()
     }
 }
 
-fn leaving() -> AnswerHead {
-    AnswerHead {
+fn leaving() -> ResponseHead {
+    ResponseHead {
         status: 200,
         sealed: true,
         leaving: true,
-        ..AnswerHead::default()
+        ..ResponseHead::default()
     }
 }
 
@@ -95,10 +95,10 @@
     assert!(pause(&mut router, START, 0, PAUSE));
     let id = choice(0).id;
     router.heard(ms(START + 100), &id, Some(Load::default()));
-    let good = AnswerHead {
+    let good = ResponseHead {
         status: 200,
         sealed: true,
-        ..AnswerHead::default()
+        ..ResponseHead::default()
     };
     router.backoff_heard(ms(START + 200), &choice(0), &good);
     assert!(!pause(&mut router, START + 300, 0, 500), "a shorter one");
@@ -129,7 +129,7 @@
 )]
 fn statuses(status: u16, pauses: bool) {
     let mut router = entry(1);
-    let answer = AnswerHead {
+    let answer = ResponseHead {
         status,
         misdirected: status == 421,
         ..turned_away(PAUSE)
@@ -174,7 +174,7 @@
     router.announced(ms(START + 10), reborn);
     assert!(send(&mut router, ms(START + 20), "caller").is_ok());
     assert!(!pause(&mut router, START + 30, 0, PAUSE), "the older life");
-    let misdirected = AnswerHead {
+    let misdirected = ResponseHead {
         status: 421,
         misdirected: true,
         ..leaving()
@@ -234,7 +234,7 @@
 fn beside_a_limit() {
     // Guards against a time at which the pause is over and the limit not yet, or the reverse.
     let mut router = entry(1);
-    let limited = AnswerHead {
+    let limited = ResponseHead {
         limit: Some(2.0),
         ..turned_away(PAUSE)
     };
@@ -258,7 +258,7 @@
 fn endless_pause() {
     // Guards against times that overflow.
     let mut router = entry(1);
-    let answer = AnswerHead {
+    let answer = ResponseHead {
         limit: Some(0.001),
         retry_after: Some(Duration::MAX),
         ..turned_away(0)
--- a/sesamebeam_core/tests/gateway/balance.rs
+++ b/sesamebeam_core/tests/gateway/balance.rs
@@ -18,7 +18,7 @@
     },
     loads::{
         self,
-        LoadOf, //
+        ServerLoad, //
     },
     pool::Doubt,
     request::Load,
@@ -374,7 +374,7 @@
         waiting: 6,
         slots: 8,
     };
-    balance.told(ms(10), &id, LoadOf::new(&id, queue));
+    balance.told(ms(10), &id, ServerLoad::new(&id, queue));
     assert_ne!(choose(&mut balance, 20, &servers, &need), first);
     assert_eq!(choose(&mut balance, 20_000, &servers, &need), first);
 }
@@ -393,7 +393,7 @@
     let chosen = choose(&mut balance, 0, &servers, &NEED);
     let id = chosen.as_str().into();
     balance.finished(ms(0), &id, Outcome::Good);
-    balance.told(ms(0), &id, LoadOf::new(&id, busy));
+    balance.told(ms(0), &id, ServerLoad::new(&id, busy));
     assert_eq!(choose(&mut balance, 1, &servers, &NEED), chosen);
 }
 
--- a/sesamebeam_core/tests/gateway/budget.rs
+++ b/sesamebeam_core/tests/gateway/budget.rs
@@ -1,17 +1,17 @@
 //! The retry budget.
 
 use sesamebeam_core::gateway::{
-    budget::{
-        Budget,
-        BudgetConfig, //
-    },
     entries::Counted,
+    retry_budget::{
+        RetryBudget,
+        RetryBudgetConfig, //
+    },
 };
 
 use crate::make::ms;
 
-fn budget(entries: u32) -> Budget {
-    let mut budget = Budget::new(BudgetConfig {
+fn budget(entries: u32) -> RetryBudget {
+    let mut budget = RetryBudget::new(RetryBudgetConfig {
         ratio: 0.5,
         slack: 20.0,
         window: ms(10_000),
@@ -24,27 +24,27 @@
 fn failing_service() {
     // Ten entries, and every request fails and is retried as often as the budget allows.
     // The total within any window stays within the bound.
-    let mut entries: Vec<Budget> = (0..10).map(|_| budget(10)).collect();
-    let mut repeats = Vec::new();
+    let mut entries: Vec<RetryBudget> = (0..10).map(|_| budget(10)).collect();
+    let mut retries = Vec::new();
     for step in 0..4000u64 {
         let now = ms(step * 10);
         for budget in &mut entries {
-            budget.request(now, &"pool".into());
+            budget.record_request(now, &"pool".into());
             for _ in 0..2 {
-                if budget.try_repeat(now, &"pool".into()) {
-                    repeats.push(step);
+                if budget.try_retry(now, &"pool".into()) {
+                    retries.push(step);
                 }
             }
         }
     }
     for start in (0..3000).step_by(100) {
-        let within = repeats
+        let within = retries
             .iter()
             .filter(|&&s| (start..start + 1000).contains(&s));
         let bound = 0.5 * 10_000.0 + 20.0;
         assert!(within.count() as f64 <= bound);
     }
-    assert!(repeats.len() > 10_000, "{} repeats", repeats.len());
+    assert!(retries.len() > 10_000, "{} retries", retries.len());
 }
 
 #[test]
@@ -52,25 +52,25 @@
     // An entry starts while its service is down. It has received no requests, so it can
     // spend only its part of the slack.
     let mut budget = budget(10);
-    let spent = (0..100).filter(|_| budget.try_repeat(ms(5), &"pool".into()));
+    let spent = (0..100).filter(|_| budget.try_retry(ms(5), &"pool".into()));
     assert_eq!(spent.count(), 1);
 }
 
 #[test]
-fn unknown_fleet() {
+fn unknown_number_of_entries() {
     // The number of entries is unknown. No entry may spend the slack, as each could take
     // it as a whole.
     let mut budget = budget(0);
-    assert!(!budget.try_repeat(ms(5), &"pool".into()));
+    assert!(!budget.try_retry(ms(5), &"pool".into()));
 }
 
 #[test]
-fn services_apart() {
+fn services_independent() {
     let mut budget = budget(1);
     for _ in 0..100 {
-        budget.request(ms(5), &"pool".into());
+        budget.record_request(ms(5), &"pool".into());
     }
-    let spent = (0..100).filter(|_| budget.try_repeat(ms(5), &"other".into()));
+    let spent = (0..100).filter(|_| budget.try_retry(ms(5), &"other".into()));
     assert_eq!(spent.count(), 17);
 }
 
@@ -81,27 +81,30 @@
     // one of the few that were connected so far, they sent 26 retries where 20 are
     // allowed.
     let mut counted = Counted::default();
-    let mut entries: Vec<Budget> = (0..15).map(|_| budget(0)).collect();
+    let mut entries: Vec<RetryBudget> = (0..15).map(|_| budget(0)).collect();
     let mut spent = 0;
     for now in (0..8000).step_by(50) {
         let connected = (now / 50 + 1).min(15);
         counted.connected(ms(now), connected as u32);
         for budget in entries.iter_mut().take(connected as usize) {
             budget.set_entries(ms(now), counted.known(ms(now)));
-            spent += usize::from(budget.try_repeat(ms(now), &"pool".into()));
+            spent += usize::from(budget.try_retry(ms(now), &"pool".into()));
         }
     }
     assert!(spent <= 20, "{spent}");
-    assert!(spent > 0, "it is spent once all are counted");
+    assert!(
+        spent > 0,
+        "the slack is available once all entries are counted"
+    );
 }
 
 #[test]
-fn starts_alone() {
+fn single_restart() {
     // A single entry restarts. The replica has counted all entries before, so the entry
     // has its part of the slack from its first request.
     let mut counted = Counted::default();
     counted.connected(ms(0), 10);
     let mut budget = budget(0);
     budget.set_entries(ms(20_000), counted.known(ms(20_000)));
-    assert!(budget.try_repeat(ms(20_000), &"pool".into()));
+    assert!(budget.try_retry(ms(20_000), &"pool".into()));
 }
--- a/sesamebeam_core/tests/gateway/choosing.rs
+++ b/sesamebeam_core/tests/gateway/choosing.rs
@@ -8,7 +8,7 @@
 use sesamebeam_core::gateway::{
     balance::Outcome,
     directory::Announcement,
-    loads::LoadOf,
+    loads::ServerLoad,
     request::{
         Load,
         PromptPart, //
@@ -117,7 +117,7 @@
             waiting: 0,
             slots: 10,
         };
-        let told = (0..100).map(|n| LoadOf::new(&of(n), load)).collect();
+        let told = (0..100).map(|n| ServerLoad::new(&of(n), load)).collect();
         let now = ms(1_000 + tick * 200);
         router.told_loads(now, told, Vec::new());
         router.tidy(now);
--- a/sesamebeam_core/tests/gateway/cold.rs
+++ b/sesamebeam_core/tests/gateway/cold.rs
@@ -9,9 +9,9 @@
     gateway::{
         balance::Outcome,
         cold::{
-            Cold,
-            SHARE,
-            TURN, //
+            ColdServers,
+            MAX_TURN, //
+            TURN_SHARE,
         },
         config::ColdConfig,
         directory::{
@@ -40,7 +40,7 @@
 /// Load that a cold backend server handles in these tests, and the number of requests
 /// that it must not exceed in any second: 1.5 times the rate plus five.
 const LIMITS: ColdConfig = ColdConfig {
-    lasts: Duration::from_secs(3),
+    duration: Duration::from_secs(3),
     per_second: 14.0,
 };
 const BOUND: usize = 26;
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn warm_ones_first() {
+fn warm_servers_first() {
     // Two of four backend servers return cold and idle, so they have the lowest load.
     // They get no requests until they are warm.
     let mut router = entry(1, 1);
@@ -118,9 +118,9 @@
     let mut got: BTreeMap<ServerId, Vec<u64>> = BTreeMap::new();
     for n in 0..(700 * 10) {
         let at = n * 10 / 7;
-        let life = (n * 7919) % entries;
-        let local = ms(10_000 + at + life * 137);
-        match send(&mut fleet[life as usize], local, &format!("r{n}")) {
+        let entry_index = (n * 7919) % entries;
+        let local = ms(10_000 + at + entry_index * 137);
+        match send(&mut fleet[entry_index as usize], local, &format!("r{n}")) {
             Ok(id) => got.entry(id).or_default().push(at),
             Err(why) => assert_eq!(why, Unserved::Cold),
         }
@@ -139,9 +139,9 @@
 
 /// Returns the probability that more than `most` of `entries` have a turn within a
 /// second, with one turn each per period.
-fn exceeds(entries: u32, most: u32) -> f64 {
-    let period = f64::from(entries) / (LIMITS.per_second * SHARE);
-    let p = ((1.0 + TURN.as_secs_f64()) / period).min(1.0);
+fn probability_of_exceeding(entries: u32, most: u32) -> f64 {
+    let period = f64::from(entries) / (LIMITS.per_second * TURN_SHARE);
+    let p = ((1.0 + MAX_TURN.as_secs_f64()) / period).min(1.0);
     let log_choose = |k: u32| -> f64 {
         let ratio = |i: u32| f64::from(entries - i) / f64::from(i + 1);
         (0..k).map(|i| ratio(i).ln()).sum()
@@ -161,12 +161,12 @@
     // The positions of the turns follow from the names of the entries. Nine entries can't
     // exceed the bound even if all of them have a turn. With more entries the probability
     // of exceeding it within a second is below one in a hundred thousand.
-    let probability = exceeds(entries, BOUND as u32);
+    let probability = probability_of_exceeding(entries, BOUND as u32);
     assert!(probability < 1e-5, "{probability}");
 }
 
 #[test]
-fn few_entries() {
+fn single_entry() {
     // A single entry takes all turns one after the other. No second has more of them than
     // half of what a cold backend server handles.
     let mut router = entry(1, 1);
@@ -181,10 +181,10 @@
 }
 
 #[test]
-fn nobody_counted() {
+fn unknown_number_of_entries() {
     // An entry that does not know the number of entries has no turns, as there could be
     // hundreds.
-    let cold = Cold::new("entry-1".into());
+    let cold = ColdServers::new("entry-1".into());
     let has_turn = |at| cold.has_turn(ms(at), &"server-0".into(), &LIMITS);
     assert!(!(0..10_000).any(has_turn));
 }
--- a/sesamebeam_core/tests/gateway/config.rs
+++ b/sesamebeam_core/tests/gateway/config.rs
@@ -1,7 +1,7 @@
 //! Validation of configurations.
 
 use sesamebeam_core::gateway::config::{
-    ConfigFault,
+    ConfigError,
     GatewayConfig, //
 };
 use yare::parameterized;
@@ -13,8 +13,8 @@
 };
 
 #[test]
-fn good_one() {
-    assert_eq!(config(1).check(), Ok(()));
+fn valid() {
+    assert_eq!(config(1).validate(), Ok(()));
 }
 
 fn unknown_service(config: &mut GatewayConfig) {
@@ -49,16 +49,16 @@
     timeout = { no_timeout, "the timeout of route notes is 0" },
     key = { shared_key, "organisations quay and lock share a key" },
 )]
-fn bad_ones(spoil: fn(&mut GatewayConfig), why: &str) {
+fn bad_ones(invalidate: fn(&mut GatewayConfig), message: &str) {
     let mut config = config(1);
-    spoil(&mut config);
-    let fault = config.check().expect_err("it is invalid");
-    assert_eq!(fault.to_string(), why);
+    invalidate(&mut config);
+    let error = config.validate().expect_err("it is invalid");
+    assert_eq!(error.to_string(), message);
 }
 
 #[test]
 fn one_organisation_may_repeat_a_key() {
     let mut config = config(1);
     config.organisations[0].keys.push("quay-key".into());
-    assert_eq!(config.check(), Ok::<(), ConfigFault>(()));
+    assert_eq!(config.validate(), Ok::<(), ConfigError>(()));
 }
--- a/sesamebeam_core/tests/gateway/connections.rs
+++ b/sesamebeam_core/tests/gateway/connections.rs
@@ -1,6 +1,6 @@
 //! Idle connections of entries to a backend server.
 
-use sesamebeam_core::gateway::connections::most_idle;
+use sesamebeam_core::gateway::connections::max_idle;
 use yare::parameterized;
 
 #[parameterized(
@@ -9,13 +9,13 @@
     middle = { 600, 81, 3 },
     large = { 1800, 295, 3 },
     more_entries = { 110, 300, 0 },
-    nobody_counted = { 110, 0, 24 },
-    not_said = { 0, 300, 24 },
+    unknown_entries = { 110, 0, 24 },
+    unknown_limit = { 0, 300, 24 },
 )]
-fn part_of_all(max_connections: u32, entries: u32, most: usize) {
+fn share_per_entry(max_connections: u32, entries: u32, expected: usize) {
     // The idle connections of all entries leave half of the limit for requests in flight.
-    assert_eq!(most_idle(max_connections, entries), most);
+    assert_eq!(max_idle(max_connections, entries), expected);
     if max_connections > 0 {
-        assert!(most * entries as usize <= max_connections as usize / 2);
+        assert!(expected * entries as usize <= max_connections as usize / 2);
     }
 }
--- a/sesamebeam_core/tests/gateway/crashes.rs
+++ b/sesamebeam_core/tests/gateway/crashes.rs
@@ -1,7 +1,7 @@
 //! Detection of requests that crash backend servers.
 
 use sesamebeam_core::gateway::{
-    crashes::Crashes,
+    crashes::CrashTracker,
     directory::Life,
     feed::Crash, //
 };
@@ -20,33 +20,36 @@
 fn third_crash_convicts() {
     // A request crashes three backend servers one after the other. An unrelated request
     // was running on two of them and completed on a fourth.
-    let mut crashes = Crashes::default();
+    let mut crashes = CrashTracker::default();
     for (n, server) in ["a", "b", "c"].into_iter().enumerate() {
-        assert_eq!(crashes.count(crash(1, server)), n == 2);
+        assert_eq!(crashes.record(crash(1, server)), n == 2);
     }
     for server in ["a", "b"] {
-        assert!(!crashes.count(crash(2, server)));
+        assert!(!crashes.record(crash(2, server)));
     }
     assert_eq!(crashes.quarantined(), [1]);
 }
 
 #[test]
-fn one_crash_reported_often() {
-    let mut crashes = Crashes::default();
+fn repeated_reports_of_one_crash() {
+    let mut crashes = CrashTracker::default();
     for _ in 0..9 {
-        assert!(!crashes.count(crash(1, "a")));
+        assert!(!crashes.record(crash(1, "a")));
     }
     assert!(crashes.quarantined().is_empty());
 }
 
 #[test]
 fn bounded() {
-    let mut crashes = Crashes::default();
+    let mut crashes = CrashTracker::default();
     for n in 0..10_000 {
-        crashes.count(crash(n, "a"));
+        crashes.record(crash(n, "a"));
     }
     for server in ["b", "c"] {
-        crashes.count(crash(0, server));
+        crashes.record(crash(0, server));
     }
-    assert!(crashes.quarantined().is_empty(), "the oldest was forgotten");
+    assert!(
+        crashes.quarantined().is_empty(),
+        "the oldest request was dropped"
+    );
 }
--- a/sesamebeam_core/tests/gateway/evacuations.rs
+++ b/sesamebeam_core/tests/gateway/evacuations.rs
@@ -48,9 +48,9 @@
 };
 
 /// Maximum time to the acknowledgement of an order while a majority of the replicas is
-/// available, in milliseconds. A leader is elected within half a second, and the
-/// operator's client gives up after a second.
-const ACKNOWLEDGED_IN: u64 = 1000;
+/// available, in milliseconds. A leader is elected within half a second, and an operator
+/// misses an acknowledgement that comes after a second.
+const MAX_ACKNOWLEDGEMENT_MS: u64 = 1000;
 
 fn evacuate(domain: &str) -> Call {
     Call::Evacuate(domain.into())
@@ -68,7 +68,7 @@
 
 /// Sends an order to one replica after another, as an operator does, and returns
 /// the time until one acknowledged it, in milliseconds.
-fn order(group: &mut Group, call: &Call) -> u64 {
+fn send_order(group: &mut Group, call: &Call) -> u64 {
     let since = group.now;
     while group.now < since + ms(30_000) {
         let nodes: Vec<NodeId> = group.processes.keys().copied().collect();
@@ -115,7 +115,7 @@
     group.pushed.clear();
     assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
     group.run(200);
-    let hears = |group: &Group, node: NodeId, with_config: bool| {
+    let is_notified = |group: &Group, node: NodeId, with_config: bool| {
         group.pushed.iter().any(|(from, push)| match push {
             ToEntry::State { config, orders, .. } if *from == node => {
                 orders.evacuated.contains("hall-1") && (config.is_some() || !with_config)
@@ -123,12 +123,12 @@
             _ => false,
         })
     };
-    assert!(hears(&group, other, false), "{:?}", group.pushed);
+    assert!(is_notified(&group, other, false), "{:?}", group.pushed);
     group.pushed.clear();
     group.event(leader, Event::Subscribed(10));
     group.event(leader, Event::Follows(10, Held::default()));
     group.run(100);
-    assert!(hears(&group, leader, true), "{:?}", group.pushed);
+    assert!(is_notified(&group, leader, true), "{:?}", group.pushed);
 }
 
 #[test]
@@ -145,11 +145,11 @@
             version,
             bytes: "text".into(),
         });
-        order(&mut group, &config);
+        send_order(&mut group, &config);
     }
-    order(&mut group, &readmit("hall-2"));
+    send_order(&mut group, &readmit("hall-2"));
     lose_power(&mut group);
-    order(&mut group, &evacuate("hall-3"));
+    send_order(&mut group, &evacuate("hall-3"));
     group.run(1000);
     for node in 1..=3 {
         assert_eq!(evacuated(&group, node), ["hall-1", "hall-3"]);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn ordered_again() {
+fn repeated_order() {
     // The acknowledgement of an order is lost with the leader. The operator repeats the
     // order twice at another replica, gets the same answer, and nothing else changes.
     let mut group = Group::start(3, 1);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn never_ordered() {
+fn never_evacuated() {
     // Ending an evacuation that was never ordered has no effect. A failure domain without
     // known backend servers can be evacuated, as some may be started there.
     let mut group = Group::start(3, 1);
@@ -193,33 +193,33 @@
     let leader = group.new_leader(None);
     assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
     group.run(300);
-    let away = (1..=3).find(|&n| n != leader).expect("there are three");
-    group.isolate(away);
+    let isolated = (1..=3).find(|&n| n != leader).expect("there are three");
+    group.isolate(isolated);
     assert_eq!(group.ask(leader, readmit("hall-1")), Answer::Done);
-    assert_eq!(evacuated(&group, away), ["hall-1"]);
-    assert_ne!(group.ask(away, evacuate("hall-1")), Answer::Done);
+    assert_eq!(evacuated(&group, isolated), ["hall-1"]);
+    assert_ne!(group.ask(isolated, evacuate("hall-1")), Answer::Done);
 }
 
 /// Condition of the leader when an order is given.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
-    Calm,
+enum LeaderFault {
+    Healthy,
     Killed,
     CutOff,
     Stalled,
     Suspended,
-    Storm,
+    CommandBurst,
 }
 
 #[parameterized(
-    calm = { Trouble::Calm },
-    killed = { Trouble::Killed },
-    cut_off = { Trouble::CutOff },
-    stalled_disk = { Trouble::Stalled },
-    suspended = { Trouble::Suspended },
-    storm = { Trouble::Storm },
+    healthy = { LeaderFault::Healthy },
+    killed = { LeaderFault::Killed },
+    cut_off = { LeaderFault::CutOff },
+    stalled_disk = { LeaderFault::Stalled },
+    suspended = { LeaderFault::Suspended },
+    command_burst = { LeaderFault::CommandBurst },
 )]
-fn acknowledged_in_time(trouble: Trouble) {
+fn acknowledged_in_time(fault: LeaderFault) {
     // An operator gives an order while the leader is in trouble, asking one replica after
     // the other. A majority is available throughout, so that one of its members becomes
     // leader and acknowledges both orders within a second. A leader that does not respond
@@ -227,15 +227,17 @@
     let mut group = Group::start(5, 2);
     let leader = group.new_leader(None);
     group.run(500);
-    match trouble {
-        Trouble::Calm => {}
-        Trouble::Killed => {
+    match fault {
+        LeaderFault::Healthy => {}
+        LeaderFault::Killed => {
             group.kill(leader);
         }
-        Trouble::CutOff => group.isolate(leader),
-        Trouble::Stalled => group.processes.get_mut(&leader).expect("it runs").stalled = true,
-        Trouble::Suspended => group.processes.get_mut(&leader).expect("it runs").suspended = true,
-        Trouble::Storm => {
+        LeaderFault::CutOff => group.isolate(leader),
+        LeaderFault::Stalled => group.processes.get_mut(&leader).expect("it runs").stalled = true,
+        LeaderFault::Suspended => {
+            group.processes.get_mut(&leader).expect("it runs").suspended = true
+        }
+        LeaderFault::CommandBurst => {
             for version in 1..=60 {
                 let bytes = vec![7; 20_000].into();
                 group.call(leader, Call::Apply(Document { version, bytes }));
@@ -243,14 +245,14 @@
         }
     }
     let silent = matches!(
-        trouble,
-        Trouble::Stalled | Trouble::Suspended | Trouble::CutOff
+        fault,
+        LeaderFault::Stalled | LeaderFault::Suspended | LeaderFault::CutOff
     );
-    let patience = if silent { 900 } else { 0 };
-    let took = order(&mut group, &evacuate("hall-1"));
-    assert!(took <= ACKNOWLEDGED_IN + patience, "{took} ms");
-    let took = order(&mut group, &readmit("hall-1"));
-    assert!(took <= ACKNOWLEDGED_IN + patience, "{took} ms");
+    let client_timeout = if silent { 900 } else { 0 };
+    let took = send_order(&mut group, &evacuate("hall-1"));
+    assert!(took <= MAX_ACKNOWLEDGEMENT_MS + client_timeout, "{took} ms");
+    let took = send_order(&mut group, &readmit("hall-1"));
+    assert!(took <= MAX_ACKNOWLEDGEMENT_MS + client_timeout, "{took} ms");
 }
 
 #[test]
@@ -269,7 +271,7 @@
 }
 
 #[test]
-fn no_end_of_names() {
+fn bounded_state() {
     // A caller orders evacuations of an unbounded number of made-up names. The state
     // stays bounded, and domains that are already evacuated can be ordered again.
     let mut store = Store::default();
@@ -277,8 +279,8 @@
         store.apply(n, Command::Evacuate(format!("hall-{n}").into()));
     }
     assert_eq!(store.orders().evacuated.len(), 256);
-    assert!(store.may_evacuate(&"hall-7".into()));
-    assert!(!store.may_evacuate(&"hall-999".into()));
+    assert!(store.can_evacuate(&"hall-7".into()));
+    assert!(!store.can_evacuate(&"hall-999".into()));
 }
 
 /// Returns an entry that knows backend servers 0 to 5, distributed over three failure
@@ -286,9 +288,9 @@
 fn three_domains() -> Router {
     let mut router = router(0);
     for number in 0..6 {
-        let mut said = announcement(number);
-        said.domain = format!("hall-{}", 1 + number % 3).into();
-        router.announced(ms(0), said);
+        let mut announced = announcement(number);
+        announced.domain = format!("hall-{}", 1 + number % 3).into();
+        router.announced(ms(0), announced);
     }
     router
 }
@@ -332,7 +334,7 @@
 }
 
 #[test]
-fn late_news() {
+fn stale_state_ignored() {
     // A replica that lags behind reports the state before the order, which must be
     // ignored.
     let mut router = three_domains();
@@ -342,7 +344,7 @@
 }
 
 #[test]
-fn nobody_left() {
+fn all_domains_evacuated() {
     // All failure domains with backend servers are evacuated. Requests are rejected at
     // once, while an entry that does not know of any backend server waits for one.
     let mut empty = router(0);
@@ -357,13 +359,13 @@
 }
 
 #[test]
-fn new_version_only_there() {
+fn promoted_version_only_in_evacuated_domain() {
     // All backend servers of a promoted version are in the evacuated failure domain. The
     // previous versions serve the requests instead.
     let mut router = three_domains();
-    let mut said = announcement(9);
-    said.version = "v2".into();
-    router.announced(ms(0), said);
+    let mut announced = announcement(9);
+    announced.version = "v2".into();
+    router.announced(ms(0), announced);
     let rollout = Rollout {
         target: "v2".into(),
         duration: ms(20_000),
--- a/sesamebeam_core/tests/gateway/limits.rs
+++ b/sesamebeam_core/tests/gateway/limits.rs
@@ -24,7 +24,7 @@
             allowed, //
         },
         loads,
-        request::AnswerHead,
+        request::ResponseHead,
         router::{
             Router,
             Unserved, //
@@ -55,12 +55,12 @@
 }
 
 /// Makes the head of a backend server's own answer that names a limit, or none.
-fn says(limit: Option<f64>) -> AnswerHead {
-    AnswerHead {
+fn says(limit: Option<f64>) -> ResponseHead {
+    ResponseHead {
         status: 200,
         sealed: true,
         limit,
-        ..AnswerHead::default()
+        ..ResponseHead::default()
     }
 }
 
@@ -279,10 +279,10 @@
     let choice = choice(0);
     let none = says(None);
     assert!(!router.limit_heard(ms(AHEAD + 50), &choice, ms(AHEAD - 50), &none));
-    let turned_away = AnswerHead {
+    let turned_away = ResponseHead {
         status: 503,
         not_run: true,
-        ..AnswerHead::default()
+        ..ResponseHead::default()
     };
     assert!(!router.limit_heard(ms(AHEAD + 500), &choice, ms(AHEAD + 400), &turned_away));
     assert_eq!(router.limited(), 1);
--- a/sesamebeam_core/tests/gateway/make.rs
+++ b/sesamebeam_core/tests/gateway/make.rs
@@ -8,12 +8,11 @@
 use sesamebeam_core::{
     gateway::{
         balance::Outcome,
-        budget::BudgetConfig,
         config::{
             GatewayConfig,
             Limits,
             OrganisationConfig,
-            Repeat,
+            RetrySafety,
             RouteConfig,
             ServiceConfig, //
         },
@@ -30,6 +29,7 @@
             Head,
             PromptPart, //
         },
+        retry_budget::RetryBudgetConfig,
         router::{
             Choice,
             Plan,
@@ -84,17 +84,17 @@
         name: name.into(),
         host: "desk.example".into(),
         prefix: prefix.into(),
-        repeat: Repeat::AtMostOnce,
+        retry_safety: RetrySafety::AtMostOnce,
         streaming: true,
         resumable: true,
         timeout: ms(20_000),
         target: ms(1000),
         gap: Some(ms(600)),
         rank: 1,
-        sizes: vec!["small".into(), "large".into()],
+        models: vec!["small".into(), "large".into()],
         backends: vec![("pool".into(), 1)],
         max_attempts: 3,
-        anonymous: false,
+        allows_anonymous: false,
     }
 }
 
@@ -140,7 +140,7 @@
             PromptPart { id: 8, tokens: 50 },
         ],
         prompt_tokens: 450,
-        answer_tokens: None,
+        response_tokens: None,
         session: None,
         resume_after: None,
     }
@@ -151,7 +151,7 @@
     RouterConfig {
         name: "entry-1".into(),
         domain: "hall-1".into(),
-        budget: BudgetConfig {
+        budget: RetryBudgetConfig {
             ratio: 0.5,
             slack: 10.0,
             window: ms(10_000),
--- a/sesamebeam_core/tests/gateway/orders.rs
+++ b/sesamebeam_core/tests/gateway/orders.rs
@@ -17,7 +17,7 @@
         Report,
         ToEntry, //
     },
-    loads::LoadOf,
+    loads::ServerLoad,
     rollout::Phase,
     store::Document,
 };
@@ -313,11 +313,11 @@
     follow(&mut group, cut_off);
     group.pushed.clear();
     for node in 1..=3 {
-        let heard = LoadOf {
+        let heard = ServerLoad {
             server: node as u32,
             running: 7,
             waiting: 0,
-            reading: 0,
+            prefill_ms: 0,
         };
         let report = Report {
             loads: vec![heard],
--- a/sesamebeam_core/tests/gateway/plays.rs
+++ b/sesamebeam_core/tests/gateway/plays.rs
@@ -11,7 +11,7 @@
 use sesamebeam_core::{
     gateway::{
         balance::Outcome,
-        config::Repeat,
+        config::RetrySafety,
         coordinator::{
             Action,
             Coordinator,
@@ -66,8 +66,8 @@
             router.set_config(ms(0), bookings());
             router.set_current();
             router.set_entries(ms(0), entries as u32);
-            for said in all.clone() {
-                router.announced(ms(0), said);
+            for announcement in all.clone() {
+                router.announced(ms(0), announcement);
             }
             fleet.entries.insert(life, router);
             fleet.event(Event::Subscribed(life));
@@ -100,11 +100,11 @@
 
     /// Advances the clock by a millisecond. Entries send their reports if
     /// `shares_reports` is set.
-    fn step(&mut self, pools: bool) {
+    fn step(&mut self, shares_reports: bool) {
         self.now += 1;
         let (now, at) = (self.now, self.at());
         let mut reports = Vec::new();
-        for (life, router) in self.entries.iter_mut().filter(|_| pools) {
+        for (life, router) in self.entries.iter_mut().filter(|_| shares_reports) {
             let turn = now + life * 7;
             let failed = turn.is_multiple_of(FAILURES_EVERY) && router.has_failures();
             if failed || turn.is_multiple_of(REPORT_EVERY) {
@@ -121,7 +121,7 @@
 
     /// Sends a booking through a random entry and returns whether it got a response.
     /// `failure_rate` is the share of responses that each backend server aborts.
-    fn book(&mut self, number: u64, breaks: impl Fn(&ServerId) -> f64) -> bool {
+    fn book(&mut self, number: u64, failure_rate: impl Fn(&ServerId) -> f64) -> bool {
         let at = self.at();
         let life = self.rng.random_range(1..=self.entries.len() as u64);
         let router = self.entries.get_mut(&life).expect("it runs");
@@ -130,21 +130,21 @@
         let plan = router.admit(at, &booking);
         let plan = plan.expect("it is admitted");
         let choice = router.choose(at, &plan, None, &[]).expect("there is one");
-        let broke = self.rng.random_bool(breaks(&choice.id));
-        let outcome = if broke {
+        let has_failed = self.rng.random_bool(failure_rate(&choice.id));
+        let outcome = if has_failed {
             Outcome::Failed
         } else {
             Outcome::Good
         };
         router.finished(at, &plan, &choice, outcome);
-        !broke
+        !has_failed
     }
 }
 
 /// Returns a configuration whose requests must be executed at most once.
 fn bookings() -> sesamebeam_core::gateway::config::GatewayConfig {
     let mut config = config(1);
-    config.routes[0].repeat = Repeat::AtMostOnce;
+    config.routes[0].retry_safety = RetrySafety::AtMostOnce;
     config.routes[0].streaming = false;
     config.routes[0].resumable = false;
     config
@@ -152,42 +152,50 @@
 
 /// Returns how many bookings got no response within four seconds in which three of five
 /// backend servers abort two responses in five.
-fn lost(entries: u64, rate: u64, pools: bool) -> usize {
+fn lost_bookings(entries: u64, rate: u64, shares_reports: bool) -> usize {
     let mut fleet = Fleet::start(entries, 5);
     let bad = |id: &ServerId| ["server-0", "server-1", "server-2"].contains(&id.as_str());
-    let mut lost = 0;
+    let mut lost_bookings = 0;
     for number in 0..6 * rate {
         while fleet.now * rate < number * 1000 {
-            fleet.step(pools);
+            fleet.step(shares_reports);
         }
-        let breaks = fleet.now >= 2000;
-        let answered = fleet.book(number, |id| match breaks && bad(id) {
+        let is_failing = fleet.now >= 2000;
+        let answered = fleet.book(number, |id| match is_failing && bad(id) {
             true => 0.4,
             false => 0.004,
         });
-        lost += usize::from(breaks && !answered);
+        lost_bookings += usize::from(is_failing && !answered);
     }
-    lost
+    lost_bookings
 }
 
 #[parameterized(
     large = { 295, 350, 300, 45 },
     small = { 9, 35, 25, 25 },
 )]
-fn bookings_broken_off(entries: u64, rate: u64, alone: usize, pooled: usize) {
+fn bookings_broken_off(
+    entries: u64,
+    rate: u64,
+    min_without_sharing: usize,
+    max_with_sharing: usize,
+) {
     // Bookings are lost as long as three of five backend servers abort some of their
     // responses. An entry that sends one booking a second can't detect this alone. Of
     // 1,400 bookings at 295 entries, 338 were lost when each entry used its own
     // observations and 27 with shared reports; of 140 bookings at nine entries, 35 and
     // 19.
-    let by_themselves = lost(entries, rate, false);
-    let together = lost(entries, rate, true);
-    assert!(by_themselves >= alone, "{by_themselves}");
-    assert!(together <= pooled, "{together} of {by_themselves}");
+    let without_sharing = lost_bookings(entries, rate, false);
+    let with_sharing = lost_bookings(entries, rate, true);
+    assert!(without_sharing >= min_without_sharing, "{without_sharing}");
+    assert!(
+        with_sharing <= max_with_sharing,
+        "{with_sharing} of {without_sharing}"
+    );
 }
 
 #[test]
-fn first_requests_apart() {
+fn first_requests_spread() {
     // When all entries had restarted, the first request of each went to the same one of
     // five backend servers, which got 295 instead of 59 requests and rejected bookings.
     // The maximum is now 71.
--- a/sesamebeam_core/tests/gateway/rollouts.rs
+++ b/sesamebeam_core/tests/gateway/rollouts.rs
@@ -8,10 +8,10 @@
 use sesamebeam_core::gateway::{
     feed::Evidence,
     rollout::{
+        CANARY_PART,
         Phase,
         Rollout,
-        TRIAL_PART,
-        Watch, //
+        RolloutMonitor, //
     },
 };
 use yare::parameterized;
@@ -51,10 +51,10 @@
     ended = { 1, Phase::RolledBack, Phase::RolledBack },
 )]
 fn good_version(at: u64, phase: Phase, next: Phase) {
-    let mut watch = Watch::new(ms(0));
-    watch.take(ms(0), "v2", &evidence("v1", 300, 6, 1.0));
-    watch.take(ms(0), "v2", &evidence("v2", 30, 1, 1.1));
-    assert_eq!(watch.phase(ms(at), &rollout(phase), SHARE), next);
+    let mut monitor = RolloutMonitor::new(ms(0));
+    monitor.add(ms(0), "v2", &evidence("v1", 300, 6, 1.0));
+    monitor.add(ms(0), "v2", &evidence("v2", 30, 1, 1.1));
+    assert_eq!(monitor.phase(ms(at), &rollout(phase), SHARE), next);
 }
 
 #[parameterized(
@@ -62,12 +62,12 @@
     slow = { 20, 0, 8.0 },
 )]
 fn bad_version(good: u32, bad: u32, slowness: f64) {
-    let mut watch = Watch::new(ms(0));
-    watch.take(ms(0), "v2", &evidence("v1", 300, 6, 1.0));
-    watch.take(ms(0), "v2", &evidence("v2", good, bad, slowness));
+    let mut monitor = RolloutMonitor::new(ms(0));
+    monitor.add(ms(0), "v2", &evidence("v1", 300, 6, 1.0));
+    monitor.add(ms(0), "v2", &evidence("v2", good, bad, slowness));
     for phase in [Phase::Canary, Phase::Promoted] {
         assert_eq!(
-            watch.phase(ms(1000), &rollout(phase), SHARE),
+            monitor.phase(ms(1000), &rollout(phase), SHARE),
             Phase::RolledBack
         );
     }
@@ -77,21 +77,21 @@
 fn failing_service() {
     // The service fails a quarter of its requests on every version, which is no evidence
     // against the new one.
-    let mut watch = Watch::new(ms(0));
-    watch.take(ms(0), "v2", &evidence("v1", 300, 100, 1.0));
-    watch.take(ms(0), "v2", &evidence("v2", 30, 11, 1.0));
+    let mut monitor = RolloutMonitor::new(ms(0));
+    monitor.add(ms(0), "v2", &evidence("v1", 300, 100, 1.0));
+    monitor.add(ms(0), "v2", &evidence("v2", 30, 11, 1.0));
     assert_eq!(
-        watch.phase(ms(1000), &rollout(Phase::Canary), SHARE),
+        monitor.phase(ms(1000), &rollout(Phase::Canary), SHARE),
         Phase::Canary
     );
 }
 
 #[test]
-fn unseen_version() {
+fn version_without_requests() {
     // The new version got no requests. It must not be promoted without evidence.
-    let mut watch = Watch::new(ms(0));
-    watch.take(ms(0), "v2", &evidence("v1", 300, 6, 1.0));
-    let phase = watch.phase(ms(15_000), &rollout(Phase::Canary), SHARE);
+    let mut monitor = RolloutMonitor::new(ms(0));
+    monitor.add(ms(0), "v2", &evidence("v1", 300, 6, 1.0));
+    let phase = monitor.phase(ms(15_000), &rollout(Phase::Canary), SHARE);
     assert_eq!(phase, Phase::Canary);
 }
 
@@ -99,16 +99,16 @@
 fn slow_on_few_requests_of_each_route() {
     // The new version is eight times as slow. As a canary it serves only six requests on
     // each of three routes, but the total over all routes is sufficient.
-    let mut watch = Watch::new(ms(0));
+    let mut monitor = RolloutMonitor::new(ms(0));
     for route in ["notes", "sheets", "codes"] {
         let of_route = |version, good, slowness| Evidence {
             route: route.into(),
             ..evidence(version, good, 0, slowness)
         };
-        watch.take(ms(0), "v2", &of_route("v1", 200, 1.0));
-        watch.take(ms(0), "v2", &of_route("v2", 6, 8.0));
+        monitor.add(ms(0), "v2", &of_route("v1", 200, 1.0));
+        monitor.add(ms(0), "v2", &of_route("v2", 6, 8.0));
     }
-    let phase = watch.phase(ms(5000), &rollout(Phase::Canary), SHARE);
+    let phase = monitor.phase(ms(5000), &rollout(Phase::Canary), SHARE);
     assert_eq!(phase, Phase::RolledBack);
 }
 
@@ -116,15 +116,15 @@
 fn slow_streams() {
     // The new version's first bytes are as fast as usual, but its events eight times as
     // slow.
-    let mut watch = Watch::new(ms(0));
+    let mut monitor = RolloutMonitor::new(ms(0));
     let paced = |version, count, pace| Evidence {
         paced: count,
         pace: pace * f64::from(count),
         ..evidence(version, count, 0, 1.0)
     };
-    watch.take(ms(0), "v2", &paced("v1", 200, 1.0));
-    watch.take(ms(0), "v2", &paced("v2", 9, 8.0));
-    let phase = watch.phase(ms(5000), &rollout(Phase::Canary), SHARE);
+    monitor.add(ms(0), "v2", &paced("v1", 200, 1.0));
+    monitor.add(ms(0), "v2", &paced("v2", 9, 8.0));
+    let phase = monitor.phase(ms(5000), &rollout(Phase::Canary), SHARE);
     assert_eq!(phase, Phase::RolledBack);
 }
 
@@ -133,16 +133,16 @@
     // The new version has a fault that shows only after the end of its rollout, for
     // example under a load that does not occur before. Its total exposure must still be
     // within the limit.
-    const ON_TRIAL: f64 = TRIAL_PART * SHARE;
-    let mut watch = Watch::new(ms(0));
-    watch.take(ms(0), "v2", &evidence("v1", 300, 0, 1.0));
-    watch.take(ms(0), "v2", &evidence("v2", 30, 0, 1.0));
+    const CANARY_SHARE: f64 = CANARY_PART * SHARE;
+    let mut monitor = RolloutMonitor::new(ms(0));
+    monitor.add(ms(0), "v2", &evidence("v1", 300, 0, 1.0));
+    monitor.add(ms(0), "v2", &evidence("v2", 30, 0, 1.0));
     let mut now = rollout(Phase::Canary);
     let mut exposed = 0.0;
     for at in 0..200 {
-        now.phase = watch.phase(ms(at * 100), &now, SHARE);
+        now.phase = monitor.phase(ms(at * 100), &now, SHARE);
         exposed += match now.phase {
-            Phase::Canary => ON_TRIAL,
+            Phase::Canary => CANARY_SHARE,
             Phase::Promoted | Phase::Completed => 1.0,
             Phase::RolledBack => 0.0,
         } / 200.0;
@@ -152,8 +152,8 @@
 
 /// Runs a rollout with ten reports a second for 15 s. Returns the time of the rollback
 /// with the number of failures until then.
-fn judged(per_report: u32, own: u32, bad: u32, start: u64) -> Option<(u64, u32)> {
-    let mut watch = Watch::new(ms(0));
+fn time_to_rollback(per_report: u32, own: u32, bad: u32, start: u64) -> Option<(u64, u32)> {
+    let mut monitor = RolloutMonitor::new(ms(0));
     // `own` of a hundred responses fail on any version.
     let mut rounding = 0;
     let mut split = |share: u32| {
@@ -162,18 +162,18 @@
         rounding %= 100;
         (per_report - failed.min(per_report), failed.min(per_report))
     };
-    let mut seen = 0;
+    let mut bad_failures = 0;
     for tick in 0..150u64 {
         let now = ms(tick * 100);
         let (good, failed) = split(own);
-        watch.take(now, "v2", &evidence("v1", good, failed, 1.0));
+        monitor.add(now, "v2", &evidence("v1", good, failed, 1.0));
         let share = if tick * 100 >= start { bad } else { own };
         let (good, failed) = split(share);
-        seen += if share == own { 0 } else { failed };
-        watch.take(now, "v2", &evidence("v2", good, failed, 1.0));
-        let phase = watch.phase(now, &rollout(Phase::Promoted), SHARE);
+        bad_failures += if share == own { 0 } else { failed };
+        monitor.add(now, "v2", &evidence("v2", good, failed, 1.0));
+        let phase = monitor.phase(now, &rollout(Phase::Promoted), SHARE);
         if phase == Phase::RolledBack {
-            return Some((tick * 100, seen));
+            return Some((tick * 100, bad_failures));
         }
     }
     None
@@ -189,7 +189,7 @@
     // The new version fails as often as the previous ones for nine seconds, and 40 in 100
     // once it is under load. Judged by all its responses the difference is only a tenth
     // for some seconds, in which callers would get 50 failures or more.
-    let (at, failures) = judged(per_report, own, 40, 9000).expect("it is rolled back");
+    let (at, failures) = time_to_rollback(per_report, own, 40, 9000).expect("it is rolled back");
     let at_once = at <= 9500;
     assert!(
         failures < 50 || at_once,
@@ -203,19 +203,19 @@
     many_calls = { 40, 5 },
     fails_often = { 10, 20 },
 )]
-fn own_failures(per_report: u32, own: u32) {
+fn equal_failure_rates(per_report: u32, own: u32) {
     // Both versions fail equally often, so the new one is good.
-    assert_eq!(judged(per_report, own, own, 0), None);
+    assert_eq!(time_to_rollback(per_report, own, own, 0), None);
 }
 
 /// Number of simulated rollouts in each case below.
-const PLAYED: u64 = 100;
+const SIMULATED_ROLLOUTS: u64 = 100;
 
 /// Simulates a rollout of 20 s with random failures. Returns whether the new version was
 /// rolled back, and the number of its failures.
-fn by_lot(seed: u64, rate: f64, own: f64, bad: f64) -> (bool, u32) {
+fn simulate_rollout(seed: u64, rate: f64, own: f64, bad: f64) -> (bool, u32) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut watch = Watch::new(ms(0));
+    let mut monitor = RolloutMonitor::new(ms(0));
     let mut phase = Phase::Canary;
     let mut failures = 0;
     for tick in 0..100u64 {
@@ -224,17 +224,17 @@
             let expected = rate * 0.2 * share;
             let whole = expected as u32 + u32::from(rng.random::<f64>() < expected.fract());
             let failed = (0..whole).filter(|_| rng.random::<f64>() < fails).count() as u32;
-            watch.take(now, "v2", &evidence(version, whole - failed, failed, 1.0));
+            monitor.add(now, "v2", &evidence(version, whole - failed, failed, 1.0));
             failed
         };
         let share = if phase == Phase::Canary {
-            SHARE * TRIAL_PART
+            SHARE * CANARY_PART
         } else {
             1.0
         };
         answers("v1", 1.0 - share, own);
         failures += answers("v2", share, bad);
-        phase = watch.phase(now, &rollout(phase), SHARE);
+        phase = monitor.phase(now, &rollout(phase), SHARE);
         if phase == Phase::RolledBack {
             return (true, failures);
         }
@@ -252,11 +252,11 @@
 )]
 fn good_stopped(own: f64, most: [usize; 4]) {
     let stopped = [5.0, 30.0, 300.0, 3000.0].map(|rate| {
-        let played = (0..PLAYED).map(|seed| by_lot(seed, rate, own, own));
-        played.filter(|(stopped, _)| *stopped).count()
+        let results = (0..SIMULATED_ROLLOUTS).map(|seed| simulate_rollout(seed, rate, own, own));
+        results.filter(|(stopped, _)| *stopped).count()
     });
     let within = stopped.iter().zip(most).all(|(n, most)| *n <= most);
-    assert!(within, "{stopped:?} of {PLAYED} stopped");
+    assert!(within, "{stopped:?} of {SIMULATED_ROLLOUTS} stopped");
 }
 
 /// Faulty versions that are not rolled back among [`SIMULATED_ROLLOUTS`], and the maximum
@@ -268,17 +268,19 @@
     twenty_in_100 = { 0.2, [73, 0, 0, 0], [12, 21, 22, 39] },
 )]
 fn bad_let_through(own: f64, most: [usize; 4], worst: [u32; 4]) {
-    let played = [5.0, 30.0, 300.0, 3000.0].map(|rate| {
+    let results = [5.0, 30.0, 300.0, 3000.0].map(|rate| {
         let bad = own + 0.4;
-        let played: Vec<_> = (0..PLAYED).map(|s| by_lot(s, rate, own, bad)).collect();
-        let through = played.iter().filter(|(stopped, _)| !stopped).count();
-        let failures = played.iter().map(|(_, n)| *n).max().unwrap_or(0);
+        let results: Vec<_> = (0..SIMULATED_ROLLOUTS)
+            .map(|s| simulate_rollout(s, rate, own, bad))
+            .collect();
+        let through = results.iter().filter(|(stopped, _)| !stopped).count();
+        let failures = results.iter().map(|(_, n)| *n).max().unwrap_or(0);
         (through, failures)
     });
     let within =
         |(at, (n, failures)): (usize, &(usize, u32))| *n <= most[at] && *failures <= worst[at];
     assert!(
-        played.iter().enumerate().all(within),
-        "{played:?} of {PLAYED}"
+        results.iter().enumerate().all(within),
+        "{results:?} of {SIMULATED_ROLLOUTS}"
     );
 }
--- a/sesamebeam_core/tests/gateway/router.rs
+++ b/sesamebeam_core/tests/gateway/router.rs
@@ -4,8 +4,8 @@
 
 use sesamebeam_core::gateway::{
     balance,
-    cascade::Step,
-    request::AnswerHead,
+    cascade::Decision,
+    request::ResponseHead,
     rollout::{
         Phase,
         Rollout, //
@@ -106,14 +106,14 @@
     // Every answer of the small model is unsure. The large one is asked only as
     // often as repeated sends are allowed; the rest is kept.
     let mut router = router(2);
-    let unsure = AnswerHead {
+    let unsure = ResponseHead {
         confidence: Some(0),
-        ..AnswerHead::default()
+        ..ResponseHead::default()
     };
     let asked = (1000..1200).filter(|n| {
         let plan = router.admit(ms(*n), &head("a")).expect("it is admitted");
         let step = router.judge(ms(*n), &plan, "small", &unsure, true);
-        matches!(step, Step::Ask(_))
+        matches!(step, Decision::Ask(_))
     });
     let asked = asked.count();
     assert!((80..=110).contains(&asked), "{asked} of 200");
--- a/sesamebeam_core/tests/gateway/seeds.rs
+++ b/sesamebeam_core/tests/gateway/seeds.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn seeds_forgot() {
+fn seeds_without_state() {
     // All processes lose power. The members are 1 to 3. The configured seeds, 7 to 9, are
     // no longer members and restart with empty disks. A starting entry asks only the
     // seeds, so they have to learn the members from the group, which they can't find by
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn members_know() {
+fn member_seeds_not_notified() {
     // Seeds that are members learn the group from the log. Notifying them as well would
     // cost the leader permanent connections.
     let mut group = Group::start(3, 1);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn cut_leader_silent() {
+fn isolated_leader_silent() {
     // A leader that is cut off no longer knows the current members. Its messages could
     // send entries to processes that have left.
     let mut group = Group::start(3, 1);
--- a/sesamebeam_core/tests/gateway/shortage.rs
+++ b/sesamebeam_core/tests/gateway/shortage.rs
@@ -13,7 +13,7 @@
 use sesamebeam_core::gateway::{
     config::{
         GatewayConfig,
-        Repeat, //
+        RetrySafety, //
     },
     coordinator::{
         Action,
@@ -293,10 +293,10 @@
 fn plain() -> GatewayConfig {
     let mut config = config(1);
     let route = &mut config.routes[0];
-    route.repeat = Repeat::AtMostOnce;
+    route.retry_safety = RetrySafety::AtMostOnce;
     route.streaming = false;
     route.resumable = false;
-    route.sizes.clear();
+    route.models.clear();
     route.target = ms(ON_TIME);
     route.max_attempts = 1;
     config
