--- a/sesamebeam_core/tests/gateway/subscription.rs
+++ b/sesamebeam_core/tests/gateway/subscription.rs
@@ -5,9 +5,9 @@
 use sesamebeam_core::gateway::{
     feed::Summary,
     subscription::{
-        Holding,
-        Order,
+        LocalSummary,
         Subscription, //
+        SubscriptionAction,
     },
 };
 use yare::parameterized;
@@ -24,7 +24,7 @@
     settled: true,
 };
 
-const HOLDING: Holding = Holding {
+const LOCAL: LocalSummary = LocalSummary {
     config: Some(5),
     index: 9,
     servers: 77,
@@ -48,80 +48,96 @@
     fn connect(&mut self, number: u64) {
         let addr = listens(number);
         self.subscription.connected(ms(self.now), addr);
-        self.subscription.met(addr, format!("hall-{number}").into());
+        self.subscription
+            .set_domain(addr, format!("hall-{number}").into());
     }
 
     /// Runs for some time, in which the replicas send their summaries twice a second.
-    fn run(&mut self, millis: u64, replicas: &[(u64, Summary)], own: &Holding) -> Vec<Order> {
+    fn run(
+        &mut self,
+        millis: u64,
+        replicas: &[(u64, Summary)],
+        local: &LocalSummary,
+    ) -> Vec<SubscriptionAction> {
         let until = self.now + millis;
-        let mut orders = Vec::new();
+        let mut actions = Vec::new();
         while self.now < until {
             if self.now.is_multiple_of(500) {
                 for &(number, summary) in replicas {
                     let addr = listens(number);
-                    self.subscription.told(ms(self.now), addr, summary, own);
+                    self.subscription
+                        .summary_received(ms(self.now), addr, summary, local);
                 }
             }
-            orders.extend(self.subscription.look(ms(self.now), own));
+            actions.extend(self.subscription.poll(ms(self.now), local));
             self.now += 50;
         }
-        orders
+        actions
     }
 
     fn settle(&mut self) {
         (1..=3).for_each(|n| self.connect(n));
-        self.run(3000, &[(1, SETTLED), (2, SETTLED), (3, SETTLED)], &HOLDING);
-        assert_eq!(self.subscription.teller(), Some(listens(1)));
+        self.run(3000, &[(1, SETTLED), (2, SETTLED), (3, SETTLED)], &LOCAL);
+        assert_eq!(self.subscription.followed(), Some(listens(1)));
     }
 }
 
-fn asked(orders: &[Order]) -> Vec<SocketAddr> {
-    let asked = orders.iter().filter_map(|order| match order {
-        Order::Ask(addr) => Some(*addr),
+fn resynced(actions: &[SubscriptionAction]) -> Vec<SocketAddr> {
+    let resynced = actions.iter().filter_map(|order| match order {
+        SubscriptionAction::Ask(addr) => Some(*addr),
         _ => None,
     });
-    asked.collect()
+    resynced.collect()
 }
 
 #[test]
-fn near_one_tells() {
+fn local_replica_preferred() {
     // The replica of another failure domain is connected first and is followed at once.
     // The local one takes over when it has been connected for a while, and the entry
     // never follows both.
     let mut entry = Entry::new();
     entry.connect(2);
-    let orders = entry.run(100, &[(2, SETTLED)], &HOLDING);
-    assert_eq!(orders, [Order::Follow(listens(2))]);
+    let actions = entry.run(100, &[(2, SETTLED)], &LOCAL);
+    assert_eq!(actions, [SubscriptionAction::Follow(listens(2))]);
     entry.connect(1);
-    let orders = entry.run(3000, &[(1, SETTLED), (2, SETTLED)], &HOLDING);
+    let actions = entry.run(3000, &[(1, SETTLED), (2, SETTLED)], &LOCAL);
     let (far, near) = (listens(2), listens(1));
-    assert_eq!(orders, [Order::Unfollow(far), Order::Follow(near)]);
+    assert_eq!(
+        actions,
+        [
+            SubscriptionAction::Unfollow(far),
+            SubscriptionAction::Follow(near)
+        ]
+    );
 }
 
 #[test]
-fn far_one_tells() {
+fn remote_replica_followed() {
     // The local replica is down. Another one is followed before callers notice.
     let mut entry = Entry::new();
     entry.connect(2);
-    let orders = entry.run(50, &[(2, SETTLED)], &HOLDING);
-    assert_eq!(orders, [Order::Follow(listens(2))]);
+    let actions = entry.run(50, &[(2, SETTLED)], &LOCAL);
+    assert_eq!(actions, [SubscriptionAction::Follow(listens(2))]);
 }
 
 #[test]
-fn lost_one_replaced() {
+fn disconnected_replica_replaced() {
     let mut entry = Entry::new();
     entry.settle();
-    entry.subscription.lost(listens(1));
-    let orders = entry.run(50, &[], &HOLDING);
-    assert!(matches!(orders[..], [Order::Follow(_)]), "{orders:?}");
+    entry.subscription.disconnected(listens(1));
+    let actions = entry.run(50, &[], &LOCAL);
+    assert!(
+        matches!(actions[..], [SubscriptionAction::Follow(_)]),
+        "{actions:?}"
+    );
     // It returns, and is followed again once it has been connected for a while.
     entry.connect(1);
-    let told = [(1, SETTLED), (2, SETTLED), (3, SETTLED)];
-    assert_eq!(entry.run(1000, &told, &HOLDING), []);
-    let orders = entry.run(1500, &told, &HOLDING);
+    let summaries = [(1, SETTLED), (2, SETTLED), (3, SETTLED)];
+    assert_eq!(entry.run(1000, &summaries, &LOCAL), []);
+    let actions = entry.run(1500, &summaries, &LOCAL);
     assert!(
-        matches!(orders[..], [Order::Unfollow(_), Order::Follow(addr)] if addr == listens(1)),
-        "{orders:?}"
+        matches!(actions[..], [SubscriptionAction::Unfollow(_), SubscriptionAction::Follow(addr)] if addr == listens(1)),
+        "{actions:?}"
     );
 }
 
@@ -132,7 +148,7 @@
     // of them within half a second, and then follows another replica.
     let mut entry = Entry::new();
     entry.settle();
-    let lost = Summary {
+    let leaderless = Summary {
         settled: false,
         ..SETTLED
     };
@@ -140,12 +156,15 @@
         config: Some(6),
         ..SETTLED
     };
-    let told = [(1, lost), (2, newer), (3, newer)];
-    let orders = entry.run(500, &told, &HOLDING);
-    assert!(!asked(&orders).is_empty(), "{orders:?}");
-    assert!(!asked(&orders).contains(&listens(1)), "{orders:?}");
-    let orders = entry.run(1000, &told, &HOLDING);
-    assert!(orders.contains(&Order::Unfollow(listens(1))), "{orders:?}");
+    let summaries = [(1, leaderless), (2, newer), (3, newer)];
+    let actions = entry.run(500, &summaries, &LOCAL);
+    assert!(!resynced(&actions).is_empty(), "{actions:?}");
+    assert!(!resynced(&actions).contains(&listens(1)), "{actions:?}");
+    let actions = entry.run(1000, &summaries, &LOCAL);
+    assert!(
+        actions.contains(&SubscriptionAction::Unfollow(listens(1))),
+        "{actions:?}"
+    );
 }
 
 #[parameterized(
@@ -157,16 +176,16 @@
 fn asks(summary: Summary, expected: bool) {
     let mut entry = Entry::new();
     entry.settle();
-    let told = [(1, SETTLED), (2, SETTLED), (3, summary)];
-    let orders = entry.run(1100, &told, &HOLDING);
+    let summaries = [(1, SETTLED), (2, SETTLED), (3, summary)];
+    let actions = entry.run(1100, &summaries, &LOCAL);
     let wanted: &[_] = if expected { &[listens(3)] } else { &[] };
-    let asked = asked(&orders);
-    assert!(asked.iter().all(|a| wanted.contains(a)), "{asked:?}");
-    assert_eq!(!asked.is_empty(), expected);
+    let resynced = resynced(&actions);
+    assert!(resynced.iter().all(|a| wanted.contains(a)), "{resynced:?}");
+    assert_eq!(!resynced.is_empty(), expected);
 }
 
 #[test]
-fn differing_for_good() {
+fn permanent_mismatch() {
     // Two directories differ permanently, since one of them has expired a record. Resync
     // requests don't help and become less frequent.
     let mut entry = Entry::new();
@@ -175,7 +194,7 @@
         servers: 3,
         ..SETTLED
     };
-    let told = [(1, SETTLED), (2, other), (3, SETTLED)];
-    let orders = entry.run(120_000, &told, &HOLDING);
-    assert!(asked(&orders).len() < 12, "{}", orders.len());
+    let summaries = [(1, SETTLED), (2, other), (3, SETTLED)];
+    let actions = entry.run(120_000, &summaries, &LOCAL);
+    assert!(resynced(&actions).len() < 12, "{}", actions.len());
 }
--- a/sesamebeam_core/tests/gateway/table.rs
+++ b/sesamebeam_core/tests/gateway/table.rs
@@ -2,7 +2,7 @@
 
 use sesamebeam_core::gateway::table::{
     Caller,
-    Table,
+    RouteTable,
     rank, //
 };
 
@@ -16,7 +16,7 @@
     let mut config = config(1);
     config.routes.push(route("special", "/notes/special/"));
     config.routes.push(route("all", "/"));
-    let table = Table::new(config);
+    let table = RouteTable::new(config);
     let name = |path| table.route("desk.example", path).map(|r| r.name.as_str());
     assert_eq!(name("/notes/special/1"), Some("special"));
     assert_eq!(name("/notes/1"), Some("notes"));
@@ -26,19 +26,19 @@
 
 #[test]
 fn keys() {
-    let table = Table::new(config(1));
+    let table = RouteTable::new(config(1));
     let route = &table.config().routes[0];
     let caller = |key| table.caller(route, key);
-    assert!(matches!(caller(Some("quay-key")), Caller::Of(org) if org.name == "quay"));
+    assert!(matches!(caller(Some("quay-key")), Caller::Member(org) if org.name == "quay"));
     assert_eq!(caller(Some("no-key")), Caller::Unknown);
     assert_eq!(caller(None), Caller::Unknown);
 }
 
 #[test]
-fn no_key_needed() {
+fn anonymous_route() {
     let mut open = config(1);
-    open.routes[0].anonymous = true;
-    let table = Table::new(open);
+    open.routes[0].allows_anonymous = true;
+    let table = RouteTable::new(open);
     let route = &table.config().routes[0];
     assert_eq!(table.caller(route, None), Caller::Anonymous);
     assert_eq!(table.caller(route, Some("no-key")), Caller::Anonymous);
@@ -48,7 +48,7 @@
 fn weights() {
     let mut split = config(1);
     split.routes[0].backends = vec![("pool".into(), 9), ("rest".into(), 1)];
-    let table = Table::new(split);
+    let table = RouteTable::new(split);
     let route = &table.config().routes[0];
     let rest = (0..10_000).filter(|&n| table.service(route, n) == "rest");
     let rest = rest.count();
@@ -56,11 +56,11 @@
 }
 
 #[test]
-fn organisation_before_route() {
+fn organisation_rank_precedence() {
     let mut ranked = config(1);
     ranked.routes.push(route("later", "/later/"));
     ranked.routes[1].rank = 2;
-    let table = Table::new(ranked);
+    let table = RouteTable::new(ranked);
     let [notes, later] = &table.config().routes[..] else {
         panic!("two routes");
     };
@@ -69,5 +69,5 @@
     assert_eq!(of(notes, "lock-key"), 0);
     assert_eq!(of(notes, "quay-key"), 1);
     assert_eq!(of(later, "quay-key"), 2);
-    assert_eq!(table.place(2), (2, 3));
+    assert_eq!(table.rank_index(2), (2, 3));
 }
--- a/sesamebeam_core/tests/gateway/telling.rs
+++ b/sesamebeam_core/tests/gateway/telling.rs
@@ -18,7 +18,7 @@
         Report,
         ToEntry, //
     },
-    loads::LoadOf,
+    loads::ServerLoad,
     request::Load,
 };
 use yare::parameterized;
@@ -174,7 +174,7 @@
             waiting: 0,
             slots: 16,
         };
-        LoadOf::new(&engine(number).id, load)
+        ServerLoad::new(&engine(number).id, load)
     };
     let report = Report {
         loads: (0..40).map(load).collect(),
@@ -276,11 +276,11 @@
     // Reports of two entries are passed on as one, with the highest load of each
     // backend server.
     let report = |running| Report {
-        loads: vec![LoadOf {
+        loads: vec![ServerLoad {
             server: 3,
             running,
             waiting: 0,
-            reading: running as u16,
+            prefill_ms: running as u16,
         }],
         ..Report::default()
     };
