--- a/sesamebeam_core/tests/gateway/cold.rs
+++ b/sesamebeam_core/tests/gateway/cold.rs
@@ -59,9 +59,9 @@
 
 /// Returns an announcement of a backend server that is cold for some time.
 fn cold_for(number: u8, millis: u64) -> Announcement {
-    let mut said = announcement(number);
-    said.cold = ms(millis);
-    said
+    let mut announced = announcement(number);
+    announced.cold = ms(millis);
+    announced
 }
 
 fn send(router: &mut Router, now: MonoTime, id: &str) -> Result<ServerId, Unserved> {
@@ -196,9 +196,9 @@
     // certain that they are not cold, they get no requests while others can serve.
     let mut router = entry(1, 1);
     for number in 0..2 {
-        let mut said = announcement(number);
-        said.domain = format!("hall-{}", number + 1).into();
-        router.announced(ms(0), said);
+        let mut announced = announcement(number);
+        announced.domain = format!("hall-{}", number + 1).into();
+        router.announced(ms(0), announced);
     }
     let evacuated = Orders {
         evacuated: ["hall-1".into()].into(),
@@ -233,6 +233,9 @@
     assert!(directory.take(ms(2400), say(3, 2600), true));
     assert!(!directory.take(ms(3700), say(4, 1400), true));
     assert!(!directory.take(ms(4800), say(5, 200), true));
-    let told: Vec<_> = directory.tell(ms(4900)).map(|said| said.cold).collect();
+    let told: Vec<_> = directory
+        .tell(ms(4900))
+        .map(|announced| announced.cold)
+        .collect();
     assert_eq!(told, [ms(100)]);
 }
