--- a/sesamebeam/src/entry/driver.rs
+++ b/sesamebeam/src/entry/driver.rs
@@ -24,8 +24,8 @@
             AttemptReport,
             Dispatch,
             EntryEvent,
-            Finished, //
-            ResponseHeaders,
+            Finished,
+            ResponseHeaders, //
         },
         refusal::Refusal,
     },
--- a/sesamebeam/src/gateway/attempt.rs
+++ b/sesamebeam/src/gateway/attempt.rs
@@ -43,7 +43,7 @@
         Received,
         Sent, //
     },
-    stream::Relay, //
+    stream::Relay,
 };
 use crate::{
     exposition::RequestEnd,
--- a/sesamebeam/src/gateway/feed.rs
+++ b/sesamebeam/src/gateway/feed.rs
@@ -44,7 +44,7 @@
             UnboundedSender,
             unbounded_channel, //
         },
-        watch, //
+        watch,
     },
     time::{
         Interval,
--- a/sesamebeam/tests/cli_report.rs
+++ b/sesamebeam/tests/cli_report.rs
@@ -38,8 +38,8 @@
         },
     },
     policy::burn::{
-        BurnReport, //
-        BurnTracker,
+        BurnReport,
+        BurnTracker, //
     },
 };
 
--- a/sesamebeam_bench/benches/directory.rs
+++ b/sesamebeam_bench/benches/directory.rs
@@ -35,7 +35,7 @@
             RouterConfig, //
         },
     },
-    ids::MonoTime, //
+    ids::MonoTime,
 };
 
 const SERVERS: [u32; 6] = [5, 90, 300, 3_000, 10_000, 20_000];
--- a/sesamebeam_core/src/entry.rs
+++ b/sesamebeam_core/src/entry.rs
@@ -40,8 +40,8 @@
         Attempt,
         ControlRequestId,
         EntryAction,
-        EntryEvent, //
-        Recipients,
+        EntryEvent,
+        Recipients, //
     },
     explain::Explain,
     request::Request,
@@ -78,8 +78,8 @@
         admission::Admission,
         balance::Balance,
         burn::{
-            BurnReport, //
-            BurnTracker,
+            BurnReport,
+            BurnTracker, //
         },
         exposure::Exposure,
         plan::Planner,
--- a/sesamebeam_core/src/entry/choose.rs
+++ b/sesamebeam_core/src/entry/choose.rs
@@ -45,8 +45,8 @@
         plan::{
             Candidate,
             Plan,
-            PlanChoice, //
-            PlanInput,
+            PlanChoice,
+            PlanInput, //
         },
         suspects::SuspectStatus, //
     },
--- a/sesamebeam_core/src/entry/lease.rs
+++ b/sesamebeam_core/src/entry/lease.rs
@@ -7,8 +7,8 @@
     control_requests::ControlPurpose,
     event::{
         EntryAction,
-        Notice, //
-        Recipients,
+        Notice,
+        Recipients, //
     }, //
 };
 use crate::{
--- a/sesamebeam_core/src/entry/membership.rs
+++ b/sesamebeam_core/src/entry/membership.rs
@@ -5,8 +5,8 @@
     control_requests::ControlPurpose,
     event::{
         EntryAction,
-        Notice, //
-        Recipients,
+        Notice,
+        Recipients, //
     }, //
 };
 use indexmap::IndexMap;
--- a/sesamebeam_core/src/gateway/balance.rs
+++ b/sesamebeam_core/src/gateway/balance.rs
@@ -31,7 +31,7 @@
     },
     reachability::Reachability,
     request::Load,
-    retry_delay::RetryDelay, //
+    retry_delay::RetryDelay,
 };
 use crate::{
     ids::{
--- a/sesamebeam_core/src/gateway/cold.rs
+++ b/sesamebeam_core/src/gateway/cold.rs
@@ -22,7 +22,7 @@
         BTreeMap,
         HashMap, //
     },
-    time::Duration, //
+    time::Duration,
 };
 
 use smol_str::SmolStr;
@@ -33,14 +33,14 @@
         Known,
         ServerId, //
     },
-    entries::EntryCount, //
+    entries::EntryCount,
 };
 use crate::{
     ids::{
         DomainId,
         MonoTime, //
     },
-    policy::hash, //
+    policy::hash,
 };
 
 /// Share of a cold backend server's tolerated rate that is assigned to turns. The rest is
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -17,7 +17,7 @@
         BTreeSet, //
     },
     net::SocketAddr,
-    time::Duration, //
+    time::Duration,
 };
 
 use smol_str::SmolStr;
@@ -72,7 +72,7 @@
         Command,
         Store, //
     },
-    waits::FleetWaits, //
+    waits::FleetWaits,
 };
 use crate::{
     ids::{
--- a/sesamebeam_core/src/gateway/coordinator/telling.rs
+++ b/sesamebeam_core/src/gateway/coordinator/telling.rs
@@ -8,7 +8,7 @@
         BTreeMap,
         BTreeSet, //
     },
-    time::Duration, //
+    time::Duration,
 };
 
 use super::{
@@ -41,14 +41,14 @@
             Unreached, //
         },
         limits::LimitOf,
-        shortage::ShareOf, //
+        shortage::ShareOf,
     },
     ids::{
         LogIndex,
         MonoTime,
         NodeId, //
     },
-    replica::Replica, //
+    replica::Replica,
 };
 
 /// Least pause between two times that backend servers are told of, and that
--- a/sesamebeam_core/src/gateway/coordinator/trial.rs
+++ b/sesamebeam_core/src/gateway/coordinator/trial.rs
@@ -29,7 +29,7 @@
             Store, //
         },
     },
-    ids::MonoTime, //
+    ids::MonoTime,
 };
 
 /// Roll-outs that are watched.
--- a/sesamebeam_core/src/gateway/feed.rs
+++ b/sesamebeam_core/src/gateway/feed.rs
@@ -65,7 +65,7 @@
         NodeId,
         ProcessAddr, //
     },
-    replica::ReplicaMessage, //
+    replica::ReplicaMessage,
 };
 
 /// First message on a connection: who calls.
--- a/sesamebeam_core/src/gateway/prompt_lengths.rs
+++ b/sesamebeam_core/src/gateway/prompt_lengths.rs
@@ -8,7 +8,7 @@
         RouteConfig,
         RouteId, //
     },
-    table::RouteTable, //
+    table::RouteTable,
 };
 
 /// Number of ranks that an engine distinguishes.
--- a/sesamebeam_core/src/gateway/response_counts.rs
+++ b/sesamebeam_core/src/gateway/response_counts.rs
@@ -13,7 +13,7 @@
         RouteId,
         ServiceId, //
     },
-    feed::Evidence, //
+    feed::Evidence,
 };
 use crate::ids::ModelId;
 
--- a/sesamebeam_core/src/gateway/retry_budget.rs
+++ b/sesamebeam_core/src/gateway/retry_budget.rs
@@ -10,7 +10,7 @@
         HashMap,
         VecDeque, //
     },
-    time::Duration, //
+    time::Duration,
 };
 
 use super::{
--- a/sesamebeam_core/src/gateway/rollout.rs
+++ b/sesamebeam_core/src/gateway/rollout.rs
@@ -10,7 +10,7 @@
         BTreeMap,
         VecDeque, //
     },
-    time::Duration, //
+    time::Duration,
 };
 
 use serde::{
@@ -24,7 +24,7 @@
         RouteId,
         ServiceId, //
     },
-    feed::Evidence, //
+    feed::Evidence,
 };
 use crate::ids::MonoTime;
 
--- a/sesamebeam_core/src/gateway/router.rs
+++ b/sesamebeam_core/src/gateway/router.rs
@@ -84,7 +84,7 @@
         MonoTime,
         OrgId, //
     },
-    policy::hash, //
+    policy::hash,
 };
 
 /// Interval between two removals of expired state.
--- a/sesamebeam_core/src/gateway/router/canary.rs
+++ b/sesamebeam_core/src/gateway/router/canary.rs
@@ -17,7 +17,7 @@
             Phase, //
         },
     },
-    policy::hash, //
+    policy::hash,
 };
 
 impl Router {
--- a/sesamebeam_core/src/gateway/router/capacity.rs
+++ b/sesamebeam_core/src/gateway/router/capacity.rs
@@ -13,7 +13,7 @@
         directory::ServerId,
         request::ResponseHead, //
     },
-    ids::MonoTime, //
+    ids::MonoTime,
 };
 
 impl Router {
--- a/sesamebeam_core/src/gateway/router/choosing.rs
+++ b/sesamebeam_core/src/gateway/router/choosing.rs
@@ -21,10 +21,10 @@
             Window, //
         },
         loads::ServerKey,
-        rollout::Allowed, //
+        rollout::Allowed,
     },
     ids::MonoTime,
-    policy::hash, //
+    policy::hash,
 };
 
 /// Number of backend servers that a choice considers at first. In a larger service, the
--- a/sesamebeam_core/src/gateway/router/exchange.rs
+++ b/sesamebeam_core/src/gateway/router/exchange.rs
@@ -17,9 +17,9 @@
         rollout::Phase,
         shortage::ShareOf,
         subscription::LocalSummary,
-        waits::MeanWait, //
+        waits::MeanWait,
     },
-    ids::MonoTime, //
+    ids::MonoTime,
 };
 
 impl Router {
--- a/sesamebeam_core/src/gateway/sessions.rs
+++ b/sesamebeam_core/src/gateway/sessions.rs
@@ -13,7 +13,7 @@
         HashMap,
         HashSet, //
     },
-    time::Duration, //
+    time::Duration,
 };
 
 use smol_str::SmolStr;
@@ -30,7 +30,7 @@
         MonoTime,
         SessionId, //
     },
-    policy::hash, //
+    policy::hash,
 };
 
 /// Time from the start of a rollout until sessions may use the new version, several times
--- a/sesamebeam_core/src/gateway/subscription.rs
+++ b/sesamebeam_core/src/gateway/subscription.rs
@@ -23,7 +23,7 @@
         MonoTime,
         ProcessAddr, //
     },
-    policy::hash, //
+    policy::hash,
 };
 
 /// How long the followed replica may know no leader before the entry switches to a
--- a/sesamebeam_core/tests/gateway/backoff.rs
+++ b/sesamebeam_core/tests/gateway/backoff.rs
@@ -17,7 +17,7 @@
             Router, //
         },
     },
-    policy::backoff::RequestedPause, //
+    policy::backoff::RequestedPause,
 };
 use yare::parameterized;
 
@@ -123,11 +123,11 @@
 }
 
 #[parameterized(
-unavailable = { 503, true },
-too_many = { 429, true },
-good = { 200, false },
-misdirected = { 421, false },
-failed = { 500, false },
+    unavailable = { 503, true },
+    too_many = { 429, true },
+    good = { 200, false },
+    misdirected = { 421, false },
+    failed = { 500, false },
 )]
 fn statuses(status: u16, pauses: bool) {
     let mut router = entry(1);
@@ -280,32 +280,32 @@
 }
 
 proptest! {
-/// For any sequence of pauses, no backend server gets a request before its last pause
-/// is over, and rejected callers get a time at which one is served.
-#[test]
-fn any_order(requested in prop::collection::vec((0u8..4, 0u64..5000, 0u64..400), 1..60)) {
-let mut router = entry(4);
-let mut open_at = [0u64; 4];
-let mut now = START;
-for (n, (number, length, after)) in requested.into_iter().enumerate() {
-now += after;
-pause(&mut router, now, number, length);
-let until = &mut open_at[usize::from(number)];
-*until = (*until).max(now + length);
-let is_open = open_at.iter().any(|at| *at <= now);
-match send(&mut router, ms(now), &format!("caller-{n}")) {
-Ok(sent) => {
-let chosen = (0..4).find(|n| choice(*n).id == sent.id).expect("known");
-prop_assert!(open_at[usize::from(chosen)] <= now);
-}
-Err(why) => {
-prop_assert!(!is_open, "{why}");
-let plan = plan(&mut router, ms(now), "refused");
-let after = router.retry_after(ms(now), &plan, ms(15_000));
-let first = open_at.iter().min().expect("four");
-prop_assert!(after.is_some_and(|after| ms(now) + after >= ms(*first)));
-}
-}
-}
-}
+    /// For any sequence of pauses, no backend server gets a request before its last pause
+    /// is over, and rejected callers get a time at which one is served.
+    #[test]
+    fn any_order(requested in prop::collection::vec((0u8..4, 0u64..5000, 0u64..400), 1..60)) {
+        let mut router = entry(4);
+        let mut open_at = [0u64; 4];
+        let mut now = START;
+        for (n, (number, length, after)) in requested.into_iter().enumerate() {
+            now += after;
+            pause(&mut router, now, number, length);
+            let until = &mut open_at[usize::from(number)];
+            *until = (*until).max(now + length);
+            let is_open = open_at.iter().any(|at| *at <= now);
+            match send(&mut router, ms(now), &format!("caller-{n}")) {
+                Ok(sent) => {
+                    let chosen = (0..4).find(|n| choice(*n).id == sent.id).expect("known");
+                    prop_assert!(open_at[usize::from(chosen)] <= now);
+                }
+                Err(why) => {
+                    prop_assert!(!is_open, "{why}");
+                    let plan = plan(&mut router, ms(now), "refused");
+                    let after = router.retry_after(ms(now), &plan, ms(15_000));
+                    let first = open_at.iter().min().expect("four");
+                    prop_assert!(after.is_some_and(|after| ms(now) + after >= ms(*first)));
+                }
+            }
+        }
+    }
 }
--- a/sesamebeam_core/tests/gateway/balance.rs
+++ b/sesamebeam_core/tests/gateway/balance.rs
@@ -21,7 +21,7 @@
         ServerLoad, //
     },
     outliers::Doubt,
-    request::Load, //
+    request::Load,
 };
 
 use crate::make::{
--- a/sesamebeam_core/tests/gateway/choosing.rs
+++ b/sesamebeam_core/tests/gateway/choosing.rs
@@ -67,10 +67,10 @@
 }
 
 #[parameterized(
-small = { 100, 100 },
-large = { 3_000, MAX_CANDIDATES },
-fleet = { 10_000, MAX_CANDIDATES },
-two_fleets = { 20_000, MAX_CANDIDATES },
+    small = { 100, 100 },
+    large = { 3_000, MAX_CANDIDATES },
+    fleet = { 10_000, MAX_CANDIDATES },
+    two_fleets = { 20_000, MAX_CANDIDATES },
 )]
 fn same_cost_in_a_fleet(servers: u32, most: usize) {
     // Guards against a choice whose cost grows with the number of backend servers.
--- a/sesamebeam_core/tests/gateway/cold.rs
+++ b/sesamebeam_core/tests/gateway/cold.rs
@@ -23,9 +23,9 @@
             ChooseError,
             Router, //
         },
-        store::Orders, //
+        store::Orders,
     },
-    ids::MonoTime, //
+    ids::MonoTime,
 };
 use yare::parameterized;
 
@@ -98,9 +98,9 @@
 }
 
 #[parameterized(
-small = { 9 },
-middle = { 74 },
-large = { 295 },
+    small = { 9 },
+    middle = { 74 },
+    large = { 295 },
 )]
 fn sum_of_all_entries(entries: u64) {
     // All backend servers of a service are cold at once, and callers send more than these
@@ -154,8 +154,8 @@
 }
 
 #[parameterized(
-middle = { 74 },
-large = { 295 },
+    middle = { 74 },
+    large = { 295 },
 )]
 fn worst_second(entries: u32) {
     // The positions of the turns follow from the names of the entries. Nine entries can't
--- a/sesamebeam_core/tests/gateway/evacuations.rs
+++ b/sesamebeam_core/tests/gateway/evacuations.rs
@@ -212,12 +212,12 @@
 }
 
 #[parameterized(
-healthy = { LeaderFault::Healthy },
-killed = { LeaderFault::Killed },
-cut_off = { LeaderFault::CutOff },
-stalled_disk = { LeaderFault::Stalled },
-suspended = { LeaderFault::Suspended },
-command_burst = { LeaderFault::CommandBurst },
+    healthy = { LeaderFault::Healthy },
+    killed = { LeaderFault::Killed },
+    cut_off = { LeaderFault::CutOff },
+    stalled_disk = { LeaderFault::Stalled },
+    suspended = { LeaderFault::Suspended },
+    command_burst = { LeaderFault::CommandBurst },
 )]
 fn acknowledged_in_time(fault: LeaderFault) {
     // An operator gives an order while the leader is in trouble, asking one replica after
--- a/sesamebeam_core/tests/gateway/limits.rs
+++ b/sesamebeam_core/tests/gateway/limits.rs
@@ -29,7 +29,7 @@
             Router, //
         },
     },
-    ids::MonoTime, //
+    ids::MonoTime,
 };
 use yare::parameterized;
 
@@ -75,14 +75,14 @@
 }
 
 #[parameterized(
-few = { 3, 2.0, 0.9 },
-small_site = { 9, 3.7, 0.9 },
-small_site_less = { 9, 0.5, 0.1 },
-middle = { 74, 3.9, 0.2 },
-middle_more = { 81, 30.0, 0.7 },
-large = { 300, 3.1, 0.2 },
-large_more = { 300, 25.0, 0.4 },
-large_hardly = { 300, 0.3, 0.0 },
+    few = { 3, 2.0, 0.9 },
+    small_site = { 9, 3.7, 0.9 },
+    small_site_less = { 9, 0.5, 0.1 },
+    middle = { 74, 3.9, 0.2 },
+    middle_more = { 81, 30.0, 0.7 },
+    large = { 300, 3.1, 0.2 },
+    large_more = { 300, 25.0, 0.4 },
+    large_hardly = { 300, 0.3, 0.0 },
 )]
 fn sum_of_entries(entries: u64, limit: f64, least: f64) {
     // Guards against a sum above the limit although each entry by itself stays below it.
@@ -121,11 +121,11 @@
 }
 
 #[parameterized(
-small = { 9, 3.1 },
-small_hardly = { 9, 0.2 },
-middle = { 30, 6.0 },
-large = { 300, 3.0 },
-large_more = { 300, 40.0 },
+    small = { 9, 3.1 },
+    small_hardly = { 9, 0.2 },
+    middle = { 30, 6.0 },
+    large = { 300, 3.0 },
+    large_more = { 300, 40.0 },
 )]
 fn worst_span(entries: u64, limit: f64) {
     // Guards against the worst case: entries with a caller always waiting, arbitrary
@@ -389,9 +389,9 @@
 }
 
 #[parameterized(
-nothing = { 0.0, 1 },
-hardly_any = { 1e-9, 300 },
-beyond_all = { 1e9, 300 },
+    nothing = { 0.0, 1 },
+    hardly_any = { 1e-9, 300 },
+    beyond_all = { 1e9, 300 },
 )]
 fn extreme_limits(limit: f64, entries: u32) {
     // Guards against extreme limits: each gives a valid schedule whose total rate is
--- a/sesamebeam_core/tests/gateway/make.rs
+++ b/sesamebeam_core/tests/gateway/make.rs
@@ -38,7 +38,7 @@
             RouterConfig, //
         },
     },
-    ids::MonoTime, //
+    ids::MonoTime,
 };
 
 use crate::group::listens;
--- a/sesamebeam_core/tests/gateway/orders.rs
+++ b/sesamebeam_core/tests/gateway/orders.rs
@@ -19,7 +19,7 @@
     },
     loads::ServerLoad,
     rollout::Phase,
-    store::Document, //
+    store::Document,
 };
 
 use sesamebeam_core::{
--- a/sesamebeam_core/tests/gateway/plays.rs
+++ b/sesamebeam_core/tests/gateway/plays.rs
@@ -26,7 +26,7 @@
         },
         router::Router, //
     },
-    ids::MonoTime, //
+    ids::MonoTime,
 };
 use yare::parameterized;
 
@@ -171,8 +171,8 @@
 }
 
 #[parameterized(
-large = { 295, 350, 300, 45 },
-small = { 9, 35, 25, 25 },
+    large = { 295, 350, 300, 45 },
+    small = { 9, 35, 25, 25 },
 )]
 fn bookings_broken_off(
     entries: u64,
--- a/sesamebeam_core/tests/gateway/router.rs
+++ b/sesamebeam_core/tests/gateway/router.rs
@@ -14,7 +14,7 @@
         Refusal,
         Router, //
     },
-    store::Orders, //
+    store::Orders,
 };
 use yare::parameterized;
 
@@ -124,9 +124,9 @@
 }
 
 #[parameterized(
-short = { 100, 3 },
-usual = { 1000, 4 },
-long = { 40_000, 5 },
+    short = { 100, 3 },
+    usual = { 1000, 4 },
+    long = { 40_000, 5 },
 )]
 fn short_prompts_first(tokens: u32, rank: u8) {
     let mut router = router(2);
--- a/sesamebeam_core/tests/gateway/seeds.rs
+++ b/sesamebeam_core/tests/gateway/seeds.rs
@@ -7,7 +7,7 @@
         coordinator::Event,
         feed::ToEntry, //
     },
-    ids::NodeId, //
+    ids::NodeId,
 };
 
 use crate::group::{
--- a/sesamebeam_core/tests/gateway/shortage.rs
+++ b/sesamebeam_core/tests/gateway/shortage.rs
@@ -308,9 +308,9 @@
 }
 
 #[parameterized(
-few_entries = { 9 },
-some = { 74 },
-many = { 295 },
+    few_entries = { 9 },
+    some = { 74 },
+    many = { 295 },
 )]
 fn one_of_three_left(entries: usize) {
     // Guards against full queues in which nearly every answer is late. Two of three
--- a/sesamebeam_core/tests/gateway/telling.rs
+++ b/sesamebeam_core/tests/gateway/telling.rs
@@ -19,7 +19,7 @@
         ToEntry, //
     },
     loads::ServerLoad,
-    request::Load, //
+    request::Load,
 };
 use yare::parameterized;
 
--- a/sesamebeam_core/tests/proofs/golden.rs
+++ b/sesamebeam_core/tests/proofs/golden.rs
@@ -12,9 +12,9 @@
 
 use crate::world::{
     Fault,
-    World, //
+    World,
     books::Spec,
-    files,
+    files, //
 };
 
 /// Writes an action as one line; none for what is sent all the time.
--- a/sesamebeam_core/tests/proofs/killer_request.rs
+++ b/sesamebeam_core/tests/proofs/killer_request.rs
@@ -13,8 +13,8 @@
 };
 
 #[parameterized(
-safeguard_on = { true, 2 },
-untraced = { false, 6 },
+    safeguard_on = { true, 2 },
+    untraced = { false, 6 },
 )]
 fn quarantined(trace: bool, crashes: usize) {
     let mut world = World::new(
--- a/sesamebeam_core/tests/proofs/leaving_server.rs
+++ b/sesamebeam_core/tests/proofs/leaving_server.rs
@@ -10,8 +10,8 @@
 
 use crate::world::{
     Fault,
-    World, //
-    books::Spec,
+    World,
+    books::Spec, //
 };
 
 #[parameterized(
--- a/sesamebeam_core/tests/proofs/not_run_true.rs
+++ b/sesamebeam_core/tests/proofs/not_run_true.rs
@@ -11,7 +11,7 @@
 
 use crate::world::{
     Fault,
-    World, //
+    World,
     books::{
         Spec,
         Told, //
--- a/sesamebeam_core/tests/proofs/withdrawn_version.rs
+++ b/sesamebeam_core/tests/proofs/withdrawn_version.rs
@@ -9,9 +9,9 @@
 use yare::parameterized;
 
 use crate::world::{
-    World, //
+    World,
     books::Spec,
-    files,
+    files, //
 };
 
 #[parameterized(
--- a/sesamebeam_core/tests/proofs/world/books.rs
+++ b/sesamebeam_core/tests/proofs/world/books.rs
@@ -52,7 +52,7 @@
     EntryNo,
     Event,
     Life,
-    World, //
+    World,
     edge::{
         Edge,
         EdgeEvent, //
--- a/sesamebeam_core/tests/proofs/world/edge.rs
+++ b/sesamebeam_core/tests/proofs/world/edge.rs
@@ -42,9 +42,9 @@
     Event,
     Fault,
     Life,
-    World, //
+    World,
     books::Told,
-    group::domain_of,
+    group::domain_of, //
     server::{
         Asked,
         CHUNKS,
