--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -1,8 +1,9 @@
-//! A control replica of the gateway: the replicated store, the backend servers'
-//! announcements, the entries that are told of both, and who is in the group.
+//! A control replica of the gateway. It holds the replicated store, collects the
+//! announcements of backend servers, publishes both to the entries, and manages the
+//! membership of the replica group.
 //!
-//! A process without a place in the group (one that has yet to join, or that is
-//! kept in reserve) takes announcements and passes them on, but decides nothing.
+//! A process that is not a member of the group (one that has yet to join, or a standby)
+//! accepts announcements and forwards them, but makes no decisions.
 
 mod announce;
 mod calls;
@@ -94,159 +95,160 @@
     },
 };
 
-/// Longest time between two looks at what is due.
+/// Interval of the periodic tasks.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
 
-/// Number that an entry draws at its start.
+/// Random number that an entry draws at startup to identify itself.
 pub type EntryLife = u64;
 
 /// Settings of a coordinator.
 #[derive(Clone, Debug)]
 pub struct CoordinatorConfig {
-    /// Where this process listens for others.
+    /// Address on which this process accepts connections from other processes.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of this process.
     pub domain: DomainId,
-    /// Replicas that may be lost at once; twice as many and one vote.
+    /// Number of simultaneous replica failures to survive; the group has `2 * n + 1`
+    /// voters.
     pub tolerated: usize,
-    /// Share of a service's requests that a bad version may get until the end of
-    /// its roll-out.
+    /// Share of a service's requests that may be exposed to a bad version by the end of its
+    /// rollout.
     pub exposure: f64,
-    /// Longest time for an answer to a caller; it asks another replica then.
+    /// Time limit for answering a request; the caller then tries another replica.
     pub patience: Duration,
-    /// Time for which a write may stay unsynced before the disk counts as
-    /// stalled and another replica leads.
+    /// Time a write may stay unsynced before the disk counts as stalled and leadership is
+    /// handed over.
     pub disk_patience: Duration,
 }
 
-/// What happens to a coordinator.
+/// Input to a coordinator.
 #[derive(Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// A message of another replica.
+    /// A message from another replica has arrived.
     Peer {
-        /// Its number.
+        /// Id of the sender.
         from: NodeId,
-        /// What it says.
+        /// The message.
         message: Between,
     },
-    /// A connection to another replica stands.
+    /// A connection to another replica has been established.
     Reached(NodeId),
-    /// Where the first replicas of the settings listen for others.
+    /// Addresses of the seeds, the first replicas listed in the settings.
     Seeds(BTreeSet<SocketAddr>),
     /// An entry has connected.
     Subscribed(EntryLife),
-    /// An entry's connection has ended.
+    /// An entry's connection has closed.
     Unsubscribed(EntryLife),
-    /// An entry, which holds something already, is told of changes from here.
+    /// An entry with the given state subscribes to updates from this replica.
     Follows(EntryLife, Held),
-    /// It is told from elsewhere.
+    /// An entry has moved its subscription to another replica.
     Unfollows(EntryLife),
-    /// An entry lacks something of what is known here.
+    /// An entry requests the updates that it is missing relative to this replica.
     Lacks(EntryLife, Held),
-    /// An entry lacks what is known here of backend servers in these sections.
+    /// An entry requests the backend servers in these sections of the directory.
     LacksSections(EntryLife, Vec<Section>),
-    /// An entry tells of backend servers.
+    /// An entry has sent the backend servers that it knows.
     Servers(Vec<Announcement>),
-    /// An entry reports what it has seen.
+    /// An entry has reported its observations.
     Reported(Report),
-    /// A process asks about the group.
+    /// A non-member process has sent a membership request.
     Asked(Ticket, Question),
-    /// A caller asks for something.
+    /// A caller has sent a request.
     Called(Ticket, Call),
-    /// A write is synced.
+    /// A write has been synced.
     Synced(WriteId),
     /// The disk is full, or has space again.
     DiskFull(bool),
 }
 
-/// Entries that are told the same.
+/// Entries that a message is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Receivers {
-    /// All that are connected.
+    /// All connected entries.
     All,
-    /// Only these.
+    /// Only these entries.
     These(Vec<EntryLife>),
 }
 
-/// What a coordinator wants done.
+/// Output of a coordinator, to be carried out by its caller.
 #[derive(Debug, PartialEq)]
 pub enum Action {
-    /// Sends a message to another replica.
+    /// Send a message to another replica.
     Send {
-        /// Its number.
+        /// Id of the recipient.
         to: NodeId,
         /// The message.
         message: Between,
     },
-    /// Writes to the disk.
+    /// Write to disk.
     Write {
-        /// Number of the write.
+        /// Id of the write.
         write: WriteId,
-        /// What is written.
+        /// Operations to write.
         ops: Vec<DiskOp>,
     },
-    /// Tells a process that is no member of the group.
+    /// Send a membership request to a process outside the group.
     Tell {
-        /// Where it listens for others.
+        /// Address of the recipient.
         to: SocketAddr,
-        /// What it is told.
+        /// The request.
         told: Question,
     },
-    /// Answers a question about the group.
+    /// Reply to a membership request.
     Reply(Ticket, Reply),
-    /// Answers a caller.
+    /// Respond to a caller.
     Answer(Ticket, Answer),
-    /// Tells entries.
+    /// Send a message to entries.
     Push(Receivers, ToEntry),
-    /// What this replica holds, to be said now and then to all entries.
+    /// Summary of this replica's state for the periodic heartbeat to all entries.
     Holds(Summary),
-    /// Backend servers to be kept on the disk, for the next start.
+    /// Save backend servers to disk for the next startup.
     KeepServers(Vec<Announcement>),
-    /// The replicas of the group have changed.
+    /// The membership of the group has changed.
     Peers(Peers),
-    /// Something that belongs into the log.
+    /// Write an event to the process log.
     Note(Note),
 }
 
-/// Something that belongs into the log.
+/// Event for the process log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
-    /// The role in the group.
+    /// The replica's role in the group has changed.
     Role(Role),
     /// A configuration was accepted.
     Accepted {
-        /// Its number.
+        /// Version of the configuration.
         version: u64,
-        /// Position in the log.
+        /// Position in the replicated log.
         index: LogIndex,
     },
-    /// A roll-out entered a phase, with the counts that decided.
+    /// A rollout entered a phase, with the counts behind the decision.
     Rollout {
         /// Service.
         service: ServiceId,
-        /// Version that is brought in.
+        /// Version being rolled out.
         target: SmolStr,
-        /// The phase.
+        /// The new phase.
         phase: Phase,
-        /// Good and bad answers of the new version, then of those before.
+        /// Good and bad responses of the new version, then of the previous versions.
         counts: (u32, u32, u32, u32),
     },
-    /// A failure domain is evacuated, or taken back.
+    /// A failure domain was evacuated or readmitted.
     Evacuation {
-        /// Which.
+        /// The failure domain.
         domain: DomainId,
-        /// Whether it is evacuated from now on.
+        /// Whether it is now evacuated.
         evacuated: bool,
-        /// Position in the log.
+        /// Position in the replicated log.
         index: LogIndex,
-        /// Backend servers that are known there.
+        /// Number of known backend servers in the domain that are not gone.
         servers: usize,
     },
     /// A backend server's state changed.
     Server {
-        /// Which.
+        /// Id of the backend server.
         id: SmolStr,
         /// Its service.
         service: ServiceId,
@@ -254,27 +256,27 @@
         born: super::directory::Born,
         /// Its state.
         state: ServerState,
-        /// Number of the announcement.
+        /// Sequence number of the announcement.
         sequence: u64,
     },
-    /// A replica is added, replaced or removed.
+    /// A replica is being added, replaced or removed.
     Membership {
-        /// Replica that joins.
+        /// Joining replica.
         joins: Option<NodeId>,
-        /// Replica that leaves.
+        /// Leaving replica.
         leaves: Option<NodeId>,
-        /// Failure domains of replicas, as far as they are known here.
+        /// Known failure domains of the replicas.
         domains: BTreeMap<NodeId, DomainId>,
     },
-    /// Limits of backend servers that have come, changed or ended.
+    /// Rate limits reported by backend servers that were added, changed or ended.
     Limits(Vec<LimitOf>),
-    /// Services that cannot serve all, with the share that is admitted.
+    /// Services short of capacity, with the share of requests that is admitted.
     Shares(Vec<ShareOf>),
-    /// Backend servers that fail more often than their service.
+    /// Backend servers that fail more often than the average of their service.
     Doubts(Vec<Doubt>),
-    /// The disk has not synced a write for long.
+    /// The disk has stalled, or has recovered.
     DiskStalled(bool),
-    /// An entry in the log cannot be read.
+    /// A log entry could not be decoded.
     Unreadable(LogIndex),
 }
 
@@ -285,16 +287,16 @@
     now: MonoTime,
     replica: Option<Replica>,
     peers: Peers,
-    /// Where processes ask that know of nobody.
+    /// Addresses that processes without any known replica connect to.
     seeds: BTreeSet<SocketAddr>,
-    /// When those of them that are no members are told of the group.
+    /// When seeds outside the group are next sent the membership.
     tell_seeds_at: MonoTime,
     store: Store,
     directory: Directory,
     telling: Telling,
     trials: Trials,
     places: Places,
-    /// Who leads, as a process without a place was told, and when.
+    /// Leader as learned by a non-member process, and when.
     known_leader: Option<(SocketAddr, MonoTime)>,
     waiting: BTreeMap<Ticket, Waiting>,
     confirming: BTreeMap<u64, Confirming>,
@@ -306,7 +308,7 @@
     waits: PooledWaits,
     shortages: Shortages,
     look_at: MonoTime,
-    /// Write that is not synced yet, and since when.
+    /// Write that is not yet synced, and when it was issued.
     writing: Option<(WriteId, MonoTime)>,
     disk_full: bool,
     disk_stalled: bool,
@@ -314,7 +316,7 @@
 }
 
 impl Coordinator {
-    /// Makes a coordinator that has no place in a group yet.
+    /// Creates a coordinator that is not a member of a group yet.
     pub fn new(cfg: CoordinatorConfig, now: MonoTime) -> Self {
         Self {
             cfg,
@@ -346,7 +348,7 @@
         }
     }
 
-    /// Takes a place in a group with what the disk holds of it.
+    /// Starts a replica of the group from its saved state.
     pub fn start(&mut self, cfg: ReplicaConfig, saved: Saved, now: MonoTime) -> Vec<Action> {
         self.now = self.now.max(now);
         let (replica, actions) = Replica::new(cfg, saved, self.now);
@@ -357,8 +359,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Gives its place in the group up. What it knows beside the replicated state
-    /// stays; the state comes anew with the next place.
+    /// Leaves the group. The directory and other unreplicated state are kept; the
+    /// replicated state is fetched again on the next join.
     pub fn leave(&mut self) {
         self.replica = None;
         self.store = Store::default();
@@ -368,7 +370,7 @@
         self.disk_stalled = false;
     }
 
-    /// Handles an event at a time that never goes back.
+    /// Handles an event. `now` must not decrease between calls.
     pub fn handle(&mut self, now: MonoTime, event: Event) -> Vec<Action> {
         self.now = self.now.max(now);
         match event {
@@ -397,7 +399,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns when a [`Event::Tick`] is next needed.
+    /// Returns when the next [`Event::Tick`] is due.
     pub fn next_wake(&self) -> MonoTime {
         let replica = self.replica.as_ref().map(Replica::next_wake);
         let told = self.telling.next_wake();
@@ -410,12 +412,12 @@
         &self.store
     }
 
-    /// Returns the backend servers.
+    /// Returns the directory of backend servers.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Returns the replicas of the group, as far as this process knows.
+    /// Returns the replicas of the group as known to this process.
     pub fn peers(&self) -> &Peers {
         &self.peers
     }
@@ -449,7 +451,7 @@
         }
     }
 
-    /// Hands an event to the replica and carries out what it wants.
+    /// Passes an event to the replica and carries out the resulting actions.
     fn step(&mut self, event: ReplicaEvent) {
         let Some(replica) = &mut self.replica else {
             return;
@@ -508,7 +510,7 @@
         self.note_news(index, is_config);
     }
 
-    /// Returns the line for the log if a command changes anything.
+    /// Returns the log event to emit if a command changes the store.
     fn note_of(&self, index: LogIndex, command: &Command) -> Option<Note> {
         match command {
             Command::Apply(document) => Some(Note::Accepted {
@@ -552,11 +554,11 @@
         self.tell_disk();
     }
 
-    /// Treats a disk that has not synced for long like a full one.
+    /// Reports the disk as full if it is full or has stalled.
     ///
-    /// A leader whose disk stalls can write nothing new, so that no change is
-    /// acknowledged while the others could go on. Handing over is enough: the
-    /// others commit without this disk.
+    /// A leader whose disk stalls cannot write anything new, so no change is acknowledged
+    /// although the other replicas could go on. Handing over leadership is sufficient
+    /// because they can commit without this disk.
     fn tell_disk(&mut self) {
         let patience = self.cfg.disk_patience;
         let stalled = self
@@ -569,7 +571,7 @@
         self.step(ReplicaEvent::DiskFull(self.disk_full || stalled));
     }
 
-    /// Does what is due whatever happened.
+    /// Runs the periodic tasks if they are due.
     fn look(&mut self) {
         if self.now < self.look_at {
             return;
--- a/sesamebeam_core/src/gateway/coordinator/announce.rs
+++ b/sesamebeam_core/src/gateway/coordinator/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements of backend servers, and passing them on.
+//! Handling of backend server announcements and their propagation.
 
 use std::{
     collections::BTreeSet,
@@ -35,21 +35,21 @@
     replica::Ticket,
 };
 
-/// An announcement that waits until the other replicas have it.
+/// An announcement that is being confirmed by other replicas.
 #[derive(Debug)]
 pub(super) struct Confirming {
-    /// Who is answered then.
+    /// Request to respond to afterwards.
     ticket: Ticket,
-    /// Replicas that have it.
+    /// Replicas that have confirmed it.
     by: BTreeSet<NodeId>,
-    /// Number of other replicas that must have it.
+    /// Number of confirmations required.
     wanted: usize,
-    /// When it is given up.
+    /// When the request is abandoned.
     until: MonoTime,
 }
 
 impl Coordinator {
-    /// Takes announcements that came by way of others.
+    /// Merges announcements received through another process.
     pub(super) fn take_announcements(&mut self, servers: Vec<Announcement>) {
         let mut news = Vec::new();
         for said in servers {
@@ -61,20 +61,21 @@
         self.tell_servers_soon(news);
     }
 
-    /// Takes an announcement and returns whether it tells anything new. Which
-    /// services there are shows by their other backend servers.
+    /// Merges an announcement and returns whether it contains anything new. A service
+    /// counts as existing if the directory knows another backend server of it.
     fn learn(&mut self, said: Announcement) -> bool {
         let is_named = self.directory.has_other(&said);
         self.directory.take(self.now, said, is_named)
     }
 
-    /// Compares with a replica that can be reached now what both know of backend servers.
+    /// Compares directories with a replica that has just become reachable.
     ///
-    /// What was announced here while there was no connection went nowhere, and is
-    /// no news when it is announced again. After all processes had been started
-    /// anew, 20 of 78 engines stood unused for good: the replica that they had
-    /// reported to was a moment ahead of its connections. A process in reserve tells all
-    /// that it knows, which is what it was told itself: members have no connection to it.
+    /// An announcement received here while there was no connection was forwarded to nobody,
+    /// and repeating it later is not treated as news. After a full restart, 20 of 78
+    /// backend servers stayed unused permanently because the replica they had announced
+    /// themselves to was slightly ahead of its connections. A standby process sends
+    /// everything it knows, which consists of announcements made to it directly: members
+    /// have no connection to it over which they could ask.
     pub(super) fn compare_servers(&mut self, to: NodeId) {
         if self.peers.is_member() {
             self.tell_digests(to, true);
@@ -83,10 +84,12 @@
         }
     }
 
-    /// Takes what another replica holds, and asks it for what this one lacks.
+    /// Compares the received digests with the local directory and requests the buckets that
+    /// differ.
     ///
-    /// Of several that hold the same only one is asked. Told all by each, a replica that
-    /// starts among 24 would take each backend server 24 times.
+    /// If several replicas hold the same data, only one of them is asked. If each sent
+    /// everything, a replica that starts in a group of 24 would receive every backend
+    /// server 24 times.
     pub(super) fn compared(&mut self, from: NodeId, held: &Digests, ask: bool) {
         let differing = self.directory.digests().differing(held);
         if differing.is_empty() {
@@ -105,7 +108,7 @@
         }
     }
 
-    /// Tells a replica of the backend servers in some parts of the directory.
+    /// Sends a replica the backend servers in some buckets of the directory.
     pub(super) fn tell_servers(&mut self, to: NodeId, parts: Parts) {
         let servers: Vec<Announcement> = self.directory.tell_parts(self.now, parts).collect();
         if !servers.is_empty() {
@@ -114,7 +117,8 @@
         }
     }
 
-    /// Compares once more with the replicas that were not asked while others were.
+    /// Repeats the comparison with replicas that were skipped while another one was being
+    /// asked.
     pub(super) fn compare_due(&mut self) {
         let (now, due) = (self.now, &mut self.telling.compare_at);
         let due: Vec<NodeId> = due
@@ -135,11 +139,11 @@
         self.actions.push(Action::Send { to, message });
     }
 
-    /// Takes an announcement from a backend server itself.
+    /// Handles an announcement made by a backend server directly.
     ///
-    /// One that leaves is answered only once most other replicas have it as
-    /// well. Otherwise an entry that is connected to them alone would go on
-    /// sending it work after it was told that it is free to go.
+    /// A backend server that is leaving gets its response only once most other replicas
+    /// have the announcement too. Otherwise an entry that is connected only to those
+    /// replicas would keep sending it requests after it was told that it may exit.
     pub(super) fn announced(&mut self, ticket: Ticket, said: Announcement) {
         let news = self.learn(said.clone());
         let leaves = said.state != ServerState::Ready;
@@ -159,12 +163,13 @@
         self.actions.push(Action::Answer(ticket, Answer::Done));
     }
 
-    /// Takes the word of a backend server that it leaves, by its id and, if it
-    /// says, when it started. An older life of it leaves in vain.
+    /// Handles the notice of a backend server that it is leaving, identified by its id and
+    /// optionally its start time. A notice from an older incarnation is ignored.
     ///
-    /// One that is unknown here may be known to all others: this replica has just
-    /// started, or has no place in the group. Said yes to without telling them,
-    /// it left while entries went on sending it work, 41 requests in one case.
+    /// A backend server that is unknown here may be known to all other replicas, because
+    /// this replica has just started or is not a member. When such a notice was
+    /// acknowledged without informing the others, entries kept sending requests to a server
+    /// that had exited; 41 requests were lost in one case.
     pub(super) fn left(&mut self, ticket: Ticket, id: &str, born: Option<Born>) {
         let said = match self.directory.leave(self.now, id, born) {
             Some(said) => said,
@@ -182,7 +187,7 @@
         self.confirm(ticket, said);
     }
 
-    /// Notes that a replica has what it was asked to confirm.
+    /// Records that a replica has confirmed an announcement.
     pub(super) fn confirmed(&mut self, from: NodeId, number: u64) {
         let Some(confirming) = self.confirming.get_mut(&number) else {
             return;
@@ -195,8 +200,8 @@
         }
     }
 
-    /// Gives up announcements that others did not confirm in time; the backend
-    /// server asks another replica.
+    /// Abandons announcements that were not confirmed in time; the backend server then
+    /// tries another replica.
     pub(super) fn give_up_confirming(&mut self) {
         let now = self.now;
         let late: Vec<u64> = self
@@ -214,7 +219,7 @@
     }
 
     fn confirm(&mut self, ticket: Ticket, said: Announcement) {
-        // Others do not confirm anything to a process that is no member.
+        // Replicas do not confirm announcements of a non-member.
         if !self.peers.is_member() {
             let answer = self.elsewhere();
             self.actions.push(Action::Answer(ticket, answer));
@@ -251,8 +256,8 @@
     }
 }
 
-/// Returns the announcement of a backend server that left and of which nothing
-/// else is known.
+/// Returns the announcement of a backend server that has left and about which nothing else
+/// is known.
 fn gone(id: &str, born: Born) -> Announcement {
     Announcement {
         id: id.into(),
--- a/sesamebeam_core/src/gateway/coordinator/calls.rs
+++ b/sesamebeam_core/src/gateway/coordinator/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of operators and backend servers.
+//! Requests from operators and backend servers.
 
 use std::{
     net::SocketAddr,
@@ -37,57 +37,57 @@
     },
 };
 
-/// What a caller asks for.
+/// Request from an operator or a backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// A backend server tells of itself.
+    /// A backend server announces itself.
     Announce(Announcement),
     /// A backend server leaves.
     Leave {
-        /// Its name.
+        /// Id of the backend server.
         id: ServerId,
-        /// When it started, if it says.
+        /// Its start time, if provided.
         born: Option<Born>,
     },
-    /// An operator puts a checked configuration in force.
+    /// An operator applies a validated configuration.
     Apply(Document),
     /// An operator reads the newest configuration.
     ReadConfig,
-    /// An operator starts a roll-out.
+    /// An operator starts a rollout.
     StartRollout {
         /// Service.
         service: ServiceId,
-        /// Version that is brought in.
+        /// Version to roll out.
         target: SmolStr,
-        /// Time in which it should be done.
+        /// Intended duration.
         duration: Duration,
     },
-    /// An operator asks how far a roll-out is.
+    /// An operator reads the progress of a rollout.
     ReadRollout(ServiceId),
-    /// An operator wants nothing more sent to the backend servers of a failure domain.
+    /// An operator evacuates a failure domain: no new requests go to its backend servers.
     Evacuate(DomainId),
-    /// An operator takes that back.
+    /// An operator reverts an evacuation.
     Readmit(DomainId),
 }
 
-/// What a caller is told.
+/// Response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// It is done and will not be forgotten.
+    /// The change is committed, or the announcement is recorded.
     Done,
     /// The newest configuration.
     Config(Bytes),
-    /// A roll-out.
+    /// A rollout.
     Rollout(Rollout),
-    /// There is no such thing.
+    /// The requested object does not exist.
     Missing,
-    /// The leader listens for other replicas at this address.
+    /// Only the leader can handle this; it listens at the given address.
     Leader(SocketAddr),
-    /// Nothing can be said now; another replica may know.
+    /// This replica cannot handle the request now; another one may be able to.
     Unavailable,
 }
 
-/// A call that waits for the group.
+/// A request that is waiting for the group.
 #[derive(Debug)]
 pub(super) struct Waiting {
     call: Call,
@@ -95,7 +95,7 @@
 }
 
 impl Coordinator {
-    /// Takes a call.
+    /// Handles a request.
     pub(super) fn called(&mut self, ticket: Ticket, call: Call) {
         match call {
             Call::Announce(said) => self.announced(ticket, said),
@@ -124,9 +124,9 @@
                 };
                 self.propose(ticket, call, &command);
             }
-            // Never answered from the state at hand, as configurations are: between
-            // an order and its repeat the opposite may have been acknowledged, of
-            // which a replica that lags knows nothing.
+            // Unlike for configurations, the local state is never used to answer a repeated
+            // order: the opposite order may have been acknowledged in between, which a
+            // lagging replica does not know.
             Call::Evacuate(ref domain) if !self.store.may_evacuate(domain) => {
                 self.answer(ticket, Answer::Unavailable);
             }
@@ -147,14 +147,14 @@
         }
     }
 
-    /// Answers a call whose entry is committed.
+    /// Responds to a request whose log entry is committed.
     pub(super) fn done(&mut self, ticket: Ticket) {
         if self.waiting.remove(&ticket).is_some() {
             self.answer(ticket, Answer::Done);
         }
     }
 
-    /// Answers a read that is safe by now.
+    /// Responds to a read once it is linearizable.
     pub(super) fn read_ready(&mut self, ticket: Ticket) {
         let Some(waiting) = self.waiting.remove(&ticket) else {
             return;
@@ -173,7 +173,7 @@
         self.answer(ticket, answer);
     }
 
-    /// Answers a call that is not carried out here, or may not be.
+    /// Responds to a request that the replica has rejected.
     pub(super) fn rejected(&mut self, ticket: Ticket, reason: Rejection) {
         if self.waiting.remove(&ticket).is_none() {
             return;
@@ -187,7 +187,7 @@
         self.answer(ticket, answer);
     }
 
-    /// Gives up calls that the group did not answer in time.
+    /// Responds to requests that the group did not complete in time.
     pub(super) fn give_up_late(&mut self) {
         self.give_up_confirming();
         let now = self.now;
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Proposes a change on behalf of this replica itself.
+    /// Proposes a change on behalf of this replica.
     pub(super) fn propose_own(&mut self, command: &Command) {
         let ticket = self.own_ticket();
         if let Ok(data) = postcard::to_stdvec(command) {
@@ -211,10 +211,10 @@
         }
     }
 
-    /// Returns a ticket that nobody waits for.
+    /// Returns a ticket for which no caller waits for a response.
     pub(super) fn own_ticket(&mut self) -> Ticket {
         self.next_ticket += 1;
-        // Callers' tickets come from a counter at the edge that starts at 0.
+        // Tickets of callers come from a counter that starts at 0.
         Ticket::MAX - self.next_ticket
     }
 
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Returns whether this replica leads; otherwise tells the caller who does.
+    /// Returns whether this replica leads; if not, redirects the caller to the leader.
     fn may_lead(&mut self, ticket: Ticket) -> bool {
         if self.leads() {
             return true;
@@ -245,7 +245,7 @@
         false
     }
 
-    /// Returns what a caller is told whose call only the leader can take.
+    /// Returns the response to a request that only the leader can handle.
     pub(super) fn elsewhere(&self) -> Answer {
         match self.leader_addr() {
             Some(addr) if addr != self.cfg.addr => Answer::Leader(addr),
--- a/sesamebeam_core/src/gateway/coordinator/group.rs
+++ b/sesamebeam_core/src/gateway/coordinator/group.rs
@@ -1,4 +1,4 @@
-//! Who is in the group, and mending it without an operator.
+//! Membership of the replica group and its automatic repair.
 
 use std::{
     collections::BTreeMap,
@@ -32,27 +32,27 @@
     },
 };
 
-/// Silence after which a replica's place may be given to another that asks for
-/// one. Longer than a restart takes, well within the time in which a replaced
-/// replica must be back in full.
+/// Silence after which a replica may be replaced by a process that asks to join. It is
+/// longer than a restart takes, and well within the time in which a replaced replica must
+/// be fully operational again.
 const SILENT_FOR: Duration = Duration::from_secs(2);
 
-/// Pause between two times that seeds without a place are told of the group.
-/// Entries that know of nobody else ask them; with this and the round trip they
-/// are served again within a second, an eighth of the shortest time that users
-/// give a recovery. Each time costs the leader one connection to each such seed.
+/// Interval at which seeds outside the group are sent the membership. Entries that know no
+/// other process ask the seeds; with this interval plus the round trip they are served
+/// again within a second, an eighth of the shortest recovery time that users specify. Each
+/// round costs the leader one connection per such seed.
 const TELL_SEEDS_EVERY: Duration = Duration::from_millis(500);
 
-/// Time for which a process in reserve sends callers to the leader that it asked last: a
-/// few of its rounds of questions, within which a lost leader has a successor.
+/// Time for which a standby process redirects callers to the last known leader: a few of
+/// its polling rounds, within which a lost leader has a successor.
 const LEADER_KNOWN_FOR: Duration = Duration::from_millis(1000);
 
-/// Replicas of a group with their addresses.
+/// Replicas of a group and their addresses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Peers {
-    /// This process, if it has a number.
+    /// Id of this process, if it has one.
     own: Option<NodeId>,
-    /// Where each listens.
+    /// Listen address of each replica.
     addrs: BTreeMap<NodeId, SocketAddr>,
 }
 
@@ -62,7 +62,7 @@
         self.addrs.values().copied().collect()
     }
 
-    /// Returns where a replica listens.
+    /// Returns the address of a replica.
     pub fn addr(&self, node: NodeId) -> Option<SocketAddr> {
         self.addrs.get(&node).copied()
     }
@@ -77,12 +77,12 @@
         self.addrs.len()
     }
 
-    /// Returns whether this process is one of them.
+    /// Returns whether this process is a member.
     pub(super) fn is_member(&self) -> bool {
         self.own.is_some_and(|own| self.addrs.contains_key(&own))
     }
 
-    /// Returns the numbers of the others.
+    /// Returns the ids of the other replicas.
     pub(super) fn others(&self) -> Vec<NodeId> {
         let nodes = self.addrs.keys().copied();
         nodes.filter(|&node| Some(node) != self.own).collect()
@@ -90,7 +90,8 @@
 }
 
 impl Coordinator {
-    /// Takes what another process told of the group, for one that is no member.
+    /// Sets the replicas as reported by another process, unless this process knows the
+    /// members itself.
     pub fn learn_peers(&mut self, peers: impl IntoIterator<Item = (NodeId, SocketAddr)>) {
         if self
             .replica
@@ -103,17 +104,17 @@
         }
     }
 
-    /// Takes which process leads the group, as that one has answered itself.
+    /// Records the address of a process that has reported itself as the leader.
     pub fn learn_leader(&mut self, now: MonoTime, leader: SocketAddr) {
         self.known_leader = Some((leader, now));
     }
 
-    /// Returns this process's number, if it has one.
+    /// Returns the replica id of this process, if it has one.
     pub fn id(&self) -> Option<NodeId> {
         self.replica.as_ref().map(Replica::id)
     }
 
-    /// Returns whether this process has a place in the group as it knows it.
+    /// Returns whether this process is a member of the group according to its own state.
     pub fn is_member(&self) -> bool {
         let own = self.replica.as_ref();
         own.is_some_and(|r| r.members().get(r.id()).is_some())
@@ -124,7 +125,7 @@
         self.replica.as_ref().is_some_and(|r| r.leader().is_some())
     }
 
-    /// Answers a question about the group.
+    /// Handles a membership request.
     pub(super) fn asked(&mut self, ticket: Ticket, question: Question) {
         let reply = match (&self.replica, question) {
             (_, Question::Told { replicas, .. }) => {
@@ -146,7 +147,7 @@
         self.actions.push(Action::Reply(ticket, reply));
     }
 
-    /// Follows a change of the membership.
+    /// Applies a membership change.
     pub(super) fn members_changed(&mut self, members: &Members) {
         let own = self.replica.as_ref().map(|r| r.id());
         self.places.retain(|node| members.get(node).is_some());
@@ -155,7 +156,7 @@
         self.set_peers(Peers { own, addrs });
     }
 
-    /// Notes a change of role.
+    /// Handles a change of role.
     pub(super) fn role_changed(&mut self, role: Role) {
         self.note(Note::Role(role));
         if role == Role::Leader {
@@ -164,7 +165,8 @@
         }
     }
 
-    /// Returns where the leader listens. A process in reserve knows it from its answers.
+    /// Returns the address of the leader. A standby process knows it from the leader's
+    /// replies.
     pub(super) fn leader_addr(&self) -> Option<SocketAddr> {
         if self.is_member() {
             let replica = self.replica.as_ref()?;
@@ -174,13 +176,13 @@
         (self.now < at + LEADER_KNOWN_FOR).then_some(leader)
     }
 
-    /// Tells seeds without a place who is in the group.
+    /// Sends the membership to seeds that are not members.
     ///
-    /// Over time other processes take the places of seeds. When all processes
-    /// have lost their power then, with the disks of some, every process that
-    /// starts without a place asks the seeds, and none of them knows the members:
-    /// the group led and committed, and no entry ever heard of it. The leader
-    /// knows the seeds from its settings, so that it is the one to speak first.
+    /// Over time other processes replace the seeds as members. If all processes then lose
+    /// power, and some of them their disks, every process that starts as a non-member asks
+    /// the seeds, and none of these knows the members: the group had a leader and
+    /// committed, but no entry ever learned of it. The leader knows the seeds from its
+    /// settings, so it contacts them first.
     pub(super) fn tell_seeds(&mut self) {
         let Some(replica) = &self.replica else {
             return;
@@ -200,10 +202,10 @@
         }
     }
 
-    /// Takes out a silent replica that is not needed any more.
+    /// Removes a silent voter that is no longer needed.
     ///
-    /// A replica that was added before its forerunner left makes the group one
-    /// larger; kept, the forerunner would count as a loss for ever.
+    /// A replica that was added before its predecessor was removed makes the group one
+    /// larger. If the predecessor stayed, it would permanently count as a failed voter.
     pub(super) fn mend_group(&mut self) {
         if !self.leads() {
             return;
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Gives a process a place in the group, if there is one.
+    /// Admits a process to the group if there is a vacancy.
     fn join(
         &mut self,
         node: NodeId,
@@ -288,7 +290,7 @@
         }
     }
 
-    /// Returns the voter that has been silent for longest, if it is for long.
+    /// Returns the voter that has been silent for longest, if beyond the timeout.
     fn silent_voter(&self) -> Option<NodeId> {
         let replica = self.replica.as_ref()?;
         let progress = replica.progress(self.now);
@@ -306,7 +308,7 @@
         members.unwrap_or_default()
     }
 
-    /// Returns the replicas that vote, and those that are being let in.
+    /// Returns the voters and the replicas that are joining.
     fn placed(&self) -> Vec<NodeId> {
         let progress = self.replica.as_ref().map(|r| r.progress(self.now));
         let placed = progress.into_iter().flatten();
@@ -314,7 +316,7 @@
         placed.map(|s| s.node).collect()
     }
 
-    /// Returns how many replicas should vote.
+    /// Returns the intended number of voters.
     fn wanted(&self) -> usize {
         2 * self.cfg.tolerated + 1
     }
--- a/sesamebeam_core/src/gateway/coordinator/places.rs
+++ b/sesamebeam_core/src/gateway/coordinator/places.rs
@@ -1,8 +1,8 @@
-//! Failure domains of the replicas that vote.
+//! Distribution of the voters over failure domains.
 //!
-//! The loss of a failure domain must leave a quorum, and entries are told by a replica of
-//! their own domain if one votes there. So a free place goes to a process of a domain with
-//! the fewest voters among those that ask.
+//! The loss of one failure domain must leave a quorum, and entries follow a replica of
+//! their own domain if it has a voter. A vacancy therefore goes to a process in the domain
+//! with the fewest voters among those that ask to join.
 
 use std::{
     collections::BTreeMap,
@@ -15,37 +15,37 @@
     NodeId, //
 };
 
-/// Time in which every process that wants a place has asked: two of its rounds.
+/// Time within which every process that wants to join has asked: two of its polling rounds.
 const ALL_ASK_IN: Duration = Duration::from_millis(600);
 
-/// What a replica knows of where others are.
+/// Known failure domains of replicas, and recent requests to join.
 #[derive(Debug, Default)]
 pub(super) struct Places {
     domains: BTreeMap<NodeId, DomainId>,
-    /// When a process of each failure domain last asked for a place.
+    /// When a process of each failure domain last asked to join.
     asked: BTreeMap<DomainId, MonoTime>,
-    /// Since when there is a free place.
+    /// Since when the group has had a vacancy.
     free_since: Option<MonoTime>,
 }
 
 impl Places {
-    /// Notes the failure domain of a replica.
+    /// Records the failure domain of a replica.
     pub(super) fn learn(&mut self, node: NodeId, domain: DomainId) {
         self.domains.insert(node, domain);
     }
 
-    /// Forgets replicas that are gone.
+    /// Drops replicas that are no longer members.
     pub(super) fn retain(&mut self, known: impl Fn(NodeId) -> bool) {
         self.domains.retain(|&node, _| known(node));
     }
 
-    /// Returns the failure domains that are known.
+    /// Returns the known failure domains.
     pub(super) fn domains(&self) -> &BTreeMap<NodeId, DomainId> {
         &self.domains
     }
 
-    /// Returns whether a process of a failure domain gets the free place, if there is one,
-    /// beside the replicas that stay.
+    /// Returns whether a process of a failure domain may fill the vacancy, if there is one,
+    /// given the replicas that stay.
     pub(super) fn admits<'a>(
         &mut self,
         now: MonoTime,
--- a/sesamebeam_core/src/gateway/coordinator/telling.rs
+++ b/sesamebeam_core/src/gateway/coordinator/telling.rs
@@ -1,7 +1,7 @@
-//! Telling entries of what changes, and passing their reports on.
+//! Publishing changes to entries and forwarding their reports.
 //!
-//! What comes together is told together. Told one by one, 168 backend servers that
-//! announce themselves anew are 49,560 messages from a replica to 295 entries.
+//! Changes that occur together are sent together. Sent one by one, 168 backend servers that
+//! announce themselves again cause 49,560 messages from one replica to 295 entries.
 
 use std::{
     collections::{
@@ -51,82 +51,81 @@
     replica::Replica,
 };
 
-/// Least pause between two times that backend servers are told of, and that
-/// entries are answered which lack something. A leaving backend server stays for
-/// two seconds at least.
+/// Minimum interval between two batches of updates and of replies to entries that request
+/// missing data. A leaving backend server stays up for at least two seconds.
 const PACK_EVERY: Duration = Duration::from_millis(50);
 
-/// Pause between two times that backend servers are kept on the disk. What leaves
-/// is told to entries within a tenth of that.
+/// Minimum interval between two saves of the backend servers to disk. Entries learn of a
+/// leaving server within a tenth of that.
 const KEEP_EVERY: Duration = Duration::from_millis(500);
 
-/// Pause before another process is asked for what this replica lacks: an answer takes
-/// a few round trips.
+/// Delay before another process is asked for the same data: a reply takes a few round
+/// trips.
 pub(super) const WANT_EVERY: Duration = Duration::from_millis(300);
 
-/// Most announcements in one message to entries: some 8 KB packed. Each connection keeps a
-/// buffer as large as its largest message, and a message that takes a second to leave, on
-/// a narrow link that requests use too, ends its connection.
+/// Maximum number of announcements in one message to entries, about 8 KB encoded. Every
+/// connection keeps a buffer as large as its largest message, and a message that takes a
+/// second to send, on a slow link shared with requests, gets its connection closed.
 pub const MOST_IN_MESSAGE: usize = 256;
 
-/// Most backend servers of a part that are told without asking first which of its sections
-/// differ: as many bytes as the digests of these.
+/// Maximum number of backend servers in a bucket that are sent without first finding out
+/// which sections differ. Sending them takes as many bytes as sending the section digests.
 const TOLD_WHOLE: usize = 8;
 
-/// What entries are to be told, and have said.
+/// Pending updates for entries, and the reports collected from them.
 #[derive(Debug, Default)]
 pub(super) struct Telling {
-    /// Entries that are connected.
+    /// Connected entries.
     entries: BTreeSet<EntryLife>,
-    /// How many there are, as far as that is known.
+    /// Estimate of the number of entries.
     counted: Counted,
-    /// Entries that are told of all that changes from here.
+    /// Entries that subscribe to all updates from this replica.
     followers: BTreeSet<EntryLife>,
-    /// Entries that wait for what they lack, with what they hold.
+    /// Entries that have requested missing data, with their state.
     lacking: BTreeMap<EntryLife, Held>,
-    /// Backend servers that followers are to be told of.
+    /// Announcements to send to followers.
     fresh: BTreeMap<ServerId, Announcement>,
-    /// When entries were last told.
+    /// When the last batch was sent.
     packed_at: MonoTime,
-    /// When others may be asked again for each part of the directory.
+    /// When each bucket of the directory may be requested again.
     want_at: BTreeMap<usize, MonoTime>,
-    /// When this replica compares its backend servers with another again, which was not
-    /// asked as others were.
+    /// When to repeat the directory comparison with replicas that were skipped while others
+    /// were being asked.
     pub(super) compare_at: BTreeMap<NodeId, MonoTime>,
-    /// Reports that the other replicas are to have.
+    /// Report to forward to the other replicas.
     report: Report,
-    /// Backend servers that followers could not reach, which the others should know
-    /// of. Most follow the replica of their own failure domain.
+    /// Unreachable backend servers reported by followers, to be sent to the other
+    /// followers. Most followers are in the same failure domain as this replica.
     unreached: BTreeSet<Unreached>,
-    /// What entries are to be told of the replicated state, and whether the
-    /// configuration is part of it.
+    /// Whether a change of the replicated state is to be published, and if so, whether it
+    /// includes the configuration.
     news: Option<bool>,
-    /// Position in the log of the newest change.
+    /// Log position of the latest change.
     changed_at: LogIndex,
-    /// Whether entries were told that the state is current.
+    /// Whether entries have been told that the state is current.
     told_current: bool,
-    /// What this replica holds, as it was last said.
+    /// Last published summary.
     summary: Summary,
-    /// Shares that entries were last told.
+    /// Last published shares.
     shares: Vec<ShareOf>,
-    /// Limits that entries were last told.
+    /// Last published limits.
     limits: Vec<LimitOf>,
-    /// Digest of the backend servers that were last kept, and when.
+    /// Digest of the backend servers that were last saved, and when.
     kept: (u32, MonoTime),
 }
 
 impl Telling {
-    /// Returns whether something waits for the next time that entries are told.
+    /// Returns whether anything waits for the next batch.
     fn waits(&self) -> bool {
         !self.lacking.is_empty() || !self.fresh.is_empty()
     }
 
-    /// Returns when that is, if anything waits.
+    /// Returns when the next batch is due, if anything waits for it.
     pub(super) fn next_wake(&self) -> Option<MonoTime> {
         self.waits().then_some(self.packed_at + PACK_EVERY)
     }
 
-    /// Forgets that entries were told that the state is current.
+    /// Resets the record that entries know the state to be current.
     pub(super) fn restart(&mut self) {
         self.told_current = false;
     }
@@ -137,7 +136,7 @@
 }
 
 impl Coordinator {
-    /// Takes an entry that has connected.
+    /// Handles a newly connected entry.
     pub(super) fn subscribe(&mut self, life: EntryLife) {
         self.telling.entries.insert(life);
         let entries = self.telling.entries.len() as u32;
@@ -146,17 +145,18 @@
         self.push(Receivers::These(vec![life]), fleet);
     }
 
-    /// Forgets an entry whose connection has ended.
+    /// Removes an entry whose connection has closed.
     pub(super) fn unsubscribe(&mut self, life: EntryLife) {
         self.telling.entries.remove(&life);
         self.telling.lacking.remove(&life);
         self.unfollow(life);
     }
 
-    /// Tells an entry, which holds something already, from now on.
+    /// Subscribes an entry with the given state to updates.
     ///
-    /// It may know of more entries than a replica that has started behind a cut, by whose
-    /// count those that start there would take more than their part of what all share.
+    /// The entry may know of more entries than a replica that has started inside a network
+    /// partition. If the replica used its own count, entries that start there would claim
+    /// too large a portion of the shared budgets.
     pub(super) fn follow(&mut self, life: EntryLife, held: Held) {
         self.telling.followers.insert(life);
         self.telling.counted.confirmed(held.entries);
@@ -177,17 +177,17 @@
         }
     }
 
-    /// Tells an entry no more.
+    /// Ends an entry's subscription.
     pub(super) fn unfollow(&mut self, life: EntryLife) {
         self.telling.followers.remove(&life);
     }
 
-    /// Notes that an entry lacks something of what is known here.
+    /// Records that an entry requests the data that it is missing.
     pub(super) fn lacks(&mut self, life: EntryLife, held: Held) {
         self.telling.lacking.insert(life, held);
     }
 
-    /// Takes what an entry of this replica has seen.
+    /// Handles the report of an entry connected to this replica.
     pub(super) fn reported(&mut self, report: Report) {
         let mut report = report;
         self.take_report(&report);
@@ -196,7 +196,7 @@
         self.telling.report.add(report);
     }
 
-    /// Takes what entries have seen.
+    /// Processes the observations of entries.
     pub(super) fn take_report(&mut self, report: &Report) {
         self.trials.have_run(self.now, &self.store, &report.ages);
         self.trials.take(self.now, &self.store, &report.evidence);
@@ -211,20 +211,20 @@
         }
     }
 
-    /// Notes backend servers that followers are to be told of.
+    /// Queues announcements for the followers.
     pub(super) fn tell_servers_soon(&mut self, servers: impl IntoIterator<Item = Announcement>) {
         let fresh = &mut self.telling.fresh;
         fresh.extend(servers.into_iter().map(|said| (said.id.clone(), said)));
     }
 
-    /// Notes that the replicated state has changed.
+    /// Records that the replicated state has changed.
     pub(super) fn note_news(&mut self, index: LogIndex, with_config: bool) {
         let news = &mut self.telling.news;
         *news = Some(with_config || news.unwrap_or_default());
         self.telling.changed_at = index;
     }
 
-    /// Tells entries what an event has changed.
+    /// Publishes the changes caused by an event.
     pub(super) fn tell(&mut self) {
         self.tell_state();
         if self.telling.waits() && self.now >= self.telling.packed_at + PACK_EVERY {
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Tells what is due at every look.
+    /// Publishes what is due in each periodic run.
     pub(super) fn tell_due(&mut self) {
         self.compare_due();
         if self.telling.counted.has_news(self.now) {
@@ -275,7 +275,7 @@
         self.keep_servers(summary.servers);
     }
 
-    /// Has backend servers kept on the disk if they have changed.
+    /// Saves the backend servers to disk if they have changed.
     fn keep_servers(&mut self, digest: u32) {
         let (kept, at) = self.telling.kept;
         if digest == kept || self.now < at + KEEP_EVERY {
@@ -287,7 +287,7 @@
         self.actions.push(Action::KeepServers(servers));
     }
 
-    /// Tells of the limits of backend servers if any has come, changed or ended.
+    /// Publishes the limits of backend servers if any was added, changed or ended.
     fn tell_limits(&mut self) {
         if self.limits.is_empty() {
             return;
@@ -303,7 +303,7 @@
         }
     }
 
-    /// Notes shares that have changed.
+    /// Logs the admitted shares if they have changed.
     fn note_shares(&mut self, shares: &[ShareOf]) {
         if self.telling.shares != shares {
             self.telling.shares = shares.to_vec();
@@ -311,18 +311,18 @@
         }
     }
 
-    /// Tells all entries who is in the group.
+    /// Sends the group's membership to all entries.
     pub(super) fn tell_fleet(&mut self) {
         let fleet = self.fleet();
         self.push(Receivers::All, fleet);
     }
 
-    /// Tells entries of the replicated state as it is after an event.
+    /// Publishes the replicated state as it is after an event.
     ///
-    /// A replica that has started applies its whole log at once. Told of each
-    /// change by itself, entries that had started too put 25 configurations in
-    /// force one after the other, for 30 ms, and answered 23 callers whose keys
-    /// came with one of the later ones that there is no such key.
+    /// A replica that has started applies its whole log at once. When each change was
+    /// published separately, entries that had also just started activated 25 configurations
+    /// one after the other within 30 ms, and rejected 23 callers whose keys were only added
+    /// by one of the later ones.
     fn tell_state(&mut self) {
         let current = self.replica.as_ref().is_some_and(Replica::is_current);
         if current && !self.telling.told_current {
@@ -334,14 +334,14 @@
         };
         let state = self.state(with_config);
         self.push(self.telling.followers(), state);
-        // Those that another replica tells notice by this if it does not.
+        // Lets entries that follow another replica detect that it lags behind.
         let summary = self.summary();
         self.telling.summary = summary;
         self.actions.push(Action::Holds(summary));
         self.push(Receivers::All, ToEntry::Alive(summary));
     }
 
-    /// Tells entries what they lack, those that lack the same at once.
+    /// Sends entries what they are missing, grouped by identical content.
     fn tell_lacking(&mut self) {
         let config = self.store.config().map(|c| c.version);
         let own = self.directory.digests().clone();
@@ -372,27 +372,27 @@
         }
     }
 
-    /// Returns the parts, of those that differ, of which an entry is told the digests of
-    /// their sections first: it has something in them, and they hold many backend servers.
+    /// Returns which of the differing buckets are compared section by section first: those
+    /// in which the entry has data and which hold many backend servers.
     fn detailed(&self, differing: Parts, filled: Parts) -> Parts {
         let large = |&n: &usize| self.directory.count_part(n) > TOLD_WHOLE;
         Parts::these(differing.and(filled).numbers().filter(large))
     }
 
-    /// Tells an entry of the backend servers in some sections of the directory.
+    /// Sends an entry the backend servers in some sections of the directory.
     pub(super) fn lacks_sections(&mut self, life: EntryLife, sections: &[Section]) {
         let servers = self.directory.tell_sections(self.now, sections).collect();
         self.push_servers(&Receivers::These(vec![life]), servers);
     }
 
-    /// Pushes announcements, no more in a message than [`MOST_IN_MESSAGE`].
+    /// Sends announcements in chunks of at most [`MAX_ANNOUNCEMENTS_PER_MESSAGE`].
     fn push_servers(&mut self, to: &Receivers, servers: Vec<Announcement>) {
         for servers in servers.chunks(MOST_IN_MESSAGE) {
             self.push(to.clone(), ToEntry::Servers(servers.to_vec()));
         }
     }
 
-    /// Asks an entry for what it knows of parts that differ, one entry at a time.
+    /// Requests differing buckets from an entry, asking one entry at a time.
     fn want(&mut self, life: EntryLife, differing: Parts, filled: Parts) {
         let (parts, _) = self.claim_parts(differing, filled);
         if !parts.is_empty() {
@@ -400,9 +400,9 @@
         }
     }
 
-    /// Returns the parts of the directory that a process may be asked for now, of those
-    /// that differ and that it has anything in, and whether there are others, for which
-    /// another process was asked just now.
+    /// Returns the buckets to request from a process now, among those that differ and that
+    /// are not empty there, and whether others were left out because another process has
+    /// just been asked for them.
     pub(super) fn claim_parts(&mut self, differing: Parts, filled: Parts) -> (Parts, bool) {
         let want_at = &mut self.telling.want_at;
         let now = self.now;
@@ -418,7 +418,7 @@
         self.push_servers(&self.telling.followers(), fresh.into_values().collect());
     }
 
-    /// Counts crashes and tells entries of requests that caused several.
+    /// Counts crashes and publishes the requests that have caused several.
     fn count_crashes(&mut self, crashes: &[Crash]) {
         let mut found = false;
         for crash in crashes {
@@ -430,13 +430,13 @@
         }
     }
 
-    /// Passes on which sessions must stay.
+    /// Records retained sessions and forwards them to followers.
     fn keep_sessions(&mut self, kept: &Kept) {
         self.trials.keep(kept);
         self.push(self.telling.followers(), ToEntry::Kept(kept.clone(), false));
     }
 
-    /// Makes up what entries are told of the replicated state.
+    /// Builds the message with the replicated state.
     fn state(&self, with_config: bool) -> ToEntry {
         let config = self.store.config().filter(|_| with_config).cloned();
         ToEntry::State {
@@ -464,7 +464,7 @@
         }
     }
 
-    /// Pushes a message to entries, if there are any.
+    /// Queues a message to entries unless there are no recipients.
     fn push(&mut self, to: Receivers, message: ToEntry) {
         if to != Receivers::These(Vec::new()) {
             self.actions.push(Action::Push(to, message));
--- a/sesamebeam_core/src/gateway/coordinator/trial.rs
+++ b/sesamebeam_core/src/gateway/coordinator/trial.rs
@@ -1,4 +1,4 @@
-//! Watching roll-outs and moving them on.
+//! Monitoring of rollouts and their phase transitions.
 
 use std::collections::{
     BTreeMap,
@@ -32,18 +32,18 @@
     ids::MonoTime,
 };
 
-/// Roll-outs that are watched.
+/// Rollouts being monitored.
 #[derive(Debug, Default)]
 pub(super) struct Trials {
     watched: BTreeMap<(ServiceId, SmolStr), Watch>,
-    /// When roll-outs started that are not applied here yet.
+    /// Start times of rollouts whose start command is not applied here yet.
     heard: BTreeMap<(ServiceId, SmolStr), MonoTime>,
-    /// Sessions that stay on the versions before.
+    /// Sessions that must stay on the previous versions.
     kept: BTreeMap<(ServiceId, SmolStr), BTreeSet<u64>>,
 }
 
 impl Trials {
-    /// Starts to watch roll-outs that are new here and forgets replaced ones.
+    /// Starts monitoring new rollouts and drops replaced ones.
     pub(super) fn follow(&mut self, now: MonoTime, rollouts: &Rollouts) {
         self.watched.retain(|(service, target), _| {
             rollouts.get(service).is_some_and(|r| r.target == *target)
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Notes how long roll-outs have run, those that are not applied here yet
-    /// included: a replica that starts hears of them first.
+    /// Records how long rollouts have been running, including those not applied here yet: a
+    /// replica that has just started learns of them from reports first.
     pub(super) fn have_run(&mut self, now: MonoTime, store: &Store, ages: &[Age]) {
         self.follow(now, store.rollouts());
         for Age {
@@ -81,15 +81,15 @@
         }
     }
 
-    /// Notes sessions that stay on the versions before a roll-out.
+    /// Records sessions that must stay on the versions before a rollout.
     pub(super) fn keep(&mut self, kept: &Kept) {
         let key = (kept.service.clone(), kept.target.clone());
         let sessions = self.kept.entry(key).or_default();
         sessions.extend(&kept.sessions);
     }
 
-    /// Returns the sessions that stay, and whether those that ran when the
-    /// roll-out started have all been reported.
+    /// Returns the retained sessions of each rollout, and whether all sessions that were
+    /// active when it started have been reported.
     pub(super) fn kept(&self, now: MonoTime) -> Vec<(Kept, bool)> {
         let report = |(key, watch): (&(ServiceId, SmolStr), &Watch)| {
             let sessions = self.kept.get(key).into_iter().flatten().copied();
@@ -103,7 +103,7 @@
         self.watched.iter().map(report).collect()
     }
 
-    /// Takes evidence from an entry.
+    /// Adds evidence from an entry.
     pub(super) fn take(&mut self, now: MonoTime, store: &Store, evidence: &[Evidence]) {
         self.follow(now, store.rollouts());
         for counts in evidence {
@@ -119,7 +119,7 @@
 }
 
 impl Coordinator {
-    /// Moves roll-outs on whose time has come or whose version is bad.
+    /// Proposes the next phase for rollouts that are due or whose new version is bad.
     pub(super) fn move_rollouts(&mut self) {
         if !self.leads() {
             return;
--- a/sesamebeam_core/src/gateway/digests.rs
+++ b/sesamebeam_core/src/gateway/digests.rs
@@ -1,11 +1,10 @@
-//! Digests by which two processes find what one knows of backend servers and the
-//! other does not.
+//! Digests for finding the differences between the directories of two processes.
 //!
-//! Backend servers are spread over parts by their names, and each part has one
-//! digest. Two directories that are alike show so by some hundred bytes; of others
-//! only the parts that differ are told. Told in full on every new connection, both
-//! ways, 3,000 backend servers overran a group that had just started: its 300 entries
-//! served nobody within 30 s.
+//! Backend servers are distributed over buckets by a hash of their id, and each bucket has
+//! one digest. A few hundred bytes show that two directories are equal; otherwise only the
+//! buckets that differ are exchanged. When directories were sent in full in both directions
+//! on every new connection, 3,000 backend servers overloaded a group that had just started:
+//! its 300 entries served no requests within 30 s.
 
 use serde::{
     Deserialize,
@@ -25,34 +24,35 @@
 };
 use crate::policy::hash;
 
-/// Highest bits of a key, which tell its part, and the next ones, which tell its section.
+/// Number of leading bits of a key that select the bucket, and of following bits that
+/// select the section.
 const PART_BITS: u32 = 6;
 const SECTION_BITS: u32 = 6;
 
-/// Bits of a key below those that tell its part, and below those that tell its section.
+/// Number of bits of a key below those of the bucket, and below those of the section.
 const PART_SHIFT: u32 = ServerKey::BITS - PART_BITS;
 const SECTION_SHIFT: u32 = PART_SHIFT - SECTION_BITS;
 
-/// Parts of a directory. The digests of all take 320 bytes.
+/// Number of buckets of a directory. The digests of all buckets take 320 bytes.
 pub const PARTS: usize = 1 << PART_BITS;
 
-/// Sections of a part.
+/// Number of sections of a bucket.
 const SECTIONS: usize = 1 << SECTION_BITS;
 
-/// A section of the directory, by its number among all.
+/// Number of a section, unique within the directory.
 pub type Section = u16;
 
-/// Digests of the sections of one part, by which a difference between two large
-/// directories is told without the rest of its part.
+/// Digests of the sections of one bucket. They narrow down a difference between two large
+/// directories, so that the rest of the bucket need not be sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartDetail {
-    /// Number of the part.
+    /// Number of the bucket.
     part: u8,
     sections: Vec<u32>,
 }
 
 impl PartDetail {
-    /// Makes the digests of what belongs to a part.
+    /// Computes the digests of the backend servers in a bucket.
     pub(super) fn of(part: usize, servers: impl Iterator<Item = Indexed>) -> Self {
         let mut sections = vec![0; SECTIONS];
         for server in servers {
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Returns the number of the part; none if the sender has others.
+    /// Returns the number of the bucket, or none if the sender uses another layout.
     pub(super) fn part(&self) -> Option<usize> {
         let part = usize::from(self.part);
         (part < PARTS && self.sections.len() == SECTIONS).then_some(part)
     }
 
-    /// Iterates over the sections in which two differ.
+    /// Iterates over the sections that differ.
     pub(super) fn differing(&self, other: &Self) -> impl Iterator<Item = Section> {
         let first = usize::from(self.part) * SECTIONS;
         let pairs = self.sections.iter().zip(&other.sections).enumerate();
@@ -80,13 +80,13 @@
     }
 }
 
-/// Returns the first and the last key of a part.
+/// Returns the first and last key of a bucket.
 pub(super) fn keys_of_part(part: usize) -> (ServerKey, ServerKey) {
     let first = (part as ServerKey) << PART_SHIFT;
     (first, first | (ServerKey::MAX >> PART_BITS))
 }
 
-/// Returns the first and the last key of a section.
+/// Returns the first and last key of a section.
 pub(super) fn keys_of_section(section: Section) -> (ServerKey, ServerKey) {
     let first = ServerKey::from(section) << SECTION_SHIFT;
     (
@@ -99,8 +99,8 @@
     (key >> SECTION_SHIFT) as Section
 }
 
-/// Returns the digest of one backend server. One that has left has none: one side may have
-/// forgotten it.
+/// Returns the digest of one backend server. It is 0 for one that is gone, because only one
+/// of the two sides may still remember it.
 fn digest(server: &Indexed) -> u32 {
     if server.state == ServerState::Gone {
         return 0;
@@ -110,51 +110,51 @@
     hash::name(held.as_bytes()) as u32
 }
 
-/// Some parts of a directory.
+/// Set of buckets of a directory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Parts(u64);
 
 impl Parts {
-    /// All parts.
+    /// All buckets.
     pub const ALL: Self = Self(u64::MAX);
 
-    /// Returns whether there are none.
+    /// Returns whether the set is empty.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
 
-    /// Returns those that are in both.
+    /// Returns the buckets that are in both sets.
     pub(super) fn and(self, others: Self) -> Self {
         Self(self.0 & others.0)
     }
 
-    /// Returns them without some others.
+    /// Returns the buckets that are not in the other set.
     pub(super) fn without(self, others: Self) -> Self {
         Self(self.0 & !others.0)
     }
 
-    /// Returns whether a backend server belongs to one of them.
+    /// Returns whether a backend server belongs to one of the buckets.
     pub fn has(self, id: &ServerId) -> bool {
         self.has_part(part(loads::key(id)))
     }
 
-    /// Returns whether a part is one of them, by its number.
+    /// Returns whether the set contains a bucket.
     pub(super) fn has_part(self, number: usize) -> bool {
         self.0 & (1 << number) != 0
     }
 
-    /// Iterates over the numbers of the parts.
+    /// Iterates over the numbers of the buckets.
     pub(super) fn numbers(self) -> impl Iterator<Item = usize> {
         (0..PARTS).filter(move |&n| self.has_part(n))
     }
 
-    /// Collects parts by their numbers.
+    /// Creates a set from bucket numbers.
     pub(super) fn these(numbers: impl Iterator<Item = usize>) -> Self {
         Self(numbers.fold(0, |parts, n| parts | (1 << n)))
     }
 }
 
-/// Digests of all parts of a directory; those of an empty one are 0.
+/// Digests of all buckets of a directory; an empty bucket has digest 0.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digests(Vec<u32>);
 
@@ -165,25 +165,25 @@
 }
 
 impl Digests {
-    /// Adds a backend server, or takes it out again.
+    /// Adds a backend server, or removes it if it was added before.
     pub(super) fn toggle(&mut self, server: &Indexed) {
         self.0[part(server.key())] ^= digest(server);
     }
 
-    /// Returns one digest of all.
+    /// Returns one digest of the whole directory.
     pub fn whole(&self) -> u32 {
         let bytes: Vec<u8> = self.0.iter().flat_map(|d| d.to_le_bytes()).collect();
         hash::name(&bytes) as u32
     }
 
-    /// Returns the parts in which two directories differ. All do if the other
-    /// sender spreads them otherwise.
+    /// Returns the buckets that differ between two directories: all of them if the other
+    /// side uses another number of buckets.
     pub fn differing(&self, other: &Self) -> Parts {
         let differs = |n: &usize| self.0.get(*n) != other.0.get(*n);
         Parts::these((0..PARTS).filter(differs))
     }
 
-    /// Returns the parts with anything in them.
+    /// Returns the buckets that are not empty.
     pub fn filled(&self) -> Parts {
         self.differing(&Self::default())
     }
--- a/sesamebeam_core/src/gateway/directory.rs
+++ b/sesamebeam_core/src/gateway/directory.rs
@@ -1,8 +1,8 @@
-//! What backend servers say of themselves.
+//! Directory of backend servers, built from their announcements.
 //!
-//! Announcements reach any control replica, are passed on to all of them and to
-//! every entry, and arrive in any order. Their sequence numbers make merging
-//! them independent of the order.
+//! An announcement is made to any control replica, forwarded to all replicas and entries,
+//! and may arrive in any order. Sequence numbers make the result of merging independent of
+//! that order.
 
 mod index;
 
@@ -41,109 +41,109 @@
     MonoTime, //
 };
 
-/// Name of a backend server. One that starts again may have another or the same.
+/// Id of a backend server. A restarted server may have the same id or another one.
 pub type ServerId = SmolStr;
 
-/// When a backend server started, in Unix milliseconds by its own clock; 0 if it
-/// does not say.
+/// Start time of a backend server in Unix milliseconds by its own clock; 0 if it does not
+/// provide one.
 pub type Born = u64;
 
-/// Start of a life that left and of which nothing else is known: no announcement
-/// of that name may bring it back.
+/// Start time of an incarnation that left and about which nothing else is known. No
+/// announcement with the same id can bring it back.
 pub const BORN_UNKNOWN: Born = Born::MAX;
 
-/// One life of a backend server. What it holds, and the numbers of what it says,
-/// end with it.
+/// One incarnation of a backend server. Its state and its sequence numbers end with it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Life {
-    /// Its name.
+    /// Id of the backend server.
     pub id: ServerId,
-    /// When it started.
+    /// Start time.
     pub born: Born,
 }
 
-/// Lives that have ended and are remembered, so that a late announcement does
-/// not bring one back. 8,192 are an hour of replacing two a second; each takes
-/// some 200 bytes.
+/// Number of ended incarnations that are remembered, so that a late announcement does not
+/// revive one. 8,192 cover an hour at two replacements per second; each takes about 200
+/// bytes.
 const MAX_ENDED: usize = 8192;
 
-/// By how much longer a backend server must be cold than it said before for that to
-/// be news: more than what delays announcements on a lossy way, less than the time for
-/// which any stays cold.
+/// How much later than previously announced the end of the cold phase must be to count as
+/// news. It exceeds the delay of announcements over a lossy network, and is less than any
+/// cold phase.
 const COLD_MARGIN: Duration = Duration::from_millis(1000);
 
-/// Whether a backend server takes work.
+/// Whether a backend server accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServerState {
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Leaves soon and takes no new work.
+    /// Will leave soon and accepts no new requests.
     Draining,
-    /// Has left, or is about to without another word.
+    /// Has left, or may leave without further notice.
     Gone,
 }
 
-/// What a backend server said of itself.
+/// Announcement of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Name of the backend server.
+    /// Id of the backend server.
     pub id: ServerId,
-    /// When this life of it started.
+    /// Start time of this incarnation.
     pub born: Born,
     /// Service that it belongs to.
     pub service: ServiceId,
-    /// Where it takes requests.
+    /// Address for requests.
     pub addr: SocketAddr,
     /// Failure domain.
     pub domain: DomainId,
     /// Version of its software.
     pub version: SmolStr,
-    /// Requests that it runs together.
+    /// Number of requests it runs concurrently.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub state: ServerState,
-    /// Time for which it stays cold: slow, and sensitive to more than a few requests.
+    /// Remaining time for which it is cold: slow, and sensitive to more than a few
+    /// requests.
     pub cold: Duration,
-    /// Models that it holds.
+    /// Models that it has loaded.
     pub models: Vec<ModelId>,
-    /// Grows with each announcement of this life.
+    /// Increases with each announcement of this incarnation.
     pub sequence: u64,
 }
 
-/// A backend server as this process knows it.
+/// A backend server as known to this process.
 #[derive(Clone, Debug)]
 pub struct Known {
     /// The newest announcement.
     pub said: Announcement,
-    /// When anything was last heard of it, from itself or from others.
+    /// When it was last heard of, directly or through others.
     pub heard_at: MonoTime,
-    /// Until when it is cold, by what it says.
+    /// When its cold phase ends, according to its announcement.
     pub cold_until: MonoTime,
 }
 
-/// All backend servers that were heard of.
+/// All known backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     servers: BTreeMap<ServerId, Known>,
     index: Index,
-    /// Digests of what is held.
+    /// Digests of the directory's contents.
     digests: Digests,
-    /// Backend servers that were looked at to take announcements.
+    /// Number of records examined to merge announcements.
     examined: u64,
 }
 
 impl Directory {
-    /// Takes an announcement and returns whether it tells anything new beyond
-    /// that the backend server lives.
+    /// Merges an announcement and returns whether it contains anything new beyond showing
+    /// that the backend server is alive.
     ///
-    /// A life that has left stays gone, and a new life at an address ends the
-    /// older one there: an announcement held up by a cut would otherwise send
-    /// work to a process that is not there any more. A name that starts again is
-    /// another life, told apart by when it started: its numbers start anew, and
-    /// what an older life said arrives in vain.
+    /// An incarnation that has left stays gone, and a new incarnation at an address ends
+    /// the older one there: otherwise an announcement delayed by a network partition would
+    /// direct requests to a process that no longer exists. A server that restarts under the
+    /// same id is a new incarnation, identified by its start time. Its sequence numbers
+    /// start again, and announcements of older incarnations are ignored.
     ///
-    /// `is_named` tells whether its service is one that there is. What another
-    /// writer says under a service that nobody has must not end a life that works.
+    /// `service_exists` tells whether the service is a known one. An announcement by a
+    /// third party for a service that nobody provides must not end a working incarnation.
     pub fn take(&mut self, now: MonoTime, said: Announcement, is_named: bool) -> bool {
         self.examined += 1;
         let born = self.servers.get(&said.id).map(|known| known.said.born);
@@ -171,20 +171,19 @@
         true
     }
 
-    /// Returns the digests of the lives that have not ended.
+    /// Returns the digests of the incarnations that are not gone.
     pub fn digests(&self) -> &Digests {
         &self.digests
     }
 
-    /// Returns whether a service has any other backend server.
+    /// Returns whether the announced service has any other backend server.
     pub fn has_other(&self, said: &Announcement) -> bool {
         let this = self.servers.get(&said.id);
         let is_of_it = this.is_some_and(|k| k.said.service == said.service);
         self.index.known(&said.service) > usize::from(is_of_it)
     }
 
-    /// Notes that a backend server has left, by its id and, if it says, when it
-    /// started.
+    /// Marks a backend server as gone, identified by its id and optionally its start time.
     pub fn leave(&mut self, now: MonoTime, id: &str, born: Option<Born>) -> Option<Announcement> {
         let known = self.servers.get(id)?;
         if born.is_some_and(|born| born != known.said.born) {
@@ -202,7 +201,7 @@
         self.servers.get(id)
     }
 
-    /// Iterates over the backend servers that share a key, mostly one.
+    /// Iterates over the backend servers that share a key, usually one.
     pub fn with_key(&self, key: ServerKey) -> impl Iterator<Item = &Known> {
         self.with_keys((key, key))
     }
@@ -212,15 +211,16 @@
         ids.filter_map(|id| self.servers.get(id))
     }
 
-    /// Iterates over what others are told now of the backend servers in some parts, those
-    /// that have left included.
+    /// Iterates over current announcements of the backend servers in some buckets,
+    /// including those that are gone.
     pub fn tell_parts(&self, now: MonoTime, parts: Parts) -> impl Iterator<Item = Announcement> {
         let keys = parts.numbers().map(digests::keys_of_part);
         let known = keys.flat_map(|keys| self.with_keys(keys));
         known.map(move |known| known.tell(now))
     }
 
-    /// Iterates over the same of some sections.
+    /// Iterates over current announcements of the backend servers in some sections,
+    /// including those that are gone.
     pub fn tell_sections<'a>(
         &'a self,
         now: MonoTime,
@@ -231,17 +231,17 @@
         known.map(move |known| known.tell(now))
     }
 
-    /// Returns how many backend servers are in a part, those that have left included.
+    /// Returns the number of backend servers in a bucket, including those that are gone.
     pub fn count_part(&self, part: usize) -> usize {
         self.with_keys(digests::keys_of_part(part)).count()
     }
 
-    /// Returns the digests of the sections of some parts.
+    /// Returns the section digests of some buckets.
     pub fn details(&self, parts: Parts) -> Vec<PartDetail> {
         parts.numbers().map(|part| self.detail(part)).collect()
     }
 
-    /// Returns the sections in which another directory differs.
+    /// Returns the sections that differ from those of another directory.
     pub fn differing_sections(&self, details: &[PartDetail]) -> Vec<Section> {
         let pairs = details.iter().filter_map(|theirs| {
             let own = self.detail(theirs.part()?);
@@ -255,27 +255,28 @@
         PartDetail::of(part, known.map(Indexed::of))
     }
 
-    /// Iterates over what others are told now of all, those that have left included.
+    /// Iterates over current announcements of all backend servers, including those that are
+    /// gone.
     pub fn tell(&self, now: MonoTime) -> impl Iterator<Item = Announcement> + '_ {
         self.servers.values().map(move |known| known.tell(now))
     }
 
-    /// Iterates over all that were heard of, those that have left included.
+    /// Iterates over all known backend servers, including those that are gone.
     pub fn all(&self) -> impl Iterator<Item = &Known> + '_ {
         self.servers.values()
     }
 
-    /// Returns how many were heard of, those that have left included.
+    /// Returns the number of known backend servers, including those that are gone.
     pub fn count(&self) -> usize {
         self.servers.len()
     }
 
-    /// Iterates over those of a service that take work, in groups.
+    /// Iterates over the ready backend servers of a service in groups.
     pub fn groups<'a>(&'a self, service: &str) -> impl Iterator<Item = Group<'a>> + use<'a> {
         self.index.groups(service)
     }
 
-    /// Iterates over those of a group with a key in a window.
+    /// Iterates over the backend servers of a group with a key in a window.
     pub fn members<'a>(
         &'a self,
         group: &Group<'a>,
@@ -285,18 +286,18 @@
         ids.filter_map(|id| self.servers.get(id))
     }
 
-    /// Iterates over those of a service that take work.
+    /// Iterates over the ready backend servers of a service.
     pub fn ready<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Known> + use<'a> {
         let groups = self.groups(service);
         groups.flat_map(|group| self.members(&group, Window::ALL))
     }
 
-    /// Returns how many backend servers were looked at to take announcements.
+    /// Returns the number of records examined to merge announcements.
     pub fn examined(&self) -> u64 {
         self.examined
     }
 
-    /// Returns whether a life that started later is at its address.
+    /// Returns whether an incarnation that started later is at the same address.
     fn is_outlived(&mut self, said: &Announcement) -> bool {
         let there = self.index.at(said.addr);
         self.examined += there.len() as u64;
@@ -325,7 +326,7 @@
         }
     }
 
-    /// Changes a backend server and what is indexed of it.
+    /// Modifies a record and keeps the index and digests in sync.
     fn change<T>(&mut self, id: &str, change: impl FnOnce(&mut Known) -> T) -> Option<T> {
         let known = self.servers.get_mut(id)?;
         let before = Indexed::of(known);
@@ -340,7 +341,7 @@
         Some(result)
     }
 
-    /// Puts a life in place of any before it under its name.
+    /// Inserts a record in place of any previous incarnation with the same id.
     fn put(&mut self, known: Known) {
         self.remove(&known.said.id);
         let indexed = Indexed::of(&known);
@@ -359,7 +360,7 @@
 }
 
 impl Known {
-    /// Returns the life that is known.
+    /// Returns the incarnation.
     pub fn life(&self) -> Life {
         Life {
             id: self.said.id.clone(),
@@ -367,8 +368,8 @@
         }
     }
 
-    /// Returns what others are told of it now: of the time for which it was cold a
-    /// part has passed since it said so.
+    /// Returns the announcement to pass on now, with the cold time reduced by the time that
+    /// has passed since it was received.
     pub fn tell(&self, now: MonoTime) -> Announcement {
         Announcement {
             cold: self.cold_until.saturating_sub(now),
@@ -376,10 +377,11 @@
         }
     }
 
-    /// Returns whether it has become cold again, by a newer word of its own.
+    /// Updates the end of the cold phase from a newer announcement, and returns whether the
+    /// server has become cold again.
     ///
-    /// Its announcements say the same rest in each: what is later than that by less
-    /// than [`COLD_MARGIN`] was on its way for longer.
+    /// Announcements repeat the same remaining time, so an end that is later by less than
+    /// [`COLD_MARGIN`] only shows that the announcement was delayed for longer.
     fn cools(&mut self, now: MonoTime, said: &Announcement) -> bool {
         if said.sequence <= self.said.sequence {
             return false;
@@ -388,9 +390,9 @@
         !said.cold.is_zero() && self.cold_until > before + COLD_MARGIN
     }
 
-    /// Takes a newer announcement of the same life and returns whether it tells
-    /// anything new. A life stays where it is and what it is: one that is said to
-    /// be of another service or elsewhere was not announced by itself.
+    /// Merges a newer announcement of the same incarnation and returns whether it contains
+    /// anything new. The service and address of an incarnation never change; an
+    /// announcement that differs in them was not made by the server itself.
     fn update(&mut self, now: MonoTime, said: Announcement) -> bool {
         let older = said.sequence <= self.said.sequence && said.state <= self.said.state;
         let moved = said.state != ServerState::Gone
--- a/sesamebeam_core/src/gateway/directory/index.rs
+++ b/sesamebeam_core/src/gateway/directory/index.rs
@@ -1,5 +1,5 @@
-//! Indexes of the backend servers, so that taking an announcement and drawing candidates
-//! cost the same however many there are.
+//! Indexes of the directory, which keep the cost of merging announcements and of sampling
+//! candidates independent of its size.
 
 use std::{
     collections::{
@@ -33,10 +33,10 @@
     },
 };
 
-/// Backend servers in the order of their keys, which is the same in every process.
+/// Backend servers ordered by key, which gives the same order in every process.
 type Members = BTreeSet<(ServerKey, ServerId)>;
 
-/// What the indexes hold of a backend server.
+/// Indexed properties of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::gateway) struct Indexed {
     key: ServerKey,
@@ -46,12 +46,12 @@
     service: ServiceId,
     domain: DomainId,
     addr: SocketAddr,
-    /// When it was last heard of, once it has left.
+    /// When it was last heard of, once it is gone.
     ended_at: Option<MonoTime>,
 }
 
 impl Indexed {
-    /// Collects what is indexed of a backend server.
+    /// Extracts the indexed properties of a record.
     pub(super) fn of(known: &Known) -> Self {
         let said = &known.said;
         Self {
@@ -78,7 +78,7 @@
 /// Number of keys.
 const KEY_SPACE: u64 = 1 << ServerKey::BITS;
 
-/// Part of the key space, which wraps round.
+/// Range of the key space, which may wrap around.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
     from: ServerKey,
@@ -86,17 +86,17 @@
 }
 
 impl Window {
-    /// All of the key space.
+    /// The whole key space.
     pub const ALL: Self = Self {
         from: 0,
         width: KEY_SPACE,
     };
 
-    /// Returns the part from a point on that is expected to hold `most` of `all` backend
-    /// servers, or half as many at the least.
+    /// Returns the range from a key on that is expected to hold between `most / 2` and
+    /// `most` of `all` backend servers.
     ///
-    /// Its width changes by powers of two, so that processes that differ by a few
-    /// backend servers use the same.
+    /// Its width changes in powers of two, so that processes whose directories differ by a
+    /// few backend servers use the same range.
     pub fn new(from: ServerKey, most: usize, all: usize) -> Self {
         let parts = all.div_ceil(most.max(1)).max(1).next_power_of_two();
         match parts {
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Returns whether it is all of the key space.
+    /// Returns whether the window covers the whole key space.
     pub fn is_all(&self) -> bool {
         self.width >= KEY_SPACE
     }
 }
 
-/// Backend servers of a service that take work, of one version in one failure domain.
+/// Ready backend servers of a service with the same version and failure domain.
 #[derive(Clone, Copy, Debug)]
 pub struct Group<'a> {
     /// Failure domain.
@@ -125,12 +125,12 @@
 }
 
 impl<'a> Group<'a> {
-    /// Returns how many there are.
+    /// Returns the number of backend servers.
     pub fn count(&self) -> usize {
         self.members.len()
     }
 
-    /// Iterates over those with a key in a window.
+    /// Iterates over the backend servers with a key in a window.
     pub(super) fn within(&self, window: Window) -> impl Iterator<Item = &'a ServerId> + use<'a> {
         let at = |point| (point, ServerId::default());
         let from = u64::from(window.from);
@@ -148,17 +148,17 @@
     }
 }
 
-/// All indexes.
+/// All indexes of a directory.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Index {
-    /// Those that take work.
+    /// Ready backend servers.
     ready: BTreeMap<ServiceId, BTreeMap<(DomainId, SmolStr), Members>>,
-    /// How many of each service are known, those that have left included.
+    /// Number of known backend servers of each service, including those that are gone.
     services: BTreeMap<ServiceId, usize>,
-    /// Those at an address that have not left.
+    /// Backend servers at an address that are not gone.
     at: HashMap<SocketAddr, Vec<ServerId>>,
     keys: Members,
-    /// Those that have left, the oldest first.
+    /// Backend servers that are gone, oldest first.
     ended: BTreeSet<(MonoTime, ServerId)>,
 }
 
@@ -205,17 +205,18 @@
         }
     }
 
-    /// Returns how many of a service are known, those that have left included.
+    /// Returns the number of known backend servers of a service, including those that are
+    /// gone.
     pub(super) fn known(&self, service: &str) -> usize {
         self.services.get(service).copied().unwrap_or_default()
     }
 
-    /// Returns those at an address that have not left.
+    /// Returns the backend servers at an address that are not gone.
     pub(super) fn at(&self, addr: SocketAddr) -> &[ServerId] {
         self.at.get(&addr).map_or(&[], Vec::as_slice)
     }
 
-    /// Iterates over those with a key from the first to the last one given.
+    /// Iterates over the backend servers in an inclusive range of keys.
     pub(super) fn with_keys(
         &self,
         (first, last): (ServerKey, ServerKey),
@@ -234,7 +235,7 @@
         })
     }
 
-    /// Returns how many have left, and the one that left first.
+    /// Returns the number of backend servers that are gone, and the one that went first.
     pub(super) fn ended(&self) -> (usize, Option<&ServerId>) {
         let oldest = self.ended.first().map(|(_, id)| id);
         (self.ended.len(), oldest)
--- a/sesamebeam_core/src/gateway/enquiry.rs
+++ b/sesamebeam_core/src/gateway/enquiry.rs
@@ -1,19 +1,19 @@
-//! Whom a process without a place in the group asks for one.
+//! Discovery of the leader by a process that wants to join the group.
 
 use std::collections::BTreeSet;
 
 use crate::ids::ProcessAddr;
 
-/// Whom to ask next. Only the leader gives places away: once it is known, the others are
-/// not asked, as each question is a connection of its own and most processes of a large
-/// fleet wait in reserve for as long as they run.
+/// Chooses the processes to send a join request to. Only the leader admits members, so once
+/// it is known the others are no longer asked: each request is a separate connection, and
+/// most processes of a large fleet stay on standby for their whole runtime.
 #[derive(Clone, Debug, Default)]
 pub struct Enquiry {
     leader: Option<ProcessAddr>,
 }
 
 impl Enquiry {
-    /// Returns whom to ask, of those that may know.
+    /// Returns the processes to ask, given those that may know the group.
     pub fn targets(&self, known: BTreeSet<ProcessAddr>) -> BTreeSet<ProcessAddr> {
         match self.leader {
             Some(leader) => BTreeSet::from([leader]),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Notes whether a process leads the group; none if it did not answer.
+    /// Records whether a process leads the group; `None` if it did not reply.
     pub fn answered(&mut self, addr: ProcessAddr, leads: Option<bool>) {
         if leads == Some(true) {
             self.leader = Some(addr);
--- a/sesamebeam_core/src/gateway/entries.rs
+++ b/sesamebeam_core/src/gateway/entries.rs
@@ -1,48 +1,51 @@
-//! How many entries share what is borne in common.
+//! Number of entries among which shared budgets are divided.
 //!
-//! What all entries spend together, none of them sees: repeated sends beyond a share of the
-//! requests, sends to backend servers that are cold or name a limit, connections. Each takes
-//! its part of the whole, for which it must not take itself for one of fewer than there are.
+//! No entry sees the total of what all entries consume: retries beyond a share of the
+//! requests, requests to backend servers that are cold or rate-limited, and connections.
+//! Each entry uses an equal portion of the total, and must not assume fewer entries than
+//! there are.
 //!
-//! A control replica counts the entries that are connected to it, and says how many there
-//! are once that count has settled, or one that has followed another replica knows it. Told
-//! at once after all processes had started together, the first entry would take itself for
-//! the only one. An entry that starts alone is told at once.
+//! A control replica counts the entries connected to it. It publishes the number once the
+//! count has settled, or once an entry that followed another replica before reports a
+//! number. Published immediately after all processes have started together, the count would
+//! make the first entry assume that it is alone. An entry that starts later is told
+//! immediately.
 
 use std::time::Duration;
 
 use crate::ids::MonoTime;
 
-/// Time after the first entry has connected to a control replica in which all others have:
-/// they connect to every replica within 1.2 s of their first connection.
+/// Time after the first entry has connected to a control replica by which all others have:
+/// entries connect to every replica within 1.2 s of their first connection.
 const SETTLES_IN: Duration = Duration::from_millis(1500);
 
-/// The entries that a control replica has counted.
+/// Count of the entries connected to a control replica.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counted {
     most: u32,
-    /// When the first one connected.
+    /// When the first entry connected.
     since: Option<MonoTime>,
-    /// Whether an entry knew that there are so many.
+    /// Whether an entry has reported a number.
     confirmed: bool,
-    /// What was last told.
+    /// Number last returned by `take_changed`.
     told: u32,
 }
 
 impl Counted {
-    /// Notes how many are connected.
+    /// Records the number of connected entries.
     pub fn connected(&mut self, now: MonoTime, entries: u32) {
         self.since.get_or_insert(now);
         self.most = self.most.max(entries);
     }
 
-    /// Notes how many an entry knows of; 0 if it does not know.
+    /// Records the number that an entry knows; 0 if it knows none.
     pub fn confirmed(&mut self, entries: u32) {
         self.confirmed |= entries > 0;
         self.most = self.most.max(entries);
     }
 
-    /// Returns the most that there were at once; 0 while that is not known.
+    /// Returns the largest number of simultaneously connected entries; 0 while it is not
+    /// known.
     pub fn known(&self, now: MonoTime) -> u32 {
         let settled = self.since.is_some_and(|since| now >= since + SETTLES_IN);
         match settled || self.confirmed {
@@ -51,24 +54,24 @@
         }
     }
 
-    /// Returns whether it has changed since the last call.
+    /// Returns whether the number has changed since the last call.
     pub fn has_news(&mut self, now: MonoTime) -> bool {
         let known = self.known(now);
         std::mem::replace(&mut self.told, known) != known
     }
 }
 
-/// The most entries that an entry was ever told of: after a cut each side sees only its
-/// own.
+/// Largest number of entries that an entry has been told of. The maximum is kept because
+/// during a network partition each side sees only its own entries.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EntryCount {
     most: u32,
-    /// When the first count came.
+    /// When the first number was received.
     since: MonoTime,
 }
 
 impl EntryCount {
-    /// Notes how many there are and returns whether that are more than before.
+    /// Records a number of entries and returns whether it is a new maximum.
     pub fn hear(&mut self, now: MonoTime, entries: u32) -> bool {
         if self.most == 0 {
             self.since = now;
@@ -78,12 +81,12 @@
         grew
     }
 
-    /// Returns the most that were heard of; 0 before any.
+    /// Returns the largest number received; 0 if there is none.
     pub fn most(&self) -> u32 {
         self.most
     }
 
-    /// Returns since when there is a count.
+    /// Returns when the first number was received.
     pub fn since(&self) -> Option<MonoTime> {
         (self.most > 0).then_some(self.since)
     }
--- a/sesamebeam_core/src/gateway/feed.rs
+++ b/sesamebeam_core/src/gateway/feed.rs
@@ -1,12 +1,12 @@
 //! Messages between control replicas and entries.
 //!
-//! Each entry keeps a connection to every control replica that it knows of. One of
-//! them tells it all that changes and takes its reports; the others only say now
-//! and then what they hold, so that an entry notices what that one does not know.
-//! Replicas pass reports on among themselves, summed up. Told everything by each
-//! replica, and reporting to each, 300 entries cost the busiest replica 22 MB a
-//! second. Whatever arrives twice or late is ordered by its version, log position
-//! or sequence number.
+//! Each entry keeps a connection to every control replica that it knows. It follows one of
+//! them, which sends it all updates and receives its reports; the others only send periodic
+//! summaries of their state, so that an entry notices updates that the followed replica is
+//! missing. Replicas forward aggregated reports to each other. When every replica sent
+//! everything and every entry reported to each replica, 300 entries cost the busiest
+//! replica 22 MB per second. Duplicate or late messages are ordered by version, log
+//! position or sequence number.
 
 use std::{
     cmp::Reverse,
@@ -68,46 +68,47 @@
     replica::ReplicaMessage,
 };
 
-/// First message on a connection: who calls.
+/// First message on a connection, which identifies the caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Hello {
-    /// An entry that wants to be told of changes.
+    /// An entry that wants updates.
     Entry {
-        /// Drawn at its start.
+        /// Random number drawn at startup.
         life: u64,
         /// Name for logs.
         name: SmolStr,
     },
     /// A control replica.
     Replica {
-        /// Its number.
+        /// Its id.
         node: NodeId,
     },
-    /// A process that asks one question.
+    /// A process that sends a single membership request.
     Asker,
 }
 
-/// What an entry tells a control replica.
+/// Message from an entry to a control replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromEntry {
-    /// The receiver tells the sender, who holds this, from now on.
+    /// Subscribe to updates, given the state of the sender.
     Follow(Held),
-    /// Another replica tells the sender from now on.
+    /// End the subscription; the sender now follows another replica.
     Unfollow,
-    /// The sender holds this, less than the receiver has said to hold.
+    /// Request the updates that the sender, with this state, is missing relative to the
+    /// receiver's summary.
     Lacks(Held),
-    /// The sender lacks what the receiver knows of backend servers in these sections.
+    /// Request the backend servers that the receiver knows in these sections.
     LacksSections(Vec<Section>),
-    /// Backend servers that it knows, as the receiver has wanted.
+    /// Backend servers known to the sender, as requested by the receiver.
     Servers(Vec<Announcement>),
-    /// What it has seen since the last message.
+    /// Observations since the last report.
     Report(Report),
-    /// It lives.
+    /// Keeps the connection alive.
     Alive,
 }
 
 impl FromEntry {
-    /// Names its kind, for counters.
+    /// Returns the name of the message type for metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Follow(_) => "follow",
@@ -121,45 +122,46 @@
     }
 }
 
-/// What an entry holds of what control replicas tell.
+/// The data from control replicas that an entry has.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Held {
-    /// Number of its configuration.
+    /// Version of its configuration.
     pub config: Option<ConfigVersion>,
-    /// Backend servers.
+    /// Digests of its backend server directory.
     pub servers: Digests,
-    /// The most entries that it has heard of.
+    /// Largest number of entries it has been told of.
     pub entries: u32,
 }
 
-/// What entries have seen since the last report.
+/// Observations of entries since the last report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Answers of versions in a roll-out.
+    /// Results of versions in a rollout.
     pub evidence: Vec<Evidence>,
-    /// Loads that backend servers have told.
+    /// Loads reported by backend servers.
     pub loads: Vec<LoadOf>,
-    /// Limits that backend servers have named, or named no more.
+    /// Rate limits that backend servers have set or lifted.
     pub limits: Vec<LimitOf>,
-    /// Answers of backend servers, good and bad.
+    /// Good and bad responses of backend servers.
     pub outcomes: Vec<Outcomes>,
-    /// Backend servers that could not be reached from a failure domain. What is cut
-    /// from one may be within reach of another, so that these stay in their own.
+    /// Backend servers that could not be reached from a failure domain. They are only
+    /// passed on within that domain, because a server that is cut off from one domain may
+    /// be reachable from another.
     pub unreached: Vec<Unreached>,
-    /// Waits for first events.
+    /// Waiting times until the first event.
     pub waits: Vec<WaitsOf>,
-    /// What became of requests to plain services.
+    /// Outcomes of requests to plain services.
     pub work: Vec<WorkOf>,
-    /// Requests that were running when backend servers went down.
+    /// Requests that were running when backend servers crashed.
     pub crashes: Vec<Crash>,
-    /// Sessions that must stay on the versions before a roll-out.
+    /// Sessions that must stay on the versions before a rollout.
     pub kept: Vec<Kept>,
-    /// How long roll-outs have run, for a replica that has started since.
+    /// How long rollouts have been running, for a replica that has started since.
     pub ages: Vec<Age>,
 }
 
 impl Report {
-    /// Returns whether there is nothing in it.
+    /// Returns whether the report is empty.
     pub fn is_empty(&self) -> bool {
         let Self {
             evidence,
@@ -205,8 +207,8 @@
         self.ages.extend(other.ages);
     }
 
-    /// Takes what is to be passed on. Of several loads of one backend server the
-    /// highest is kept, as for those that are told.
+    /// Takes the aggregated report to be forwarded. If there are several loads of one
+    /// backend server, the highest is kept, as in the loads sent to entries.
     pub fn take(&mut self) -> Self {
         let mut taken = std::mem::take(self);
         taken.loads.sort_by_key(|l| (l.server, Reverse(l.total())));
@@ -229,7 +231,7 @@
     }
 }
 
-/// Makes one of neighbours with the same key, by adding each to the first.
+/// Merges adjacent items with the same key into the first of them.
 fn merge<T, K: PartialEq>(sorted: &mut Vec<T>, key: impl Fn(&T) -> K, add: impl Fn(&mut T, &T)) {
     sorted.dedup_by(|later, first| {
         let same = key(later) == key(first);
@@ -243,69 +245,70 @@
 /// A backend server that could not be reached.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Unreached {
-    /// Failure domain of the entry that tried.
+    /// Failure domain of the entry that tried to connect.
     pub from: DomainId,
-    /// Which.
+    /// Key of the backend server.
     pub server: ServerKey,
-    /// Whether it is down: the way to it is not cut then.
+    /// Whether the server itself is down, as opposed to the network path to it.
     pub is_down: bool,
 }
 
-/// What a control replica tells an entry.
+/// Message from a control replica to an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// Where the control replicas listen, and how many entries are connected.
+    /// Addresses of the control replicas and the number of connected entries.
     Fleet {
         /// Failure domain of the sender.
         domain: DomainId,
         /// Addresses of the control replicas.
         replicas: Vec<ProcessAddr>,
-        /// Most entries that there were at once; 0 while the sender does not know.
+        /// Largest number of simultaneously connected entries; 0 while the sender does not
+        /// know it.
         entries: u32,
     },
-    /// State that was committed up to a position of the log.
+    /// The replicated state as committed up to a position of the log.
     State {
-        /// The position.
+        /// Position in the log.
         index: LogIndex,
         /// The newest configuration, if the receiver may not have it.
         config: Option<Document>,
-        /// All that was ordered beside it.
+        /// Evacuations and rollouts.
         orders: Orders,
-        /// Whether the sender has all that was committed before it started.
+        /// Whether the sender has everything that was committed before it started.
         current: bool,
     },
-    /// Backend servers that announced something new, or that the receiver lacks.
+    /// Backend servers with new announcements, or that the receiver is missing.
     Servers(Vec<Announcement>),
-    /// Digests of sections in parts in which the receiver differs.
+    /// Section digests of buckets that differ from the receiver's.
     Details(Vec<PartDetail>),
-    /// The sender lacks what the receiver knows of backend servers in these parts.
+    /// Request for the receiver's backend servers in these buckets.
     Wants(Parts),
-    /// What all entries have seen of late.
+    /// Recent observations of all entries.
     Loads {
-        /// Loads that backend servers have told.
+        /// Loads reported by backend servers.
         loads: Vec<LoadOf>,
-        /// Mean waits for first events.
+        /// Mean waiting times until the first event.
         waits: Vec<MeanWait>,
-        /// Shares of the requests that are admitted to services that are short.
+        /// Admitted shares of requests to services that are short of capacity.
         shares: Vec<ShareOf>,
     },
-    /// All backend servers that fail more often than their service.
+    /// All backend servers that fail more often than the average of their service.
     Doubts(Vec<Doubt>),
-    /// Limits that backend servers name, and those that have ended of late.
+    /// Current rate limits of backend servers, and those that ended recently.
     Limits(Vec<LimitOf>),
-    /// Backend servers that could not be reached just now.
+    /// Backend servers that have just been found unreachable.
     Unreached(Vec<Unreached>),
-    /// Requests that crash what runs them.
+    /// Requests that crash the backend servers running them.
     Quarantined(Vec<Digest>),
-    /// Sessions that must stay on the versions before a roll-out, as entries
-    /// have reported, and whether all that were running have been.
+    /// Sessions reported by entries that must stay on the versions before a rollout, and
+    /// whether all sessions active at its start have been reported.
     Kept(Kept, bool),
-    /// The sender lives and holds this.
+    /// Heartbeat with a summary of the sender's state.
     Alive(Summary),
 }
 
 impl ToEntry {
-    /// Names its kind, for counters.
+    /// Returns the name of the message type for metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Fleet { .. } => "fleet",
@@ -324,128 +327,128 @@
     }
 }
 
-/// What a control replica holds, in brief.
+/// Summary of a control replica's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Number of its configuration.
+    /// Version of its configuration.
     pub config: Option<ConfigVersion>,
-    /// Position in the log up to which its state is committed.
+    /// Log position of the last change of its state.
     pub index: LogIndex,
-    /// Digest of the backend servers that it knows.
+    /// Digest of its backend server directory.
     pub servers: u32,
-    /// Whether it has a place in the group and knows a leader.
+    /// Whether it is a member of the group and knows a leader.
     pub settled: bool,
 }
 
-/// What control replicas tell each other.
+/// Message between control replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Between {
-    /// A message of the replicated log.
+    /// Message of the replicated log.
     Log(Box<ReplicaMessage>),
-    /// Backend servers that were heard, with what they said.
+    /// Announcements of backend servers.
     Servers(Vec<Announcement>),
-    /// What the sender knows of backend servers, in brief.
+    /// Digests of the sender's directory, for comparison.
     Digests {
-        /// Of each part.
+        /// Digest of each bucket.
         held: Digests,
         /// Failure domain of the sender.
         domain: DomainId,
-        /// Whether the receiver says the same of itself if it holds anything else.
+        /// Whether the receiver should send its own digests if they differ.
         ask: bool,
     },
-    /// The sender lacks what the receiver knows of backend servers in these parts.
+    /// Request for the receiver's backend servers in these buckets.
     Wants(Parts),
     /// Announcements that the receiver must confirm.
     Confirm {
-        /// Number of the question.
+        /// Id of the confirmation request.
         ticket: u64,
         /// The announcements.
         servers: Vec<Announcement>,
     },
-    /// The announcements have been taken and passed on.
+    /// The announcements have been merged and passed on.
     Confirmed {
-        /// Number of the question.
+        /// Id of the confirmation request.
         ticket: u64,
     },
-    /// What the sender's entries have reported.
+    /// Aggregated report of the sender's entries.
     Report(Box<Report>),
 }
 
-/// Sessions that ran on the versions before a roll-out when it started.
+/// Sessions on the versions before a rollout that were active when it started.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
     /// Service.
     pub service: ServiceId,
-    /// Version that is brought in.
+    /// Version being rolled out.
     pub target: SmolStr,
-    /// Hashes of the sessions' names.
+    /// Hashes of the session ids.
     pub sessions: Vec<u64>,
 }
 
-/// How long a roll-out has run, as one entry knows.
+/// How long a rollout has been running, as known to one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Age {
     /// Service.
     pub service: ServiceId,
-    /// Version that is brought in.
+    /// Version being rolled out.
     pub target: SmolStr,
-    /// Time since the entry first heard of it.
+    /// Time since the entry first learned of it.
     pub age: Duration,
 }
 
-/// A request that was running when a backend server went down.
+/// A request that was running when a backend server crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// Fingerprint of the request.
     pub fingerprint: Digest,
-    /// The life that ended.
+    /// The incarnation that crashed.
     pub server: Life,
 }
 
-/// A question of a process that is no member.
+/// Request from a process outside the group about its membership.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Question {
-    /// Which group is this, and who is in it?
+    /// Asks for the group's identity and members.
     Group,
-    /// The sender wants to become a replica.
+    /// Asks to become a replica.
     Join {
-        /// Number that it drew.
+        /// Id drawn by the sender.
         node: NodeId,
         /// Incarnation of its data folder.
         incarnation: u128,
-        /// Where it listens.
+        /// Its address.
         addr: ProcessAddr,
         /// Its failure domain.
         domain: DomainId,
     },
-    /// No question: the leader tells of the group.
+    /// Sent by the leader to tell the receiver the members; expects no reply.
     Told {
-        /// Its identity.
+        /// Identity of the group.
         group: u128,
         /// All replicas with their addresses.
         replicas: Vec<(NodeId, ProcessAddr)>,
     },
 }
 
-/// Answer to a question.
+/// Reply to a membership request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     /// The group.
     Group {
-        /// Its identity.
+        /// Identity of the group.
         group: u128,
         /// All replicas with their addresses.
         replicas: Vec<(NodeId, ProcessAddr)>,
-        /// Whether the sender leads for certain.
+        /// Whether the sender leads and holds a valid lease.
         leads: bool,
     },
     /// There is no group here yet.
     None,
-    /// The sender is or will be a member.
+    /// The sender of the request is a member or is becoming one.
     Joining,
 }
 
-/// Answers of one version of a service on one route.
+/// Results of one version of a service on one route.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
     /// Service.
@@ -454,23 +457,23 @@
     pub version: SmolStr,
     /// Route.
     pub route: RouteId,
-    /// Answers that were good.
+    /// Number of good responses.
     pub good: u32,
-    /// Answers that failed.
+    /// Number of failed responses.
     pub bad: u32,
-    /// First bytes that were timed, those of answers that were dropped included.
+    /// Number of measured times to first byte, including those of cancelled responses.
     pub timed: u32,
-    /// Sum of the times to them, each divided by the mean of its route and model
-    /// on other versions.
+    /// Sum of the times to first byte, each divided by the mean of its route and model on
+    /// other versions.
     pub slowness: f64,
-    /// Streams whose pace was measured.
+    /// Number of streams whose event interval was measured.
     pub paced: u32,
-    /// Sum of the times between their events, divided in the same way.
+    /// Sum of the event intervals, divided in the same way.
     pub pace: f64,
 }
 
 impl Evidence {
-    /// Returns whether it counts the answers of the same version on the same route.
+    /// Returns whether both are for the same version on the same route.
     fn counts_same(&self, other: &Self) -> bool {
         let of = (&other.service, &other.version, &other.route);
         (&self.service, &self.version, &self.route) == of
--- a/sesamebeam_core/tests/gateway/digests.rs
+++ b/sesamebeam_core/tests/gateway/digests.rs
@@ -1,4 +1,4 @@
-//! Digests of what a process knows of backend servers.
+//! Digests of directories.
 
 use sesamebeam_core::gateway::{
     digests::Digests,
@@ -32,7 +32,8 @@
 
 #[test]
 fn one_differs() {
-    // One backend server of 200 leaves. The part that shows it holds few others.
+    // One of 200 backend servers starts to drain. Only its bucket differs, which holds few
+    // others.
     let before = directory((0..200).map(announcement));
     let mut leaving = announcement(7);
     leaving.state = ServerState::Draining;
@@ -57,8 +58,8 @@
 
 #[test]
 fn gone_or_forgotten() {
-    // One process has forgotten that a backend server left, another has not.
-    // They know the same.
+    // A process that remembers that a backend server is gone has the same digests as one
+    // that has forgotten it.
     let mut left = directory([announcement(7)]);
     assert!(left.leave(ms(1), "server-7", None).is_some());
     assert_eq!(left.digests(), &Digests::default());
--- a/sesamebeam_core/tests/gateway/directory.rs
+++ b/sesamebeam_core/tests/gateway/directory.rs
@@ -1,4 +1,4 @@
-//! Merging what backend servers say of themselves.
+//! Merging of backend server announcements.
 
 use proptest::{
     prelude::*,
@@ -22,8 +22,8 @@
 
 #[test]
 fn old_draining_word() {
-    // A backend server says that it drains; its word from before is held up on
-    // another path and comes later. It must not count as ready again.
+    // A draining announcement overtakes an older ready one, which was delayed on another
+    // path. The server must not become ready again.
     let mut directory = Directory::default();
     let mut draining = announcement(1);
     draining.state = ServerState::Draining;
@@ -37,8 +37,8 @@
 
 #[test]
 fn gone_stays_gone() {
-    // A backend server leaves; a beat that a cut held up arrives afterwards with
-    // a higher number than anything heard before. It has left all the same.
+    // A backend server leaves. A heartbeat delayed by a network partition arrives later,
+    // with a higher sequence number than any before. The server stays gone.
     let mut directory = Directory::default();
     directory.take(ms(0), announcement(1), true);
     assert!(directory.leave(ms(5), "server-1", None).is_some());
@@ -50,8 +50,8 @@
 
 #[test]
 fn new_life_at_an_address() {
-    // A backend server crashes and another life starts at its address. The old
-    // life is never heard again, and must not get work meant for it.
+    // A backend server crashes and another one starts at its address. The old one is never
+    // heard from again, and must not receive requests.
     let mut directory = Directory::default();
     directory.take(ms(0), announcement(1), true);
     let mut next = announcement(2);
@@ -74,7 +74,7 @@
     assert_eq!(directory.get("server-1").map(|k| k.heard_at), Some(ms(9)));
 }
 
-/// Returns one of many backend servers, each at an address of its own.
+/// Returns an announcement of one of many backend servers, each at its own address.
 fn one_of_many(number: u32) -> Announcement {
     let mut said = announcement(1);
     said.id = format!("server-{number}").into();
@@ -84,7 +84,7 @@
 
 #[test]
 fn same_cost_in_a_fleet() {
-    // Each announcement was compared with all backend servers that are known.
+    // An announcement must not be compared with all known backend servers.
     let examined = |count: u32| {
         let mut directory = Directory::default();
         for number in 0..count {
@@ -97,7 +97,7 @@
 
 #[test]
 fn same_cost_of_forgetting() {
-    // Each life that ended beyond the bound was searched for among all.
+    // Forgetting an ended incarnation beyond the limit must not search all of them.
     let mut directory = Directory::default();
     for number in 0..20_000 {
         directory.take(ms(u64::from(number)), one_of_many(number), true);
@@ -120,7 +120,7 @@
     assert!(directory.all().count() <= 8200);
 }
 
-/// Returns what a life says that started at a time.
+/// Returns an announcement of an incarnation with the given start time.
 fn said_by(born: u64, sequence: u64) -> Announcement {
     Announcement {
         born,
@@ -131,8 +131,8 @@
 
 #[test]
 fn starts_again() {
-    // A backend server crashes and starts again under its name; its numbers
-    // start anew. It takes work again, although it had left.
+    // A backend server crashes and restarts under the same id, and its sequence numbers
+    // start again. It must accept requests again although the id was marked as gone.
     let mut directory = Directory::default();
     directory.take(ms(0), said_by(100, 40), true);
     directory.leave(ms(1), "server-1", Some(100));
@@ -143,8 +143,9 @@
 
 #[test]
 fn old_life_late() {
-    // What an older life said is held up by a cut and arrives after the new one
-    // has announced itself: that it drains, that it left. The new one works on.
+    // Announcements of an older incarnation, that it drains and that it leaves, are delayed
+    // by a network partition and arrive after the new one has announced itself. The new one
+    // stays ready.
     let mut directory = Directory::default();
     directory.take(ms(0), said_by(200, 1), true);
     let mut draining = said_by(100, 41);
@@ -156,7 +157,8 @@
 
 #[test]
 fn outlived_at_an_address() {
-    // Two names at one address, and the older one is heard last. It is over.
+    // Of two ids at one address, the announcement of the older incarnation arrives last. It
+    // must not replace the newer one.
     let mut directory = Directory::default();
     directory.take(ms(0), said_by(200, 1), true);
     let mut older = said_by(100, 7);
@@ -167,8 +169,8 @@
 
 #[test]
 fn unknown_service() {
-    // Another writer announces a service that nobody has at the address of a
-    // backend server that works. It goes on.
+    // A third party announces an unknown service at the address of a working backend
+    // server. The server stays ready.
     let mut directory = Directory::default();
     directory.take(ms(0), announcement(1), true);
     let mut forged = announcement(2);
@@ -180,8 +182,8 @@
 
 #[test]
 fn stays_what_it_is() {
-    // A life is said to be of another service, by a writer that copied the rest.
-    // Its callers would be refused while it works.
+    // A third party copies an announcement but changes the service. If the change were
+    // accepted, callers would be rejected although the server works.
     let mut directory = Directory::default();
     directory.take(ms(0), announcement(1), true);
     let mut forged = announcement(1);
@@ -203,9 +205,9 @@
 }
 
 proptest! {
-    /// Whatever the order in which announcements arrive, draining is final for a
-    /// life, so that no replica takes a leaving backend server for a ready one
-    /// longer than it takes to hear of it.
+    /// Regardless of the order in which announcements arrive, draining is final for an
+    /// incarnation, so no replica treats a leaving backend server as ready once it has
+    /// received the announcement.
     #[test]
     fn draining_is_final(said in lives(), at in any::<Index>()) {
         let mut directory = Directory::default();
@@ -222,8 +224,8 @@
 }
 
 proptest! {
-    /// Whatever was said in whatever order, indexes and digests are those of a
-    /// directory that was told of the outcome alone.
+    /// Regardless of the announcements and their order, the index and digests equal those
+    /// of a directory built from the final state alone.
     #[test]
     fn indexes_follow(said in proptest::collection::vec((0u8..6, 0u64..3, 0u8..4, 0u8..3, 0u64..9), 0..60)) {
         let mut directory = Directory::default();
--- a/sesamebeam_core/tests/gateway/group.rs
+++ b/sesamebeam_core/tests/gateway/group.rs
@@ -1,4 +1,4 @@
-//! Control replicas with explicit time, and the links and disks between them.
+//! Simulated group of control replicas with a virtual clock, network and disks.
 
 use std::{
     collections::{
@@ -43,28 +43,28 @@
 
 use crate::make::ms;
 
-/// Time that a message, or a sync of the disk, takes.
+/// Duration of a message delivery or a disk sync.
 const HOP: Duration = Duration::from_millis(2);
 
-/// Longest virtual time that a test waits for anything.
+/// Maximum virtual time that a test waits for a condition.
 const PATIENCE: Duration = Duration::from_secs(30);
 
 /// Identity of the group.
 const GROUP: u128 = 77;
 
-/// One process.
+/// A simulated process.
 pub(crate) struct Process {
     pub(crate) core: Coordinator,
     pub(crate) disk: Saved,
     /// Writes that are not synced yet.
     writes: VecDeque<(MonoTime, WriteId, Vec<DiskOp>)>,
-    /// Whether its disk answers.
+    /// Whether its disk is stalled.
     pub(crate) stalled: bool,
-    /// Time that its clock has missed while it was suspended.
+    /// Whether it is suspended.
     pub(crate) suspended: bool,
 }
 
-/// Replicas, and what is on its way between them.
+/// Simulated processes and the messages in flight between them.
 pub(crate) struct Group {
     pub(crate) now: MonoTime,
     pub(crate) processes: BTreeMap<NodeId, Process>,
@@ -73,15 +73,16 @@
     pub(crate) answers: BTreeMap<u64, Answer>,
     pub(crate) replies: BTreeMap<u64, Reply>,
     pub(crate) pushed: Vec<(NodeId, ToEntry)>,
-    /// What processes outside the group were told, with their addresses.
+    /// Requests sent to processes outside the group, with the recipient's address.
     pub(crate) told: VecDeque<(SocketAddr, Question)>,
-    /// Backend servers that each replica was told of by others, each time counted.
+    /// Number of announcements that each replica has received from others, including
+    /// repeated ones.
     pub(crate) servers_told: BTreeMap<NodeId, usize>,
     next_ticket: u64,
     tolerated: usize,
 }
 
-/// Returns where a replica listens.
+/// Returns the listen address of a replica.
 pub(crate) fn listens(node: NodeId) -> SocketAddr {
     SocketAddr::from(([10, 9, 0, node as u8], 7000))
 }
@@ -115,7 +116,7 @@
 }
 
 impl Group {
-    /// Starts a group of `count` replicas that bears the loss of `tolerated`.
+    /// Starts a group of `count` replicas that survives `tolerated` failures.
     pub(crate) fn start(count: u64, tolerated: usize) -> Self {
         let mut group = Self {
             now: ms(0),
@@ -136,7 +137,7 @@
         group
     }
 
-    /// Starts a process with what its disk holds.
+    /// Starts a process with the contents of its disk.
     pub(crate) fn boot(&mut self, node: NodeId, members: Members, disk: Saved) {
         let known = self.processes.values().map(|p| p.core.peers());
         let known: Vec<_> = known.flat_map(|peers| peers.all()).collect();
@@ -144,13 +145,13 @@
         let now = self.now;
         let process = self.processes.get_mut(&node).expect("it was started");
         process.disk = disk.clone();
-        // Whoever it asks for a place tells it of the members.
+        // Whichever process it asks to join tells it the members.
         process.core.learn_peers(known);
         let actions = process.core.start(replica(node, members), disk, now);
         self.carry(node, actions);
     }
 
-    /// Starts a process with an empty disk, which has no place yet.
+    /// Starts a process with an empty disk, which is not a member yet.
     pub(crate) fn start_empty(&mut self, node: NodeId) {
         let process = Process {
             core: Coordinator::new(self.settings(node), self.now),
@@ -179,12 +180,12 @@
         process.disk
     }
 
-    /// Starts a process again with its disk.
+    /// Restarts a process with its disk.
     pub(crate) fn restart(&mut self, node: NodeId, disk: Saved) {
         self.boot(node, Members::default(), disk);
     }
 
-    /// Cuts a replica off from the others.
+    /// Partitions a replica from the others.
     pub(crate) fn isolate(&mut self, node: NodeId) {
         for other in 1..=9 {
             self.cut.insert((node, other));
@@ -192,12 +193,12 @@
         }
     }
 
-    /// Ends all cuts.
+    /// Heals all network partitions.
     pub(crate) fn heal(&mut self) {
         self.cut.clear();
     }
 
-    /// Returns the replica that leads.
+    /// Returns the leader.
     pub(crate) fn leader(&self) -> Option<NodeId> {
         let mut leaders = self.processes.iter().filter(|(_, p)| p.core.leads());
         leaders.next().map(|(&node, _)| node)
@@ -215,28 +216,28 @@
         leader.map(|(&n, _)| n).expect("a leader was found")
     }
 
-    /// Calls a replica and returns the ticket.
+    /// Sends a request to a replica and returns its ticket.
     pub(crate) fn call(&mut self, node: NodeId, call: Call) -> u64 {
         let ticket = self.ticket();
         self.event(node, Event::Called(ticket, call));
         ticket
     }
 
-    /// Calls a replica and waits for the answer.
+    /// Sends a request to a replica and waits for the response.
     pub(crate) fn ask(&mut self, node: NodeId, call: Call) -> Answer {
         let ticket = self.call(node, call);
         self.run_until(|g| g.answers.contains_key(&ticket));
         self.answers[&ticket].clone()
     }
 
-    /// Asks a replica about the group.
+    /// Sends a membership request to a replica and returns the reply.
     pub(crate) fn question(&mut self, node: NodeId, question: Question) -> Reply {
         let ticket = self.ticket();
         self.event(node, Event::Asked(ticket, question));
         self.replies[&ticket].clone()
     }
 
-    /// Hands an event to a process.
+    /// Passes an event to a process.
     pub(crate) fn event(&mut self, node: NodeId, event: Event) {
         let Some(process) = self.processes.get_mut(&node) else {
             return;
@@ -245,7 +246,7 @@
         self.carry(node, actions);
     }
 
-    /// Lets time pass.
+    /// Advances the clock.
     pub(crate) fn run(&mut self, millis: u64) {
         let until = self.now + ms(millis);
         while self.now < until {
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Lets time pass until something holds.
+    /// Advances the clock until a condition holds.
     pub(crate) fn run_until(&mut self, holds: impl Fn(&Group) -> bool) {
         let until = self.now + PATIENCE;
         while !holds(self) {
@@ -314,7 +315,7 @@
     fn carry(&mut self, node: NodeId, actions: Vec<Action>) {
         for action in actions {
             match action {
-                // There are connections to members of the group alone.
+                // Processes are only connected to members of the group.
                 Action::Send { to, .. } if !self.connects(node, to) => {}
                 Action::Send { to, message } => {
                     self.mail.push_back((self.now + HOP, node, to, message));
--- a/sesamebeam_core/tests/gateway/joining.rs
+++ b/sesamebeam_core/tests/gateway/joining.rs
@@ -1,4 +1,4 @@
-//! Replicas that are lost for good, and those that take their places.
+//! Permanent loss of replicas, and the processes that replace them.
 
 use std::collections::BTreeSet;
 
@@ -55,7 +55,7 @@
     })
 }
 
-/// Has a new process ask for a place until it is a member.
+/// Makes a new process send join requests until it is a member.
 fn join(group: &mut Group, node: NodeId, at: NodeId) {
     group.boot(node, Members::default(), Saved::default());
     for _ in 0..40 {
@@ -80,8 +80,8 @@
 
 #[test]
 fn another_address() {
-    // A replica is gone for good and an empty one comes at another address. It
-    // takes the place of the silent one, and the group bears one more loss.
+    // A replica is lost permanently and an empty process starts at another address. It
+    // replaces the silent replica, and the group survives one more failure.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     assert_eq!(group.ask(leader, apply(1)), Answer::Done);
@@ -98,9 +98,9 @@
 
 #[test]
 fn empty_disk() {
-    // A replica loses its disk and comes back at its address. Under its old
-    // number it could vote for a log that lacks what it acknowledged; it comes
-    // back as another replica, and what was acknowledged is still there.
+    // A replica loses its disk and restarts at its address. Under its old id it could vote
+    // for a log that lacks entries it has acknowledged, so it joins as a new replica, and
+    // nothing acknowledged is lost.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     assert_eq!(group.ask(leader, apply(1)), Answer::Done);
@@ -115,8 +115,8 @@
 
 #[test]
 fn reserve_waits() {
-    // A process asks for a place while all replicas live. It gets none until
-    // one has been silent for long.
+    // A process asks to join while all replicas are alive. It is admitted only after one of
+    // them has been silent for long enough.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     group.run(500);
@@ -141,8 +141,8 @@
 
 #[test]
 fn grows_to_five() {
-    // Three seeds form the group; two losses at once are to be borne, so that
-    // two more processes become voters.
+    // Three seeds form the group. It has to survive two failures at once, so two more
+    // processes become voters.
     let mut group = Group::start(3, 2);
     group.new_leader(None);
     join(&mut group, 4, 4);
@@ -155,8 +155,8 @@
     assert!(group.now > ms(0));
 }
 
-/// Has processes ask for a place, each again after 300 ms, until there are five voters.
-/// They ask at once or spread over that time.
+/// Makes processes send join requests every 300 ms until there are five voters. They send
+/// them simultaneously or spread over the interval.
 fn ask(group: &mut Group, asking: &[(NodeId, &str)], at_once: bool) {
     for &(node, _) in asking {
         if !group.processes.contains_key(&node) {
@@ -188,7 +188,7 @@
     }
 }
 
-/// Returns the processes, of those that asked, that have a place.
+/// Returns which of the processes that asked are members.
 fn placed(group: &Group, asking: &[(NodeId, &str)]) -> Vec<NodeId> {
     let asked = asking.iter().map(|&(node, _)| node);
     asked
@@ -198,7 +198,7 @@
 
 #[test]
 fn spread_over_domains() {
-    // The first to ask got the free places, and one failure domain held a quorum.
+    // If the first processes to ask were admitted, one failure domain would hold a quorum.
     let mut group = Group::start(3, 2);
     group.new_leader(None);
     for (from, to) in (1..=3).flat_map(|a| (1..=3).map(move |b| (a, b))) {
@@ -226,7 +226,8 @@
     drains = { Call::Announce(draining()) },
 )]
 fn reserve_names_the_leader(call: Call) {
-    // Callers of a process in reserve were sent away without a hint where to go.
+    // Callers of a standby process must be redirected to the leader, not rejected without a
+    // hint.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     group.boot(8, Members::default(), Saved::default());
@@ -235,14 +236,14 @@
     let reserve = group.processes.get_mut(&8).expect("it runs");
     reserve.core.learn_leader(now, listens(leader));
     assert_eq!(group.ask(8, call.clone()), Answer::Leader(listens(leader)));
-    // There may be another leader by now.
+    // The leader may have changed by now.
     group.run(1_500);
     assert_eq!(group.ask(8, call), Answer::Unavailable);
 }
 
 #[parameterized(two = { 2 }, fleet = { 20 }, two_fleets = { 45 })]
 fn reserves_ask_the_leader(reserves: usize) {
-    // Each process in reserve asked every replica and seed in every round.
+    // A standby process must not ask every replica and seed in every round.
     let replicas: BTreeSet<_> = (1..=8).map(listens).collect();
     let mut enquiries = vec![Enquiry::default(); reserves];
     let mut round = |leader: Option<NodeId>| {
@@ -267,7 +268,8 @@
 
 #[test]
 fn slow_to_join() {
-    // While one process was let in, another of its domain was taken for the first.
+    // While one process is still joining, another one from the same failure domain must not
+    // be admitted in its place.
     let mut group = Group::start(3, 2);
     let leader = group.new_leader(None);
     group.run(100);
@@ -290,7 +292,7 @@
 
 #[test]
 fn one_domain_asks() {
-    // Places that only one failure domain asks for must not stay free.
+    // Vacancies that only one failure domain asks for must still be filled.
     let mut group = Group::start(3, 2);
     group.new_leader(None);
     let asking = [(10, "hall-1"), (11, "hall-1")];
@@ -301,9 +303,8 @@
 
 #[test]
 fn replaced_while_away() {
-    // A replica is away for so long that a process in reserve gets its place.
-    // When it comes back it is told so, gives its place up, and serves as a
-    // reserve under another number in its turn.
+    // A replica is away for so long that a standby process replaces it. When it returns, it
+    // is told so, leaves the group, and becomes a standby itself under another id.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     assert_eq!(group.ask(leader, apply(1)), Answer::Done);
--- a/sesamebeam_core/tests/gateway/make.rs
+++ b/sesamebeam_core/tests/gateway/make.rs
@@ -1,4 +1,4 @@
-//! Values that the tests start from.
+//! Fixtures shared by the tests.
 
 use std::{
     net::SocketAddr,
@@ -53,7 +53,7 @@
     SocketAddr::from(([10, 0, 0, number], 8080))
 }
 
-/// Makes the call by which a backend server leaves.
+/// Creates the request by which a backend server leaves.
 pub(crate) fn leave(id: &str) -> Call {
     Call::Leave {
         id: id.into(),
@@ -173,8 +173,8 @@
     router
 }
 
-/// Returns a control replica of the first of several failure domains, which has no
-/// place in a group yet.
+/// Returns a control replica in the first failure domain that is not a member of a group
+/// yet.
 pub(crate) fn coordinator() -> Coordinator {
     let cfg = CoordinatorConfig {
         addr: listens(1),
@@ -187,7 +187,7 @@
     Coordinator::new(cfg, ms(0))
 }
 
-/// Makes an entry that knows backend servers and how many entries there are.
+/// Creates a router of a named entry with a number of entries and backend servers.
 pub(crate) fn entry_of(name: &str, entries: u32, servers: u8) -> Router {
     let mut settings = router_config();
     settings.name = name.into();
@@ -208,7 +208,7 @@
     router.admit(now, &head).expect("it is admitted")
 }
 
-/// Sends such a request, which is answered at once.
+/// Sends a request that shares no prompt and receives its response immediately.
 pub(crate) fn send(router: &mut Router, now: MonoTime, id: &str) -> Result<Choice, Unserved> {
     let plan = plan(router, now, id);
     let choice = router.choose(now, &plan, None, &[])?;
@@ -216,7 +216,7 @@
     Ok(choice)
 }
 
-/// Returns the choice of a backend server that the tests announce.
+/// Returns the choice of an announced backend server.
 pub(crate) fn choice(number: u8) -> Choice {
     let said = announcement(number);
     Choice {
--- a/sesamebeam_core/tests/gateway/orders.rs
+++ b/sesamebeam_core/tests/gateway/orders.rs
@@ -1,4 +1,4 @@
-//! Configurations and roll-outs through the group.
+//! Configurations, rollouts and announcements in a group of replicas.
 
 use sesamebeam_core::gateway::{
     coordinator::{
@@ -52,7 +52,7 @@
     })
 }
 
-/// Has an entry with nothing follow a replica.
+/// Makes an entry without any state follow a replica.
 fn follow(group: &mut Group, node: NodeId) {
     group.event(node, Event::Subscribed(9));
     group.event(node, Event::Follows(9, Held::default()));
@@ -76,8 +76,8 @@
 
 #[test]
 fn lost_acknowledgement() {
-    // The operator's acknowledgement is lost, the leader dies, and the same
-    // order comes again at another replica, which must not refuse it.
+    // The acknowledgement to the operator is lost, the leader crashes, and the same order
+    // is sent again to another replica, which must accept it.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     assert_eq!(group.ask(leader, apply(5, "five")), Answer::Done);
@@ -99,9 +99,9 @@
 
 #[test]
 fn cut_off_reader() {
-    // The leader is cut off and does not know it; the others elect another, and
-    // a newer configuration is acknowledged there. What the first one says
-    // about the newest configuration must not be the old one.
+    // The leader is partitioned from the group without noticing. The others elect a new
+    // leader, which acknowledges a newer configuration. The old leader must not return the
+    // old configuration as the newest one.
     let mut group = Group::start(3, 1);
     let old = group.new_leader(None);
     assert_eq!(group.ask(old, apply(5, "five")), Answer::Done);
@@ -114,9 +114,9 @@
 
 #[test]
 fn suspended_leader() {
-    // The leader is suspended with a lease in hand; another is elected and
-    // acknowledges a newer configuration. When the first one wakes up, its
-    // clock shows the time that has passed, and it answers nothing old.
+    // The leader is suspended while it holds a lease. Another one is elected and
+    // acknowledges a newer configuration. When the old leader resumes, its clock shows the
+    // elapsed time, and it must not return the old configuration.
     let mut group = Group::start(3, 1);
     let old = group.new_leader(None);
     assert_eq!(group.ask(old, apply(5, "five")), Answer::Done);
@@ -130,8 +130,7 @@
 
 #[test]
 fn all_restart() {
-    // All replicas go down at once right after an acknowledgement and come back
-    // with their disks.
+    // All replicas stop right after an acknowledgement and restart with their disks.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     for version in 1..=50 {
@@ -148,8 +147,8 @@
 
 #[test]
 fn stalled_disk() {
-    // The leader's disk stops answering. It can acknowledge nothing new, so
-    // that another replica has to lead; that one commits without it.
+    // The leader's disk stalls, so the leader cannot acknowledge anything new. Another
+    // replica has to take over, which can commit without that disk.
     let mut group = Group::start(3, 1);
     let old = group.new_leader(None);
     group.processes.get_mut(&old).expect("it runs").stalled = true;
@@ -177,8 +176,8 @@
 
 #[test]
 fn leaving_server() {
-    // A backend server says at one replica that it leaves. It is answered once
-    // another replica has told its entries as well.
+    // A backend server tells one replica that it is leaving. The response is sent once
+    // another replica has forwarded the announcement to its entries as well.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
     assert_eq!(group.ask(1, Call::Announce(announcement(1))), Answer::Done);
@@ -201,8 +200,8 @@
 
 #[test]
 fn leaving_while_cut_off() {
-    // The same at a replica that is cut off: entries that hear the others only
-    // would go on sending work, so that it must not say yes.
+    // The same at a partitioned replica: entries connected only to the other replicas would
+    // keep sending requests, so it must not acknowledge.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
     assert_eq!(group.ask(1, Call::Announce(announcement(1))), Answer::Done);
@@ -233,8 +232,8 @@
 
 #[test]
 fn cut_heals() {
-    // A replica misses changes while it is cut off. When the cut has healed it
-    // has them all, and its entries are told the newest configuration.
+    // A replica misses changes while it is partitioned from the group. Once the partition
+    // has healed, it catches up.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     let away = (1..=3).find(|&n| n != leader).expect("there are three");
@@ -251,8 +250,8 @@
 
 #[test]
 fn roll_out_goes_on_after_a_restart() {
-    // All replicas are killed in the middle of a roll-out. They have kept that it
-    // runs, not since when; entries tell, and it ends when it should.
+    // All replicas are killed during a rollout. Their disks show that it is running, but
+    // not since when; entries report its age, and it ends on time.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     let order = Call::StartRollout {
@@ -300,10 +299,9 @@
 
 #[test]
 fn loads_told() {
-    // What entries have heard of loads, each from a few backend servers and told
-    // to one replica each, comes back to each in one report of the replica that
-    // it follows. One that is cut off with its side of the group hears of the
-    // loads there.
+    // Loads reported by entries to different replicas are returned in a single update from
+    // the replica that an entry follows. A partitioned replica only gets the loads from its
+    // side.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     let asked = leader % 3 + 1;
@@ -338,9 +336,10 @@
 
 #[test]
 fn announced_to_nobody() {
-    // Engines stand unused for good after a restart. They announce themselves to
-    // a replica that has no connection to the others yet; to it their next
-    // announcement is no news, and nobody else hears of them.
+    // A backend server announces itself to a replica that has no connection to the others
+    // yet. Repeating the announcement there is not news, so without a comparison of
+    // directories it is never forwarded, and the server stays unused permanently after a
+    // restart.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
     group.isolate(2);
@@ -361,7 +360,7 @@
 
 #[parameterized(few = { 3 }, many = { 13 })]
 fn told_once_at_a_start(replicas: u64) {
-    // A replica that starts was told of all backend servers by each of the others.
+    // A replica that starts must not be sent all backend servers by each of the others.
     const SERVERS: u8 = 200;
     let mut group = Group::start(replicas, 1);
     group.new_leader(None);
@@ -384,7 +383,7 @@
 
 #[test]
 fn reserve_tells_what_it_heard() {
-    // Members cannot ask a process in reserve for what was announced to it alone.
+    // Members cannot ask a standby process for servers announced only to it.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
     group.boot(8, Members::default(), Saved::default());
@@ -400,7 +399,7 @@
 
 #[test]
 fn differing_is_made_up() {
-    // Each replica knows a backend server that the others lack when connections come.
+    // Each replica knows a backend server that the others lack when they connect.
     let mut group = Group::start(5, 1);
     group.new_leader(None);
     for node in 1..=5 {
@@ -418,9 +417,9 @@
 
 #[test]
 fn leaving_server_unknown_here() {
-    // A replica has just started, or was never told of a backend server, which
-    // says by its id alone that it leaves. Entries that hear the other replicas
-    // know it and go on sending work, so that they have to be told.
+    // A backend server leaves, identified by its id alone, at a replica that does not know
+    // it because it has just started or was never told. Entries that follow other replicas
+    // do know the server and would keep sending requests, so they have to be told.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
     follow(&mut group, 2);
@@ -441,8 +440,7 @@
 
 #[test]
 fn leaving_server_at_a_reserve() {
-    // The same at a process that has no place in the group: nobody hears what it
-    // knows, so that it must not say yes.
+    // The same at a standby process: it cannot inform anybody, so it must not acknowledge.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
     group.boot(8, Members::default(), Saved::default());
@@ -452,9 +450,9 @@
 
 #[test]
 fn log_told_as_one() {
-    // All replicas start anew and apply their logs at once. Entries hear of the
-    // newest configuration and of none before it: with an older one in force they
-    // would refuse callers whose keys came later.
+    // All replicas restart and apply their logs at once. Entries must only receive the
+    // newest configuration: with an older one they would reject callers whose keys were
+    // added later.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     for version in 1..=6 {
--- a/sesamebeam_core/tests/gateway/telling.rs
+++ b/sesamebeam_core/tests/gateway/telling.rs
@@ -1,4 +1,4 @@
-//! What control replicas tell entries, and what it costs.
+//! Updates that control replicas send to entries, and their cost.
 
 use sesamebeam_core::gateway::{
     coordinator::{
@@ -30,7 +30,7 @@
     ms, //
 };
 
-/// Entries of the largest deployment, and its engines.
+/// Numbers of entries and backend servers in the largest deployment.
 const ENTRIES: u64 = 295;
 const ENGINES: u16 = 168;
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Messages to entries by what receives them, and the messages themselves.
+/// Returns the messages to entries, each with its number of recipients.
 fn pushes(actions: &[Action]) -> Vec<(usize, &ToEntry)> {
     let pushed = actions.iter().filter_map(|action| match action {
         Action::Push(Receivers::These(lives), message) => Some((lives.len(), message)),
@@ -70,10 +70,10 @@
 
 #[test]
 fn all_start_at_once() {
-    // Callers wait for seconds until the first entry serves them: 295 entries
-    // start together, and each that connected had all others told how many there
-    // are: 1 + 2 + .. + 295, 43,660 messages before the first configuration. Now: 1,100
-    // or less, with all that the followers are told.
+    // 295 entries start together. If each new connection makes the replica tell all other
+    // entries the new count, these are 1 + 2 + .. + 295 = 43,660 messages before the first
+    // configuration, and callers wait for seconds until the first entry serves them. The
+    // limit of 1,100 includes all updates for the followers.
     let mut core = coordinator();
     let actions = connect_all(&mut core);
     let told: usize = pushes(&actions).iter().map(|(n, _)| n).sum();
@@ -87,9 +87,9 @@
 
 #[test]
 fn all_announce_anew() {
-    // After all power was lost every engine announces itself within a second. Told
-    // one by one to all entries these are 168 x 295, 49,560 messages, which held up the
-    // election and the configuration. Now: 1,500 or less.
+    // After a full power loss all backend servers announce themselves within a second. Sent
+    // one by one to all entries these are 168 x 295 = 49,560 messages, which delay the
+    // election and the configuration. With batches there are 1,500 or fewer.
     let mut core = coordinator();
     connect_all(&mut core);
     let mut told = 0;
@@ -107,7 +107,8 @@
 
 #[parameterized(some = { 300 }, fleet = { 10_002 }, two_fleets = { 20_004 })]
 fn bounded_messages(servers: u16) {
-    // One message held all backend servers, and each connection a buffer for it.
+    // No single message may contain all backend servers: every connection keeps a buffer as
+    // large as its largest message.
     let mut core = coordinator();
     core.handle(ms(0), Event::Servers((0..servers).map(engine).collect()));
     core.handle(ms(100), Event::Subscribed(1));
@@ -123,7 +124,7 @@
 
 #[parameterized(some = { 300 }, fleet = { 10_002 }, two_fleets = { 20_004 })]
 fn one_missing(servers: u16) {
-    // One difference was told with all others of its part of the directory.
+    // A single difference must not cause all other servers of its bucket to be sent.
     let mut core = coordinator();
     let all: Vec<_> = (0..servers).map(engine).collect();
     core.handle(ms(0), Event::Servers(all.clone()));
@@ -163,7 +164,7 @@
     fleet_busy = { 10_002, 4, 40 },
 )]
 fn idle_loads(servers: u16, running: u32, expected: usize) {
-    // Loads that change no choice went to every entry.
+    // Loads that do not affect any routing decision must not be sent to every entry.
     let mut core = coordinator();
     core.handle(ms(0), Event::Servers((0..servers).map(engine).collect()));
     core.handle(ms(100), Event::Subscribed(1));
@@ -191,8 +192,8 @@
 
 #[test]
 fn told_what_it_lacks() {
-    // An entry comes back that knows all backend servers but one. It is told of
-    // that one and of few others.
+    // An entry that knows all backend servers but one reconnects. It is sent that one and
+    // only few others.
     let mut core = coordinator();
     let servers: Vec<_> = (0..ENGINES).map(engine).collect();
     core.handle(ms(0), Event::Servers(servers.clone()));
@@ -221,8 +222,9 @@
 
 #[test]
 fn learns_from_one() {
-    // A replica has started with nothing. It asks one entry for what entries know,
-    // not all of them, and another one if the first does not answer.
+    // A replica has started with an empty directory. It requests the directory from a
+    // single entry instead of from all of them, and from another one if the first does not
+    // answer.
     let mut core = coordinator();
     let mut known = Directory::default();
     known.take(ms(0), announcement(1), true);
@@ -250,7 +252,7 @@
 
 #[test]
 fn fast_after_a_calm() {
-    // A backend server leaves while nothing else happens: entries are told at once.
+    // A backend server leaves while no batch is pending: entries are told immediately.
     let mut core = coordinator();
     core.handle(ms(0), Event::Servers(vec![announcement(1)]));
     core.handle(ms(0), Event::Subscribed(1));
@@ -273,7 +275,7 @@
 
 #[test]
 fn report_adds_up() {
-    // Reports of two entries are passed on as one, with the highest load of each
+    // The reports of several entries are forwarded as one, with the highest load of each
     // backend server.
     let report = |running| Report {
         loads: vec![LoadOf {
@@ -292,7 +294,7 @@
     assert!(sum.is_empty());
 }
 
-/// Returns the backend servers that are to be kept, if any are.
+/// Returns the backend servers to be saved, if any.
 fn kept(actions: &[Action]) -> Option<&[Announcement]> {
     actions.iter().find_map(|action| match action {
         Action::KeepServers(servers) => Some(&servers[..]),
@@ -302,9 +304,9 @@
 
 #[test]
 fn kept_for_the_next_start() {
-    // After a loss of all power callers come back to the first few backend servers
-    // that announce themselves, and wait there. What a replica knows is kept when it
-    // changes, without those that left; heartbeats change nothing.
+    // After a full power loss callers overload the first few backend servers that announce
+    // themselves. A replica therefore saves its directory on changes, without the servers
+    // that are gone. Heartbeats do not cause a save.
     let mut core = coordinator();
     let servers: Vec<_> = (0..ENGINES).map(engine).collect();
     core.handle(ms(0), Event::Servers(servers.clone()));
@@ -322,7 +324,7 @@
     actions.extend(core.handle(ms(2000), Event::Tick));
     let kept = kept(&actions).expect("they are kept");
     assert_eq!(kept.len(), usize::from(ENGINES) - 1);
-    // The next start learns them from the disk, and entries from it at once.
+    // The next start loads them from disk and sends them to entries immediately.
     let mut next = coordinator();
     next.handle(ms(0), Event::Servers(kept.to_vec()));
     next.handle(ms(100), Event::Subscribed(1));
@@ -336,9 +338,10 @@
 
 #[test]
 fn entries_behind_a_cut() {
-    // A failure domain is cut off, and its control replica starts anew: it counts the
-    // entries there, three of nine. An entry that starts there takes its part of the retry
-    // budget and of limits by that count; it must be told of nine by one that knows.
+    // A control replica restarts inside a network partition and counts only the three of
+    // nine entries there. An entry that starts there derives its portion of the retry
+    // budget and of the rate limits from that count, so the replica must use the number
+    // reported by an entry that knows all nine.
     let mut core = coordinator();
     for life in 1..=3 {
         core.handle(ms(life), Event::Subscribed(life));
