--- a/sesamebeam/src/gateway/feed.rs
+++ b/sesamebeam/src/gateway/feed.rs
@@ -269,7 +269,7 @@
                     self.send(addr, FromEntry::Report(report));
                 }
                 Order::Unfollow(addr) => self.send(addr, FromEntry::Unfollow),
-                Order::Ask(addr) => self.send(addr, FromEntry::Lacks(held)),
+                Order::Ask(addr) => self.send(addr, FromEntry::RequestUpdate(held)),
             }
         }
     }
@@ -356,12 +356,12 @@
                 }
             }
             ToEntry::Servers(servers) => self.learn(addr, servers),
-            ToEntry::Details(details) => {
+            ToEntry::SectionDigests(details) => {
                 let router = gateway.router();
                 let sections = router.directory().differing_sections(&details);
                 drop(router);
                 if !sections.is_empty() {
-                    self.send(addr, FromEntry::LacksSections(sections));
+                    self.send(addr, FromEntry::RequestSections(sections));
                 }
             }
             ToEntry::Wants(parts) => self.tell_servers(addr, parts),
@@ -379,7 +379,7 @@
                 gateway.router().set_doubts(doubts);
             }
             ToEntry::Limits(limits) => self.learn_limits(addr, &limits),
-            ToEntry::Unreached(told) => gateway.router().told_unreached(now, &told),
+            ToEntry::Unreachable(told) => gateway.router().told_unreached(now, &told),
             ToEntry::Quarantined(fingerprints) => gateway.router().set_quarantined(fingerprints),
             ToEntry::Kept(kept, all) => gateway.router().keep_sessions(now, &kept, all),
         }
--- a/sesamebeam/src/group.rs
+++ b/sesamebeam/src/group.rs
@@ -276,22 +276,22 @@
             Input::Event(event) => self.event(event),
             Input::Entry(life, link) => {
                 self.entries.connected(life, link);
-                self.event(Event::Subscribed(life));
+                self.event(Event::EntryConnected(life));
             }
             Input::EntryLost(life, number) => {
                 if self.entries.ended(life, number) {
-                    self.event(Event::Unsubscribed(life));
+                    self.event(Event::EntryDisconnected(life));
                 }
             }
             Input::Asked(question, back) => {
                 let ticket = self.ticket();
                 self.questions.insert(ticket, back);
-                self.event(Event::Asked(ticket, question));
+                self.event(Event::MembershipRequested(ticket, question));
             }
             Input::Called(call, back) => {
                 let ticket = self.ticket();
                 self.calls.insert(ticket, back);
-                self.event(Event::Called(ticket, call));
+                self.event(Event::RequestReceived(ticket, call));
             }
             Input::Learned(peers) => {
                 self.core.learn_peers(peers);
@@ -322,26 +322,26 @@
                         disk.write(write, ops);
                     }
                 }
-                Action::Tell { to, told } => {
+                Action::SendMembershipRequest { to, told } => {
                     tokio::spawn(join::tell(to, told));
                 }
-                Action::Reply(ticket, reply) => {
+                Action::ReplyMembership(ticket, reply) => {
                     if let Some(back) = self.questions.remove(&ticket) {
                         let _ = back.send(reply);
                     }
                 }
-                Action::Answer(ticket, answer) => {
+                Action::Respond(ticket, answer) => {
                     if let Some(back) = self.calls.remove(&ticket) {
                         let _ = back.send(answer);
                     }
                 }
                 Action::Push(to, message) => self.entries.push(&to, &message),
-                Action::Holds(summary) => self.hold(summary),
-                Action::KeepServers(servers) => {
+                Action::SetSummary(summary) => self.hold(summary),
+                Action::SaveServers(servers) => {
                     self.roster.send_replace(servers.into());
                 }
                 Action::Peers(peers) => self.set_peers(&peers),
-                Action::Note(note) => notes::log(&note),
+                Action::Log(note) => notes::log(&note),
             }
         }
     }
--- a/sesamebeam/src/group/join.rs
+++ b/sesamebeam/src/group/join.rs
@@ -218,7 +218,7 @@
 
 async fn ask(addr: SocketAddr, question: Question) -> Result<Reply, FrameError> {
     let (mut tx, mut rx) = frames::connect(addr).await?;
-    tx.send(&Hello::Asker).await?;
+    tx.send(&Hello::NonMember).await?;
     tx.send(&question).await?;
     rx.next().await
 }
--- a/sesamebeam/src/group/links.rs
+++ b/sesamebeam/src/group/links.rs
@@ -84,7 +84,7 @@
     match rx.next::<Hello>().await? {
         Hello::Entry { life, name } => serve_entry(back, rx, tx, alive, life, name).await,
         Hello::Replica { node } => serve_replica(back, rx, tx, node).await,
-        Hello::Asker => serve_asker(back, rx, tx).await,
+        Hello::NonMember => serve_asker(back, rx, tx).await,
     }
 }
 
@@ -142,12 +142,12 @@
     let reading = async {
         loop {
             let event = match rx.next().await? {
-                FromEntry::Follow(held) => Event::Follows(life, held),
-                FromEntry::Unfollow => Event::Unfollows(life),
-                FromEntry::Lacks(held) => Event::Lacks(life, held),
-                FromEntry::LacksSections(sections) => Event::LacksSections(life, sections),
+                FromEntry::Follow(held) => Event::EntryFollows(life, held),
+                FromEntry::Unfollow => Event::EntryUnfollows(life),
+                FromEntry::RequestUpdate(held) => Event::Lacks(life, held),
+                FromEntry::RequestSections(sections) => Event::LacksSections(life, sections),
                 FromEntry::Servers(servers) => Event::Servers(servers),
-                FromEntry::Report(report) => Event::Reported(report),
+                FromEntry::Report(report) => Event::EntryReported(report),
                 FromEntry::Alive => continue,
             };
             if tx.send(Input::Event(event)).is_err() {
--- a/sesamebeam/src/group/subscribers.rs
+++ b/sesamebeam/src/group/subscribers.rs
@@ -94,13 +94,13 @@
             return;
         };
         let receivers = match to {
-            Receivers::These(lives) => lives.len(),
+            Receivers::Only(lives) => lives.len(),
             Receivers::All => self.links.len(),
         };
         self.meters
             .message(Way::ToEntries, message.kind(), bytes.len(), receivers);
         match to {
-            Receivers::These(lives) => {
+            Receivers::Only(lives) => {
                 for life in lives {
                     let link = self.links.get(life);
                     if link.is_some_and(|link| !link.push(&bytes)) {
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -28,7 +28,7 @@
     Call, //
 };
 pub use group::Peers;
-pub use telling::MOST_IN_MESSAGE;
+pub use telling::MAX_ANNOUNCEMENTS_PER_MESSAGE;
 
 use self::{
     announce::Confirming,
@@ -96,7 +96,7 @@
 };
 
 /// Interval of the periodic tasks.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const PERIODIC_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Random number that an entry draws at startup to identify itself.
 pub type EntryLife = u64;
@@ -134,17 +134,17 @@
         message: Between,
     },
     /// A connection to another replica has been established.
-    Reached(NodeId),
+    PeerConnected(NodeId),
     /// Addresses of the seeds, the first replicas listed in the settings.
     Seeds(BTreeSet<SocketAddr>),
     /// An entry has connected.
-    Subscribed(EntryLife),
+    EntryConnected(EntryLife),
     /// An entry's connection has closed.
-    Unsubscribed(EntryLife),
+    EntryDisconnected(EntryLife),
     /// An entry with the given state subscribes to updates from this replica.
-    Follows(EntryLife, Held),
+    EntryFollows(EntryLife, Held),
     /// An entry has moved its subscription to another replica.
-    Unfollows(EntryLife),
+    EntryUnfollows(EntryLife),
     /// An entry requests the updates that it is missing relative to this replica.
     Lacks(EntryLife, Held),
     /// An entry requests the backend servers in these sections of the directory.
@@ -152,11 +152,11 @@
     /// An entry has sent the backend servers that it knows.
     Servers(Vec<Announcement>),
     /// An entry has reported its observations.
-    Reported(Report),
+    EntryReported(Report),
     /// A non-member process has sent a membership request.
-    Asked(Ticket, Question),
+    MembershipRequested(Ticket, Question),
     /// A caller has sent a request.
-    Called(Ticket, Call),
+    RequestReceived(Ticket, Call),
     /// A write has been synced.
     Synced(WriteId),
     /// The disk is full, or has space again.
@@ -169,7 +169,7 @@
     /// All connected entries.
     All,
     /// Only these entries.
-    These(Vec<EntryLife>),
+    Only(Vec<EntryLife>),
 }
 
 /// Output of a coordinator, to be carried out by its caller.
@@ -190,26 +190,26 @@
         ops: Vec<DiskOp>,
     },
     /// Send a membership request to a process outside the group.
-    Tell {
+    SendMembershipRequest {
         /// Address of the recipient.
         to: SocketAddr,
         /// The request.
         told: Question,
     },
     /// Reply to a membership request.
-    Reply(Ticket, Reply),
+    ReplyMembership(Ticket, Reply),
     /// Respond to a caller.
-    Answer(Ticket, Answer),
+    Respond(Ticket, Answer),
     /// Send a message to entries.
     Push(Receivers, ToEntry),
     /// Summary of this replica's state for the periodic heartbeat to all entries.
-    Holds(Summary),
+    SetSummary(Summary),
     /// Save backend servers to disk for the next startup.
-    KeepServers(Vec<Announcement>),
+    SaveServers(Vec<Announcement>),
     /// The membership of the group has changed.
     Peers(Peers),
     /// Write an event to the process log.
-    Note(Note),
+    Log(Note),
 }
 
 /// Event for the process log.
@@ -376,18 +376,18 @@
         match event {
             Event::Tick => self.step(ReplicaEvent::Tick),
             Event::Peer { from, message } => self.peer(from, message),
-            Event::Reached(to) => self.compare_servers(to),
+            Event::PeerConnected(to) => self.compare_servers(to),
             Event::Seeds(seeds) => self.seeds = seeds,
-            Event::Subscribed(life) => self.subscribe(life),
-            Event::Unsubscribed(life) => self.unsubscribe(life),
-            Event::Follows(life, held) => self.follow(life, held),
-            Event::Unfollows(life) => self.unfollow(life),
+            Event::EntryConnected(life) => self.subscribe(life),
+            Event::EntryDisconnected(life) => self.unsubscribe(life),
+            Event::EntryFollows(life, held) => self.follow(life, held),
+            Event::EntryUnfollows(life) => self.unfollow(life),
             Event::Lacks(life, held) => self.lacks(life, held),
             Event::LacksSections(life, sections) => self.lacks_sections(life, &sections),
             Event::Servers(servers) => self.take_announcements(servers),
-            Event::Reported(report) => self.reported(report),
-            Event::Asked(ticket, question) => self.asked(ticket, question),
-            Event::Called(ticket, call) => self.called(ticket, call),
+            Event::EntryReported(report) => self.reported(report),
+            Event::MembershipRequested(ticket, question) => self.asked(ticket, question),
+            Event::RequestReceived(ticket, call) => self.called(ticket, call),
             Event::Synced(write) => self.synced(write),
             Event::DiskFull(full) => {
                 self.disk_full = full;
@@ -576,7 +576,7 @@
         if self.now < self.look_at {
             return;
         }
-        self.look_at = self.now + LOOK_EVERY;
+        self.look_at = self.now + PERIODIC_INTERVAL;
         if self.writing.is_some() || self.disk_stalled {
             self.tell_disk();
         }
@@ -595,6 +595,6 @@
     }
 
     fn note(&mut self, note: Note) {
-        self.actions.push(Action::Note(note));
+        self.actions.push(Action::Log(note));
     }
 }
--- a/sesamebeam_core/src/gateway/coordinator/announce.rs
+++ b/sesamebeam_core/src/gateway/coordinator/announce.rs
@@ -10,7 +10,7 @@
     Answer,
     Coordinator,
     Note,
-    telling::WANT_EVERY, //
+    telling::PULL_RETRY_DELAY, //
 };
 use crate::{
     gateway::{
@@ -21,7 +21,7 @@
         },
         directory::{
             Announcement,
-            BORN_UNKNOWN,
+            START_TIME_UNKNOWN,
             Born,
             ServerState, //
         },
@@ -104,7 +104,7 @@
             self.actions.push(Action::Send { to: from, message });
         }
         if later {
-            self.telling.compare_at.insert(from, self.now + WANT_EVERY);
+            self.telling.compare_at.insert(from, self.now + PULL_RETRY_DELAY);
         }
     }
 
@@ -160,7 +160,7 @@
         if news {
             self.tell_peers(&Between::Servers(vec![told]));
         }
-        self.actions.push(Action::Answer(ticket, Answer::Done));
+        self.actions.push(Action::Respond(ticket, Answer::Done));
     }
 
     /// Handles the notice of a backend server that it is leaving, identified by its id and
@@ -174,9 +174,9 @@
         let said = match self.directory.leave(self.now, id, born) {
             Some(said) => said,
             None => {
-                let said = gone(id, born.unwrap_or(BORN_UNKNOWN));
+                let said = gone(id, born.unwrap_or(START_TIME_UNKNOWN));
                 if !self.learn(said.clone()) {
-                    self.actions.push(Action::Answer(ticket, Answer::Done));
+                    self.actions.push(Action::Respond(ticket, Answer::Done));
                     return;
                 }
                 said
@@ -196,7 +196,7 @@
         if confirming.by.len() >= confirming.wanted {
             let ticket = confirming.ticket;
             self.confirming.remove(&number);
-            self.actions.push(Action::Answer(ticket, Answer::Done));
+            self.actions.push(Action::Respond(ticket, Answer::Done));
         }
     }
 
@@ -213,7 +213,7 @@
         for number in late {
             if let Some(c) = self.confirming.remove(&number) {
                 self.actions
-                    .push(Action::Answer(c.ticket, Answer::Unavailable));
+                    .push(Action::Respond(c.ticket, Answer::Unavailable));
             }
         }
     }
@@ -222,12 +222,12 @@
         // Replicas do not confirm announcements of a non-member.
         if !self.peers.is_member() {
             let answer = self.elsewhere();
-            self.actions.push(Action::Answer(ticket, answer));
+            self.actions.push(Action::Respond(ticket, answer));
             return;
         }
         let wanted = self.peers.count() / 2;
         if wanted == 0 {
-            self.actions.push(Action::Answer(ticket, Answer::Done));
+            self.actions.push(Action::Respond(ticket, Answer::Done));
             return;
         }
         let number = self.next_ticket;
--- a/sesamebeam_core/src/gateway/coordinator/calls.rs
+++ b/sesamebeam_core/src/gateway/coordinator/calls.rs
@@ -259,6 +259,6 @@
     }
 
     fn answer(&mut self, ticket: Ticket, answer: Answer) {
-        self.actions.push(Action::Answer(ticket, answer));
+        self.actions.push(Action::Respond(ticket, answer));
     }
 }
--- a/sesamebeam_core/src/gateway/coordinator/group.rs
+++ b/sesamebeam_core/src/gateway/coordinator/group.rs
@@ -35,17 +35,17 @@
 /// Silence after which a replica may be replaced by a process that asks to join. It is
 /// longer than a restart takes, and well within the time in which a replaced replica must
 /// be fully operational again.
-const SILENT_FOR: Duration = Duration::from_secs(2);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Interval at which seeds outside the group are sent the membership. Entries that know no
 /// other process ask the seeds; with this interval plus the round trip they are served
 /// again within a second, an eighth of the shortest recovery time that users specify. Each
 /// round costs the leader one connection per such seed.
-const TELL_SEEDS_EVERY: Duration = Duration::from_millis(500);
+const SEED_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time for which a standby process redirects callers to the last known leader: a few of
 /// its polling rounds, within which a lost leader has a successor.
-const LEADER_KNOWN_FOR: Duration = Duration::from_millis(1000);
+const LEADER_HINT_TTL: Duration = Duration::from_millis(1000);
 
 /// Replicas of a group and their addresses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -128,7 +128,7 @@
     /// Handles a membership request.
     pub(super) fn asked(&mut self, ticket: Ticket, question: Question) {
         let reply = match (&self.replica, question) {
-            (_, Question::Told { replicas, .. }) => {
+            (_, Question::Members { replicas, .. }) => {
                 self.learn_peers(replicas);
                 Reply::None
             }
@@ -144,7 +144,7 @@
                 },
             ) => self.join(node, incarnation, addr, domain),
         };
-        self.actions.push(Action::Reply(ticket, reply));
+        self.actions.push(Action::ReplyMembership(ticket, reply));
     }
 
     /// Applies a membership change.
@@ -173,7 +173,7 @@
             return self.peers.addr(replica.leader()?);
         }
         let (leader, at) = self.known_leader?;
-        (self.now < at + LEADER_KNOWN_FOR).then_some(leader)
+        (self.now < at + LEADER_HINT_TTL).then_some(leader)
     }
 
     /// Sends the membership to seeds that are not members.
@@ -190,15 +190,15 @@
         if !replica.has_lease(self.now) || self.now < self.tell_seeds_at {
             return;
         }
-        self.tell_seeds_at = self.now + TELL_SEEDS_EVERY;
-        let told = Question::Told {
+        self.tell_seeds_at = self.now + SEED_UPDATE_INTERVAL;
+        let told = Question::Members {
             group: replica.group(),
             replicas: self.peers.all().collect(),
         };
         let members = self.peers.addrs();
         for &to in self.seeds.iter().filter(|seed| !members.contains(seed)) {
             let told = told.clone();
-            self.actions.push(Action::Tell { to, told });
+            self.actions.push(Action::SendMembershipRequest { to, told });
         }
     }
 
@@ -294,7 +294,7 @@
     fn silent_voter(&self) -> Option<NodeId> {
         let replica = self.replica.as_ref()?;
         let progress = replica.progress(self.now);
-        let silent = progress.iter().filter(|s| s.voter && s.silent > SILENT_FOR);
+        let silent = progress.iter().filter(|s| s.voter && s.silent > SILENCE_TIMEOUT);
         silent
             .max_by_key(|s| s.silent)
             .map(|s: &ReplicaStatus| s.node)
@@ -312,7 +312,7 @@
     fn placed(&self) -> Vec<NodeId> {
         let progress = self.replica.as_ref().map(|r| r.progress(self.now));
         let placed = progress.into_iter().flatten();
-        let placed = placed.filter(|s| s.voter || s.silent <= SILENT_FOR);
+        let placed = placed.filter(|s| s.voter || s.silent <= SILENCE_TIMEOUT);
         placed.map(|s| s.node).collect()
     }
 
--- a/sesamebeam_core/src/gateway/coordinator/places.rs
+++ b/sesamebeam_core/src/gateway/coordinator/places.rs
@@ -16,7 +16,7 @@
 };
 
 /// Time within which every process that wants to join has asked: two of its polling rounds.
-const ALL_ASK_IN: Duration = Duration::from_millis(600);
+const JOIN_REQUEST_WINDOW: Duration = Duration::from_millis(600);
 
 /// Known failure domains of replicas, and recent requests to join.
 #[derive(Debug, Default)]
@@ -54,7 +54,7 @@
         stay: impl Iterator<Item = &'a NodeId>,
     ) -> bool {
         self.asked.insert(domain.clone(), now);
-        self.asked.retain(|_, at| now < *at + ALL_ASK_IN);
+        self.asked.retain(|_, at| now < *at + JOIN_REQUEST_WINDOW);
         if !is_free {
             self.free_since = None;
             return false;
@@ -67,7 +67,7 @@
         let count = |domain| voters.get(domain).copied().unwrap_or_default();
         let fewest = self.asked.keys().map(count).min().unwrap_or_default();
         let own = count(domain);
-        let admitted = own == 0 || own == fewest && now >= since + ALL_ASK_IN;
+        let admitted = own == 0 || own == fewest && now >= since + JOIN_REQUEST_WINDOW;
         if admitted {
             self.free_since = None;
         }
--- a/sesamebeam_core/src/gateway/coordinator/telling.rs
+++ b/sesamebeam_core/src/gateway/coordinator/telling.rs
@@ -53,24 +53,24 @@
 
 /// Minimum interval between two batches of updates and of replies to entries that request
 /// missing data. A leaving backend server stays up for at least two seconds.
-const PACK_EVERY: Duration = Duration::from_millis(50);
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Minimum interval between two saves of the backend servers to disk. Entries learn of a
 /// leaving server within a tenth of that.
-const KEEP_EVERY: Duration = Duration::from_millis(500);
+const SAVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Delay before another process is asked for the same data: a reply takes a few round
 /// trips.
-pub(super) const WANT_EVERY: Duration = Duration::from_millis(300);
+pub(super) const PULL_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Maximum number of announcements in one message to entries, about 8 KB encoded. Every
 /// connection keeps a buffer as large as its largest message, and a message that takes a
 /// second to send, on a slow link shared with requests, gets its connection closed.
-pub const MOST_IN_MESSAGE: usize = 256;
+pub const MAX_ANNOUNCEMENTS_PER_MESSAGE: usize = 256;
 
 /// Maximum number of backend servers in a bucket that are sent without first finding out
 /// which sections differ. Sending them takes as many bytes as sending the section digests.
-const TOLD_WHOLE: usize = 8;
+const MAX_UNSECTIONED_SERVERS: usize = 8;
 
 /// Pending updates for entries, and the reports collected from them.
 #[derive(Debug, Default)]
@@ -122,7 +122,7 @@
 
     /// Returns when the next batch is due, if anything waits for it.
     pub(super) fn next_wake(&self) -> Option<MonoTime> {
-        self.waits().then_some(self.packed_at + PACK_EVERY)
+        self.waits().then_some(self.packed_at + BATCH_INTERVAL)
     }
 
     /// Resets the record that entries know the state to be current.
@@ -131,7 +131,7 @@
     }
 
     fn followers(&self) -> Receivers {
-        Receivers::These(self.followers.iter().copied().collect())
+        Receivers::Only(self.followers.iter().copied().collect())
     }
 }
 
@@ -142,7 +142,7 @@
         let entries = self.telling.entries.len() as u32;
         self.telling.counted.connected(self.now, entries);
         let fleet = self.fleet();
-        self.push(Receivers::These(vec![life]), fleet);
+        self.push(Receivers::Only(vec![life]), fleet);
     }
 
     /// Removes an entry whose connection has closed.
@@ -161,7 +161,7 @@
         self.telling.followers.insert(life);
         self.telling.counted.confirmed(held.entries);
         self.lacks(life, held);
-        let this = Receivers::These(vec![life]);
+        let this = Receivers::Only(vec![life]);
         let quarantined = self.crashes.quarantined();
         if !quarantined.is_empty() {
             self.push(this.clone(), ToEntry::Quarantined(quarantined));
@@ -227,7 +227,7 @@
     /// Publishes the changes caused by an event.
     pub(super) fn tell(&mut self) {
         self.tell_state();
-        if self.telling.waits() && self.now >= self.telling.packed_at + PACK_EVERY {
+        if self.telling.waits() && self.now >= self.telling.packed_at + BATCH_INTERVAL {
             self.telling.packed_at = self.now;
             self.tell_lacking();
             self.tell_fresh();
@@ -247,7 +247,7 @@
         }
         let unreached = std::mem::take(&mut self.telling.unreached);
         if !unreached.is_empty() {
-            let unreached = ToEntry::Unreached(unreached.into_iter().collect());
+            let unreached = ToEntry::Unreachable(unreached.into_iter().collect());
             self.push(self.telling.followers(), unreached);
         }
         if let Some(loads) = self.loads.due(self.now, self.directory.count()) {
@@ -270,7 +270,7 @@
         let summary = self.summary();
         if summary != self.telling.summary {
             self.telling.summary = summary;
-            self.actions.push(Action::Holds(summary));
+            self.actions.push(Action::SetSummary(summary));
         }
         self.keep_servers(summary.servers);
     }
@@ -278,13 +278,13 @@
     /// Saves the backend servers to disk if they have changed.
     fn keep_servers(&mut self, digest: u32) {
         let (kept, at) = self.telling.kept;
-        if digest == kept || self.now < at + KEEP_EVERY {
+        if digest == kept || self.now < at + SAVE_INTERVAL {
             return;
         }
         self.telling.kept = (digest, self.now);
         let all = self.directory.tell(self.now);
         let servers = all.filter(|said| said.state != ServerState::Gone).collect();
-        self.actions.push(Action::KeepServers(servers));
+        self.actions.push(Action::SaveServers(servers));
     }
 
     /// Publishes the limits of backend servers if any was added, changed or ended.
@@ -337,7 +337,7 @@
         // Lets entries that follow another replica detect that it lags behind.
         let summary = self.summary();
         self.telling.summary = summary;
-        self.actions.push(Action::Holds(summary));
+        self.actions.push(Action::SetSummary(summary));
         self.push(Receivers::All, ToEntry::Alive(summary));
     }
 
@@ -360,34 +360,34 @@
         }
         for (with_config, lives) in of_state {
             let state = self.state(with_config);
-            self.push(Receivers::These(lives), state);
+            self.push(Receivers::Only(lives), state);
         }
         for (parts, lives) in of_servers {
             let servers = self.directory.tell_parts(self.now, parts).collect();
-            self.push_servers(&Receivers::These(lives), servers);
+            self.push_servers(&Receivers::Only(lives), servers);
         }
         for (parts, lives) in of_details.into_iter().filter(|(p, _)| !p.is_empty()) {
-            let details = ToEntry::Details(self.directory.details(parts));
-            self.push(Receivers::These(lives), details);
+            let details = ToEntry::SectionDigests(self.directory.details(parts));
+            self.push(Receivers::Only(lives), details);
         }
     }
 
     /// Returns which of the differing buckets are compared section by section first: those
     /// in which the entry has data and which hold many backend servers.
     fn detailed(&self, differing: Parts, filled: Parts) -> Parts {
-        let large = |&n: &usize| self.directory.count_part(n) > TOLD_WHOLE;
+        let large = |&n: &usize| self.directory.count_part(n) > MAX_UNSECTIONED_SERVERS;
         Parts::these(differing.and(filled).numbers().filter(large))
     }
 
     /// Sends an entry the backend servers in some sections of the directory.
     pub(super) fn lacks_sections(&mut self, life: EntryLife, sections: &[Section]) {
         let servers = self.directory.tell_sections(self.now, sections).collect();
-        self.push_servers(&Receivers::These(vec![life]), servers);
+        self.push_servers(&Receivers::Only(vec![life]), servers);
     }
 
     /// Sends announcements in chunks of at most [`MAX_ANNOUNCEMENTS_PER_MESSAGE`].
     fn push_servers(&mut self, to: &Receivers, servers: Vec<Announcement>) {
-        for servers in servers.chunks(MOST_IN_MESSAGE) {
+        for servers in servers.chunks(MAX_ANNOUNCEMENTS_PER_MESSAGE) {
             self.push(to.clone(), ToEntry::Servers(servers.to_vec()));
         }
     }
@@ -396,7 +396,7 @@
     fn want(&mut self, life: EntryLife, differing: Parts, filled: Parts) {
         let (parts, _) = self.claim_parts(differing, filled);
         if !parts.is_empty() {
-            self.push(Receivers::These(vec![life]), ToEntry::Wants(parts));
+            self.push(Receivers::Only(vec![life]), ToEntry::Wants(parts));
         }
     }
 
@@ -409,7 +409,7 @@
         let is_due = |n: &usize| want_at.get(n).is_none_or(|at| now >= *at);
         let of_both = differing.and(filled).numbers();
         let (wanted, later): (Vec<usize>, Vec<usize>) = of_both.partition(is_due);
-        want_at.extend(wanted.iter().map(|&n| (n, now + WANT_EVERY)));
+        want_at.extend(wanted.iter().map(|&n| (n, now + PULL_RETRY_DELAY)));
         (Parts::these(wanted.into_iter()), !later.is_empty())
     }
 
@@ -466,7 +466,7 @@
 
     /// Queues a message to entries unless there are no recipients.
     fn push(&mut self, to: Receivers, message: ToEntry) {
-        if to != Receivers::These(Vec::new()) {
+        if to != Receivers::Only(Vec::new()) {
             self.actions.push(Action::Push(to, message));
         }
     }
--- a/sesamebeam_core/src/gateway/digests.rs
+++ b/sesamebeam_core/src/gateway/digests.rs
@@ -26,15 +26,15 @@
 
 /// Number of leading bits of a key that select the bucket, and of following bits that
 /// select the section.
-const PART_BITS: u32 = 6;
+const BUCKET_BITS: u32 = 6;
 const SECTION_BITS: u32 = 6;
 
 /// Number of bits of a key below those of the bucket, and below those of the section.
-const PART_SHIFT: u32 = ServerKey::BITS - PART_BITS;
-const SECTION_SHIFT: u32 = PART_SHIFT - SECTION_BITS;
+const BUCKET_SHIFT: u32 = ServerKey::BITS - BUCKET_BITS;
+const SECTION_SHIFT: u32 = BUCKET_SHIFT - SECTION_BITS;
 
 /// Number of buckets of a directory. The digests of all buckets take 320 bytes.
-pub const PARTS: usize = 1 << PART_BITS;
+pub const BUCKETS: usize = 1 << BUCKET_BITS;
 
 /// Number of sections of a bucket.
 const SECTIONS: usize = 1 << SECTION_BITS;
@@ -68,7 +68,7 @@
     /// Returns the number of the bucket, or none if the sender uses another layout.
     pub(super) fn part(&self) -> Option<usize> {
         let part = usize::from(self.part);
-        (part < PARTS && self.sections.len() == SECTIONS).then_some(part)
+        (part < BUCKETS && self.sections.len() == SECTIONS).then_some(part)
     }
 
     /// Iterates over the sections that differ.
@@ -82,8 +82,8 @@
 
 /// Returns the first and last key of a bucket.
 pub(super) fn keys_of_part(part: usize) -> (ServerKey, ServerKey) {
-    let first = (part as ServerKey) << PART_SHIFT;
-    (first, first | (ServerKey::MAX >> PART_BITS))
+    let first = (part as ServerKey) << BUCKET_SHIFT;
+    (first, first | (ServerKey::MAX >> BUCKET_BITS))
 }
 
 /// Returns the first and last key of a section.
@@ -91,7 +91,7 @@
     let first = ServerKey::from(section) << SECTION_SHIFT;
     (
         first,
-        first | (ServerKey::MAX >> (PART_BITS + SECTION_BITS)),
+        first | (ServerKey::MAX >> (BUCKET_BITS + SECTION_BITS)),
     )
 }
 
@@ -145,7 +145,7 @@
 
     /// Iterates over the numbers of the buckets.
     pub(super) fn numbers(self) -> impl Iterator<Item = usize> {
-        (0..PARTS).filter(move |&n| self.has_part(n))
+        (0..BUCKETS).filter(move |&n| self.has_part(n))
     }
 
     /// Creates a set from bucket numbers.
@@ -160,7 +160,7 @@
 
 impl Default for Digests {
     fn default() -> Self {
-        Self(vec![0; PARTS])
+        Self(vec![0; BUCKETS])
     }
 }
 
@@ -180,7 +180,7 @@
     /// side uses another number of buckets.
     pub fn differing(&self, other: &Self) -> Parts {
         let differs = |n: &usize| self.0.get(*n) != other.0.get(*n);
-        Parts::these((0..PARTS).filter(differs))
+        Parts::these((0..BUCKETS).filter(differs))
     }
 
     /// Returns the buckets that are not empty.
@@ -190,5 +190,5 @@
 }
 
 fn part(key: ServerKey) -> usize {
-    (key >> PART_SHIFT) as usize
+    (key >> BUCKET_SHIFT) as usize
 }
--- a/sesamebeam_core/src/gateway/directory.rs
+++ b/sesamebeam_core/src/gateway/directory.rs
@@ -50,7 +50,7 @@
 
 /// Start time of an incarnation that left and about which nothing else is known. No
 /// announcement with the same id can bring it back.
-pub const BORN_UNKNOWN: Born = Born::MAX;
+pub const START_TIME_UNKNOWN: Born = Born::MAX;
 
 /// One incarnation of a backend server. Its state and its sequence numbers end with it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -64,7 +64,7 @@
 /// Number of ended incarnations that are remembered, so that a late announcement does not
 /// revive one. 8,192 cover an hour at two replacements per second; each takes about 200
 /// bytes.
-const MAX_ENDED: usize = 8192;
+const MAX_GONE: usize = 8192;
 
 /// How much later than previously announced the end of the cold phase must be to count as
 /// news. It exceeds the delay of announcements over a lossy network, and is less than any
@@ -320,7 +320,7 @@
 
     fn forget_ended(&mut self) {
         let (ended, oldest) = self.index.ended();
-        let oldest = oldest.filter(|_| ended > MAX_ENDED).cloned();
+        let oldest = oldest.filter(|_| ended > MAX_GONE).cloned();
         if let Some(id) = oldest {
             self.remove(&id);
         }
--- a/sesamebeam_core/src/gateway/entries.rs
+++ b/sesamebeam_core/src/gateway/entries.rs
@@ -17,7 +17,7 @@
 
 /// Time after the first entry has connected to a control replica by which all others have:
 /// entries connect to every replica within 1.2 s of their first connection.
-const SETTLES_IN: Duration = Duration::from_millis(1500);
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
 /// Count of the entries connected to a control replica.
 #[derive(Clone, Copy, Debug, Default)]
@@ -47,7 +47,7 @@
     /// Returns the largest number of simultaneously connected entries; 0 while it is not
     /// known.
     pub fn known(&self, now: MonoTime) -> u32 {
-        let settled = self.since.is_some_and(|since| now >= since + SETTLES_IN);
+        let settled = self.since.is_some_and(|since| now >= since + SETTLE_TIME);
         match settled || self.confirmed {
             true => self.most,
             false => 0,
--- a/sesamebeam_core/src/gateway/feed.rs
+++ b/sesamebeam_core/src/gateway/feed.rs
@@ -84,7 +84,7 @@
         node: NodeId,
     },
     /// A process that sends a single membership request.
-    Asker,
+    NonMember,
 }
 
 /// Message from an entry to a control replica.
@@ -96,9 +96,9 @@
     Unfollow,
     /// Request the updates that the sender, with this state, is missing relative to the
     /// receiver's summary.
-    Lacks(Held),
+    RequestUpdate(Held),
     /// Request the backend servers that the receiver knows in these sections.
-    LacksSections(Vec<Section>),
+    RequestSections(Vec<Section>),
     /// Backend servers known to the sender, as requested by the receiver.
     Servers(Vec<Announcement>),
     /// Observations since the last report.
@@ -113,8 +113,8 @@
         match self {
             Self::Follow(_) => "follow",
             Self::Unfollow => "unfollow",
-            Self::Lacks(_) => "lacks",
-            Self::LacksSections(_) => "lacks_sections",
+            Self::RequestUpdate(_) => "lacks",
+            Self::RequestSections(_) => "lacks_sections",
             Self::Servers(_) => "servers",
             Self::Report(_) => "report",
             Self::Alive => "alive",
@@ -280,7 +280,7 @@
     /// Backend servers with new announcements, or that the receiver is missing.
     Servers(Vec<Announcement>),
     /// Section digests of buckets that differ from the receiver's.
-    Details(Vec<PartDetail>),
+    SectionDigests(Vec<PartDetail>),
     /// Request for the receiver's backend servers in these buckets.
     Wants(Parts),
     /// Recent observations of all entries.
@@ -297,7 +297,7 @@
     /// Current rate limits of backend servers, and those that ended recently.
     Limits(Vec<LimitOf>),
     /// Backend servers that have just been found unreachable.
-    Unreached(Vec<Unreached>),
+    Unreachable(Vec<Unreached>),
     /// Requests that crash the backend servers running them.
     Quarantined(Vec<Digest>),
     /// Sessions reported by entries that must stay on the versions before a rollout, and
@@ -314,12 +314,12 @@
             Self::Fleet { .. } => "fleet",
             Self::State { .. } => "state",
             Self::Servers(_) => "servers",
-            Self::Details(_) => "details",
+            Self::SectionDigests(_) => "details",
             Self::Wants(_) => "wants",
             Self::Loads { .. } => "loads",
             Self::Doubts(_) => "doubts",
             Self::Limits(_) => "limits",
-            Self::Unreached(_) => "unreached",
+            Self::Unreachable(_) => "unreached",
             Self::Quarantined(_) => "quarantined",
             Self::Kept(..) => "kept",
             Self::Alive(_) => "alive",
@@ -422,7 +422,7 @@
         domain: DomainId,
     },
     /// Sent by the leader to tell the receiver the members; expects no reply.
-    Told {
+    Members {
         /// Identity of the group.
         group: u128,
         /// All replicas with their addresses.
--- a/sesamebeam_core/tests/gateway/evacuations.rs
+++ b/sesamebeam_core/tests/gateway/evacuations.rs
@@ -109,8 +109,8 @@
         bytes: "five".into(),
     });
     assert_eq!(group.ask(leader, config), Answer::Done);
-    group.event(other, Event::Subscribed(9));
-    group.event(other, Event::Follows(9, Held::default()));
+    group.event(other, Event::EntryConnected(9));
+    group.event(other, Event::EntryFollows(9, Held::default()));
     group.run(100);
     group.pushed.clear();
     assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
@@ -125,8 +125,8 @@
     };
     assert!(hears(&group, other, false), "{:?}", group.pushed);
     group.pushed.clear();
-    group.event(leader, Event::Subscribed(10));
-    group.event(leader, Event::Follows(10, Held::default()));
+    group.event(leader, Event::EntryConnected(10));
+    group.event(leader, Event::EntryFollows(10, Held::default()));
     group.run(100);
     assert!(hears(&group, leader, true), "{:?}", group.pushed);
 }
--- a/sesamebeam_core/tests/gateway/group.rs
+++ b/sesamebeam_core/tests/gateway/group.rs
@@ -219,7 +219,7 @@
     /// Sends a request to a replica and returns its ticket.
     pub(crate) fn call(&mut self, node: NodeId, call: Call) -> u64 {
         let ticket = self.ticket();
-        self.event(node, Event::Called(ticket, call));
+        self.event(node, Event::RequestReceived(ticket, call));
         ticket
     }
 
@@ -233,7 +233,7 @@
     /// Sends a membership request to a replica and returns the reply.
     pub(crate) fn question(&mut self, node: NodeId, question: Question) -> Reply {
         let ticket = self.ticket();
-        self.event(node, Event::Asked(ticket, question));
+        self.event(node, Event::MembershipRequested(ticket, question));
         self.replies[&ticket].clone()
     }
 
@@ -326,15 +326,15 @@
                         process.writes.push_back((at, write, ops));
                     }
                 }
-                Action::Tell { to, told } => self.told.push_back((to, told)),
-                Action::Reply(ticket, reply) => {
+                Action::SendMembershipRequest { to, told } => self.told.push_back((to, told)),
+                Action::ReplyMembership(ticket, reply) => {
                     self.replies.insert(ticket, reply);
                 }
-                Action::Answer(ticket, answer) => {
+                Action::Respond(ticket, answer) => {
                     self.answers.insert(ticket, answer);
                 }
                 Action::Push(_, push) => self.pushed.push((node, push)),
-                Action::Holds(_) | Action::KeepServers(_) | Action::Peers(_) | Action::Note(_) => {}
+                Action::SetSummary(_) | Action::SaveServers(_) | Action::Peers(_) | Action::Log(_) => {}
             }
         }
     }
--- a/sesamebeam_core/tests/gateway/joining.rs
+++ b/sesamebeam_core/tests/gateway/joining.rs
@@ -203,7 +203,7 @@
     group.new_leader(None);
     for (from, to) in (1..=3).flat_map(|a| (1..=3).map(move |b| (a, b))) {
         if from != to {
-            group.event(from, Event::Reached(to));
+            group.event(from, Event::PeerConnected(to));
         }
     }
     group.run(100);
--- a/sesamebeam_core/tests/gateway/limits.rs
+++ b/sesamebeam_core/tests/gateway/limits.rs
@@ -294,7 +294,7 @@
 /// Has an entry report to a control replica, and returns what that tells.
 fn report(core: &mut Coordinator, now: u64, router: &mut Router) -> Vec<LimitOf> {
     let report = router.take_report(ms(now));
-    let mut actions = core.handle(ms(now), Event::Reported(report));
+    let mut actions = core.handle(ms(now), Event::EntryReported(report));
     for at in (now..now + 400).step_by(20) {
         actions.extend(core.handle(ms(at), Event::Tick));
     }
@@ -314,8 +314,8 @@
     let mut hears = entry(1, 300, 1);
     let mut other = entry(2, 300, 1);
     core.handle(ms(0), Event::Servers(vec![announcement(0)]));
-    core.handle(ms(0), Event::Subscribed(1));
-    core.handle(ms(0), Event::Follows(1, Default::default()));
+    core.handle(ms(0), Event::EntryConnected(1));
+    core.handle(ms(0), Event::EntryFollows(1, Default::default()));
     for (at, limit) in [(10_000, Some(4.0)), (20_000, Some(2.0)), (30_000, None)] {
         answer(&mut hears, ms(at), 0, limit);
         let told = report(&mut core, at + 100, &mut hears);
--- a/sesamebeam_core/tests/gateway/orders.rs
+++ b/sesamebeam_core/tests/gateway/orders.rs
@@ -54,8 +54,8 @@
 
 /// Makes an entry without any state follow a replica.
 fn follow(group: &mut Group, node: NodeId) {
-    group.event(node, Event::Subscribed(9));
-    group.event(node, Event::Follows(9, Held::default()));
+    group.event(node, Event::EntryConnected(9));
+    group.event(node, Event::EntryFollows(9, Held::default()));
     group.run(100);
 }
 
@@ -275,7 +275,7 @@
             ages: vec![age],
             ..Report::default()
         };
-        group.event(node, Event::Reported(report));
+        group.event(node, Event::EntryReported(report));
         let good = Evidence {
             service: "pool".into(),
             version: "v2".into(),
@@ -287,7 +287,7 @@
             evidence: vec![good],
             ..Report::default()
         };
-        group.event(node, Event::Reported(report));
+        group.event(node, Event::EntryReported(report));
     }
     group.run(7000);
     let leader = group.new_leader(None);
@@ -321,7 +321,7 @@
             loads: vec![heard],
             ..Report::default()
         };
-        group.event(node, Event::Reported(report));
+        group.event(node, Event::EntryReported(report));
     }
     group.run(300);
     let told = |at: NodeId| {
@@ -347,7 +347,7 @@
     assert_eq!(group.ask(2, Call::Announce(said)), Answer::Done);
     group.run(100);
     group.heal();
-    group.event(2, Event::Reached(1));
+    group.event(2, Event::PeerConnected(1));
     group.run(50);
     assert!(
         group.processes[&1]
@@ -371,8 +371,8 @@
     group.run(100);
     group.servers_told.clear();
     for other in 2..=replicas {
-        group.event(1, Event::Reached(other));
-        group.event(other, Event::Reached(1));
+        group.event(1, Event::PeerConnected(other));
+        group.event(other, Event::PeerConnected(1));
     }
     group.run(2_000);
     let known = group.processes[&1].core.directory().count();
@@ -391,7 +391,7 @@
     assert_eq!(group.ask(8, Call::Announce(announcement(5))), Answer::Done);
     group.run(100);
     group.heal();
-    group.event(8, Event::Reached(2));
+    group.event(8, Event::PeerConnected(2));
     group.run(1_000);
     let known = group.processes[&2].core.directory();
     assert!(known.get("server-5").is_some());
@@ -407,7 +407,7 @@
     }
     for (from, to) in (1..=5).flat_map(|a| (1..=5).map(move |b| (a, b))) {
         if from != to {
-            group.event(from, Event::Reached(to));
+            group.event(from, Event::PeerConnected(to));
         }
     }
     group.run(2_000);
--- a/sesamebeam_core/tests/gateway/plays.rs
+++ b/sesamebeam_core/tests/gateway/plays.rs
@@ -70,8 +70,8 @@
                 router.announced(ms(0), said);
             }
             fleet.entries.insert(life, router);
-            fleet.event(Event::Subscribed(life));
-            fleet.event(Event::Follows(life, Held::default()));
+            fleet.event(Event::EntryConnected(life));
+            fleet.event(Event::EntryFollows(life, Held::default()));
         }
         fleet
     }
@@ -89,7 +89,7 @@
             for (life, router) in &mut self.entries {
                 let is_told = match &to {
                     Receivers::All => true,
-                    Receivers::These(lives) => lives.contains(life),
+                    Receivers::Only(lives) => lives.contains(life),
                 };
                 if is_told && let ToEntry::Doubts(doubts) = &message {
                     router.set_doubts(doubts.clone());
@@ -111,7 +111,7 @@
             }
         }
         for report in reports.into_iter().filter(|r| !r.is_empty()) {
-            self.event(Event::Reported(report));
+            self.event(Event::EntryReported(report));
         }
         if now.is_multiple_of(20) {
             self.event(Event::Tick);
--- a/sesamebeam_core/tests/gateway/seeds.rs
+++ b/sesamebeam_core/tests/gateway/seeds.rs
@@ -50,7 +50,7 @@
     }
     (7..=9).for_each(|node| group.start_empty(node));
     name_seeds(&mut group, 7..=9);
-    group.event(8, Event::Subscribed(ENTRY));
+    group.event(8, Event::EntryConnected(ENTRY));
     group.new_leader(None);
     group.run(700);
     deliver(&mut group);
--- a/sesamebeam_core/tests/gateway/shortage.rs
+++ b/sesamebeam_core/tests/gateway/shortage.rs
@@ -118,8 +118,8 @@
         let mut core = coordinator();
         let all: Vec<Announcement> = (0..servers).map(serving).collect();
         core.handle(ms(0), Event::Servers(all.clone()));
-        core.handle(ms(0), Event::Subscribed(1));
-        core.handle(ms(0), Event::Follows(1, Held::default()));
+        core.handle(ms(0), Event::EntryConnected(1));
+        core.handle(ms(0), Event::EntryFollows(1, Held::default()));
         let entry = || {
             let mut router = Router::new(router_config());
             router.set_config(ms(0), plain());
@@ -251,7 +251,7 @@
         for (n, router) in self.entries.iter_mut().enumerate() {
             if (now + n as u64 * 13).is_multiple_of(200) {
                 let report = router.take_report(ms(now));
-                self.reports.push_back((now + HOP, Event::Reported(report)));
+                self.reports.push_back((now + HOP, Event::EntryReported(report)));
             }
         }
         let mut events = Vec::new();
--- a/sesamebeam_core/tests/gateway/telling.rs
+++ b/sesamebeam_core/tests/gateway/telling.rs
@@ -6,7 +6,7 @@
         Call,
         Coordinator,
         Event,
-        MOST_IN_MESSAGE,
+        MAX_ANNOUNCEMENTS_PER_MESSAGE,
         Receivers, //
     },
     directory::{
@@ -45,7 +45,7 @@
 /// Returns the messages to entries, each with its number of recipients.
 fn pushes(actions: &[Action]) -> Vec<(usize, &ToEntry)> {
     let pushed = actions.iter().filter_map(|action| match action {
-        Action::Push(Receivers::These(lives), message) => Some((lives.len(), message)),
+        Action::Push(Receivers::Only(lives), message) => Some((lives.len(), message)),
         Action::Push(Receivers::All, message) => Some((ENTRIES as usize, message)),
         _ => None,
     });
@@ -56,10 +56,10 @@
     let mut actions = Vec::new();
     for life in 1..=ENTRIES {
         let now = ms(life);
-        actions.extend(core.handle(now, Event::Subscribed(life)));
+        actions.extend(core.handle(now, Event::EntryConnected(life)));
         if life % 5 == 0 {
             let held = Held::default();
-            actions.extend(core.handle(now, Event::Follows(life, held)));
+            actions.extend(core.handle(now, Event::EntryFollows(life, held)));
         }
     }
     for at in (300..2000).step_by(10) {
@@ -96,7 +96,7 @@
     for number in 0..ENGINES {
         let now = ms(2000 + u64::from(number) * 7);
         let call = Call::Announce(engine(number));
-        let actions = core.handle(now, Event::Called(u64::from(number), call));
+        let actions = core.handle(now, Event::RequestReceived(u64::from(number), call));
         told += pushes(&actions).iter().map(|(n, _)| n).sum::<usize>();
     }
     let actions = core.handle(ms(3300), Event::Tick);
@@ -111,15 +111,15 @@
     // large as its largest message.
     let mut core = coordinator();
     core.handle(ms(0), Event::Servers((0..servers).map(engine).collect()));
-    core.handle(ms(100), Event::Subscribed(1));
-    let actions = core.handle(ms(200), Event::Follows(1, Held::default()));
+    core.handle(ms(100), Event::EntryConnected(1));
+    let actions = core.handle(ms(200), Event::EntryFollows(1, Held::default()));
     let told = pushes(&actions).into_iter().filter_map(|(_, m)| match m {
         ToEntry::Servers(servers) => Some(servers.len()),
         _ => None,
     });
     let told: Vec<usize> = told.collect();
     assert_eq!(told.iter().sum::<usize>(), usize::from(servers));
-    assert!(told.iter().all(|n| *n <= MOST_IN_MESSAGE), "{told:?}");
+    assert!(told.iter().all(|n| *n <= MAX_ANNOUNCEMENTS_PER_MESSAGE), "{told:?}");
 }
 
 #[parameterized(some = { 300 }, fleet = { 10_002 }, two_fleets = { 20_004 })]
@@ -136,10 +136,10 @@
         servers: known.digests().clone(),
         ..Held::default()
     };
-    core.handle(ms(100), Event::Subscribed(1));
-    let mut actions = core.handle(ms(200), Event::Follows(1, held));
+    core.handle(ms(100), Event::EntryConnected(1));
+    let mut actions = core.handle(ms(200), Event::EntryFollows(1, held));
     let details = pushes(&actions).into_iter().find_map(|(_, m)| match m {
-        ToEntry::Details(details) => Some(details.clone()),
+        ToEntry::SectionDigests(details) => Some(details.clone()),
         _ => None,
     });
     if let Some(details) = details {
@@ -167,8 +167,8 @@
     // Loads that do not affect any routing decision must not be sent to every entry.
     let mut core = coordinator();
     core.handle(ms(0), Event::Servers((0..servers).map(engine).collect()));
-    core.handle(ms(100), Event::Subscribed(1));
-    core.handle(ms(200), Event::Follows(1, Held::default()));
+    core.handle(ms(100), Event::EntryConnected(1));
+    core.handle(ms(200), Event::EntryFollows(1, Held::default()));
     let load = |number| {
         let load = Load {
             running,
@@ -181,7 +181,7 @@
         loads: (0..40).map(load).collect(),
         ..Report::default()
     };
-    let mut actions = core.handle(ms(1_000), Event::Reported(report));
+    let mut actions = core.handle(ms(1_000), Event::EntryReported(report));
     actions.extend(core.handle(ms(1_300), Event::Tick));
     let told = pushes(&actions).into_iter().find_map(|(_, m)| match m {
         ToEntry::Loads { loads, .. } => Some(loads.len()),
@@ -206,8 +206,8 @@
         servers: known.digests().clone(),
         entries: 0,
     };
-    core.handle(ms(100), Event::Subscribed(1));
-    let actions = core.handle(ms(200), Event::Follows(1, held));
+    core.handle(ms(100), Event::EntryConnected(1));
+    let actions = core.handle(ms(200), Event::EntryFollows(1, held));
     let told = pushes(&actions).into_iter().find_map(|(_, m)| match m {
         ToEntry::Servers(servers) => Some(servers.clone()),
         _ => None,
@@ -236,8 +236,8 @@
     let mut wants = Vec::new();
     for life in 1..=20 {
         let now = ms(life * 20);
-        core.handle(now, Event::Subscribed(life));
-        let mut actions = core.handle(now, Event::Follows(life, held.clone()));
+        core.handle(now, Event::EntryConnected(life));
+        let mut actions = core.handle(now, Event::EntryFollows(life, held.clone()));
         actions.extend(core.handle(now + ms(10), Event::Tick));
         let asked = pushes(&actions);
         wants.extend(
@@ -255,14 +255,14 @@
     // A backend server leaves while no batch is pending: entries are told immediately.
     let mut core = coordinator();
     core.handle(ms(0), Event::Servers(vec![announcement(1)]));
-    core.handle(ms(0), Event::Subscribed(1));
-    core.handle(ms(100), Event::Follows(1, Held::default()));
+    core.handle(ms(0), Event::EntryConnected(1));
+    core.handle(ms(100), Event::EntryFollows(1, Held::default()));
     core.handle(ms(1000), Event::Tick);
     let call = Call::Leave {
         id: "server-1".into(),
         born: None,
     };
-    let actions = core.handle(ms(1001), Event::Called(1, call));
+    let actions = core.handle(ms(1001), Event::RequestReceived(1, call));
     let told = pushes(&actions)
         .into_iter()
         .any(|(_, m)| matches!(m, ToEntry::Servers(_)));
@@ -297,7 +297,7 @@
 /// Returns the backend servers to be saved, if any.
 fn kept(actions: &[Action]) -> Option<&[Announcement]> {
     actions.iter().find_map(|action| match action {
-        Action::KeepServers(servers) => Some(&servers[..]),
+        Action::SaveServers(servers) => Some(&servers[..]),
         _ => None,
     })
 }
@@ -314,21 +314,21 @@
     assert_eq!(kept(&actions).map(<[_]>::len), Some(usize::from(ENGINES)));
     let mut again = engine(3);
     again.sequence = 9;
-    core.handle(ms(700), Event::Called(1, Call::Announce(again)));
+    core.handle(ms(700), Event::RequestReceived(1, Call::Announce(again)));
     assert_eq!(kept(&core.handle(ms(1300), Event::Tick)), None);
     let call = Call::Leave {
         id: "server-3".into(),
         born: None,
     };
-    let mut actions = core.handle(ms(1400), Event::Called(2, call));
+    let mut actions = core.handle(ms(1400), Event::RequestReceived(2, call));
     actions.extend(core.handle(ms(2000), Event::Tick));
     let kept = kept(&actions).expect("they are kept");
     assert_eq!(kept.len(), usize::from(ENGINES) - 1);
     // The next start loads them from disk and sends them to entries immediately.
     let mut next = coordinator();
     next.handle(ms(0), Event::Servers(kept.to_vec()));
-    next.handle(ms(100), Event::Subscribed(1));
-    let actions = next.handle(ms(200), Event::Follows(1, Held::default()));
+    next.handle(ms(100), Event::EntryConnected(1));
+    let actions = next.handle(ms(200), Event::EntryFollows(1, Held::default()));
     let told = pushes(&actions).into_iter().find_map(|(_, m)| match m {
         ToEntry::Servers(servers) => Some(servers.len()),
         _ => None,
@@ -344,18 +344,18 @@
     // reported by an entry that knows all nine.
     let mut core = coordinator();
     for life in 1..=3 {
-        core.handle(ms(life), Event::Subscribed(life));
+        core.handle(ms(life), Event::EntryConnected(life));
     }
     let held = Held {
         entries: 9,
         ..Held::default()
     };
-    let mut actions = core.handle(ms(100), Event::Follows(1, held));
-    actions.extend(core.handle(ms(200), Event::Follows(2, Held::default())));
+    let mut actions = core.handle(ms(100), Event::EntryFollows(1, held));
+    actions.extend(core.handle(ms(200), Event::EntryFollows(2, Held::default())));
     for at in (300..700).step_by(10) {
         actions.extend(core.handle(ms(at), Event::Tick));
     }
-    actions.extend(core.handle(ms(800), Event::Subscribed(4)));
+    actions.extend(core.handle(ms(800), Event::EntryConnected(4)));
     let counts = pushes(&actions).into_iter().filter_map(|(_, m)| match m {
         ToEntry::Fleet { entries, .. } => Some(*entries),
         _ => None,
