--- a/sesamebeam/src/gateway/feed.rs
+++ b/sesamebeam/src/gateway/feed.rs
@@ -21,7 +21,7 @@
     seq::SliceRandom, //
 };
 use sesamebeam_core::gateway::{
-    digests::Parts,
+    digests::BucketSet,
     directory::Announcement,
     feed::{
         FromEntry,
@@ -381,7 +381,7 @@
             ToEntry::Limits(limits) => self.learn_limits(addr, &limits),
             ToEntry::Unreachable(told) => gateway.router().told_unreached(now, &told),
             ToEntry::Quarantined(fingerprints) => gateway.router().set_quarantined(fingerprints),
-            ToEntry::Kept(kept, all) => gateway.router().keep_sessions(now, &kept, all),
+            ToEntry::RetainedSessions(kept, all) => gateway.router().keep_sessions(now, &kept, all),
         }
     }
 
@@ -421,7 +421,7 @@
 
     /// Tells a replica of the backend servers in some parts of the directory: one
     /// that has just started learns from here what it does not keep.
-    fn tell_servers(&self, addr: SocketAddr, parts: Parts) {
+    fn tell_servers(&self, addr: SocketAddr, parts: BucketSet) {
         let servers: Vec<_> = {
             let now = self.gateway.now();
             let router = self.gateway.router();
--- a/sesamebeam/src/group.rs
+++ b/sesamebeam/src/group.rs
@@ -31,20 +31,20 @@
     gateway::{
         coordinator::{
             Action,
-            Answer,
-            Call,
+            ApiResponse,
+            ApiRequest,
             Coordinator,
             CoordinatorConfig,
-            EntryLife,
+            EntryId,
             Event,
             Peers, //
         },
         directory::Announcement,
         feed::{
-            Between,
-            Question,
-            Reply,
-            Summary,
+            CoordinatorMessage,
+            MembershipRequest,
+            MembershipReply,
+            StateSummary,
             ToEntry, //
         },
     },
@@ -142,13 +142,13 @@
     /// An event without an answer.
     Event(Event),
     /// An entry has connected.
-    Entry(EntryLife, EntryLink),
+    Entry(EntryId, EntryLink),
     /// A connection of an entry has ended, by its number.
-    EntryLost(EntryLife, u64),
+    EntryLost(EntryId, u64),
     /// A process asks about the group.
-    Asked(Question, oneshot::Sender<Reply>),
+    Asked(MembershipRequest, oneshot::Sender<MembershipReply>),
     /// A caller asks for something.
-    Called(Call, oneshot::Sender<Answer>),
+    Called(ApiRequest, oneshot::Sender<ApiResponse>),
     /// Replies to this process's own questions about the group.
     Learned(Vec<(NodeId, SocketAddr)>),
     /// The process at this address says that it leads the group.
@@ -182,8 +182,8 @@
     alive: watch::Sender<Bytes>,
     /// Backend servers to be kept on the disk.
     roster: watch::Sender<Arc<[Announcement]>>,
-    questions: HashMap<Ticket, oneshot::Sender<Reply>>,
-    calls: HashMap<Ticket, oneshot::Sender<Answer>>,
+    questions: HashMap<Ticket, oneshot::Sender<MembershipReply>>,
+    calls: HashMap<Ticket, oneshot::Sender<ApiResponse>>,
     next_ticket: Ticket,
     place: watch::Sender<Place>,
     meters: Arc<Exposition>,
@@ -234,7 +234,7 @@
         halt: halt.clone(),
         settings: settings.clone(),
     };
-    runner.hold(Summary::default());
+    runner.hold(StateSummary::default());
     runner.open()?;
     runner.recall();
     tokio::spawn(roster::keep(settings.data.clone(), roster_rx, halt.clone()));
@@ -346,7 +346,7 @@
         }
     }
 
-    fn send(&mut self, to: NodeId, message: Between) {
+    fn send(&mut self, to: NodeId, message: CoordinatorMessage) {
         if let Some(sender) = self.senders.get(&to) {
             sender.send(message);
         }
@@ -364,7 +364,7 @@
     }
 
     /// Has all entries told now and then what this replica holds.
-    fn hold(&mut self, summary: Summary) {
+    fn hold(&mut self, summary: StateSummary) {
         if let Some(bytes) = subscribers::encode(&ToEntry::Alive(summary)) {
             self.alive.send_replace(bytes);
         }
--- a/sesamebeam/src/group/http.rs
+++ b/sesamebeam/src/group/http.rs
@@ -27,8 +27,8 @@
     TokioTimer, //
 };
 use sesamebeam_core::gateway::coordinator::{
-    Answer,
-    Call, //
+    ApiResponse,
+    ApiRequest, //
 };
 use tokio::{
     net::TcpStream,
@@ -76,10 +76,10 @@
     /// # Errors
     ///
     /// Fails if there is no such call or it is not valid.
-    fn call(&self, method: &Method, path: &str, body: Bytes) -> Result<Call, CallFault>;
+    fn call(&self, method: &Method, path: &str, body: Bytes) -> Result<ApiRequest, CallFault>;
 
     /// Encodes the body of an answer.
-    fn answer(&self, answer: &Answer) -> Bytes;
+    fn answer(&self, answer: &ApiResponse) -> Bytes;
 }
 
 /// What a connection needs.
@@ -153,22 +153,22 @@
     let _ = cx.tx.send(Input::Called(call, back));
     let answer = match timeout(ANSWER_TIMEOUT, answer).await {
         Ok(Ok(answer)) => answer,
-        _ => Answer::Unavailable,
+        _ => ApiResponse::Unavailable,
     };
     respond(&answer, &path, cx)
 }
 
-fn respond(answer: &Answer, path: &str, cx: &Context) -> Response<Full<Bytes>> {
+fn respond(answer: &ApiResponse, path: &str, cx: &Context) -> Response<Full<Bytes>> {
     let status = match answer {
-        Answer::Done | Answer::Config(_) | Answer::Rollout(_) => StatusCode::OK,
-        Answer::Missing => StatusCode::NOT_FOUND,
-        Answer::Leader(_) => StatusCode::TEMPORARY_REDIRECT,
-        Answer::Unavailable => StatusCode::SERVICE_UNAVAILABLE,
+        ApiResponse::Done | ApiResponse::Config(_) | ApiResponse::Rollout(_) => StatusCode::OK,
+        ApiResponse::Missing => StatusCode::NOT_FOUND,
+        ApiResponse::Leader(_) => StatusCode::TEMPORARY_REDIRECT,
+        ApiResponse::Unavailable => StatusCode::SERVICE_UNAVAILABLE,
     };
     let mut response = Response::new(Full::new(cx.protocol.answer(answer)));
     *response.status_mut() = status;
     let headers = response.headers_mut();
-    if let Answer::Leader(addr) = answer {
+    if let ApiResponse::Leader(addr) = answer {
         let leader = control_of(&cx.settings, addr.ip());
         if let Ok(value) = format!("http://{leader}{path}").parse() {
             headers.insert(LOCATION, value);
--- a/sesamebeam/src/group/join.rs
+++ b/sesamebeam/src/group/join.rs
@@ -9,11 +9,11 @@
 use sesamebeam_core::{
     gateway::{
         coordinator::Event,
-        enquiry::Enquiry,
+        enquiry::LeaderDiscovery,
         feed::{
             Hello,
-            Question,
-            Reply, //
+            MembershipRequest,
+            MembershipReply, //
         },
     },
     ids::NodeId,
@@ -108,7 +108,7 @@
 ) {
     let mut known: BTreeSet<SocketAddr> = BTreeSet::new();
     let mut unsettled = 0;
-    let mut enquiry = Enquiry::default();
+    let mut enquiry = LeaderDiscovery::default();
     while !halt.is_cancelled() {
         sleep(ASK_EVERY).await;
         let now = place.borrow().clone();
@@ -166,10 +166,10 @@
     addrs.collect()
 }
 
-fn question(settings: &GroupSettings, place: &Place) -> Question {
+fn question(settings: &GroupSettings, place: &Place) -> MembershipRequest {
     match &place.identity {
-        None => Question::Group,
-        Some(identity) => Question::Join {
+        None => MembershipRequest::Group,
+        Some(identity) => MembershipRequest::Join {
             node: identity.node,
             incarnation: identity.incarnation,
             addr: settings.internal,
@@ -178,18 +178,18 @@
     }
 }
 
-fn leads(reply: &Reply) -> bool {
-    matches!(reply, Reply::Group { leads: true, .. })
+fn leads(reply: &MembershipReply) -> bool {
+    matches!(reply, MembershipReply::Group { leads: true, .. })
 }
 
 fn take(
-    reply: Reply,
+    reply: MembershipReply,
     place: &Place,
     unsettled: u32,
     known: &mut BTreeSet<SocketAddr>,
     tx: &Inputs,
 ) {
-    let Reply::Group {
+    let MembershipReply::Group {
         group,
         replicas,
         leads,
@@ -210,13 +210,13 @@
 }
 
 /// Tells a process of the group; one that is down is told again later.
-pub(super) async fn tell(addr: SocketAddr, told: Question) {
+pub(super) async fn tell(addr: SocketAddr, told: MembershipRequest) {
     if let Err(e) = ask(addr, told).await {
         log::debug!(to:% = addr, error:% = e; "process not told of the group");
     }
 }
 
-async fn ask(addr: SocketAddr, question: Question) -> Result<Reply, FrameError> {
+async fn ask(addr: SocketAddr, question: MembershipRequest) -> Result<MembershipReply, FrameError> {
     let (mut tx, mut rx) = frames::connect(addr).await?;
     tx.send(&Hello::NonMember).await?;
     tx.send(&question).await?;
--- a/sesamebeam/src/group/links.rs
+++ b/sesamebeam/src/group/links.rs
@@ -3,13 +3,13 @@
 use bytes::Bytes;
 use sesamebeam_core::gateway::{
     coordinator::{
-        EntryLife,
+        EntryId,
         Event, //
     },
     feed::{
         FromEntry,
         Hello,
-        Question, //
+        MembershipRequest, //
     },
 };
 use smol_str::SmolStr;
@@ -131,7 +131,7 @@
     mut rx: Receiver,
     tx: Inputs,
     alive: watch::Receiver<Bytes>,
-    life: EntryLife,
+    life: EntryId,
     name: SmolStr,
 ) -> Result<(), FrameError> {
     let (push, queue) = channel(MAX_WAITING);
@@ -144,8 +144,8 @@
             let event = match rx.next().await? {
                 FromEntry::Follow(held) => Event::EntryFollows(life, held),
                 FromEntry::Unfollow => Event::EntryUnfollows(life),
-                FromEntry::RequestUpdate(held) => Event::Lacks(life, held),
-                FromEntry::RequestSections(sections) => Event::LacksSections(life, sections),
+                FromEntry::RequestUpdate(held) => Event::UpdateRequested(life, held),
+                FromEntry::RequestSections(sections) => Event::SectionsRequested(life, sections),
                 FromEntry::Servers(servers) => Event::Servers(servers),
                 FromEntry::Report(report) => Event::EntryReported(report),
                 FromEntry::Alive => continue,
@@ -185,7 +185,7 @@
 }
 
 async fn serve_asker(mut back: Sender, mut rx: Receiver, tx: Inputs) -> Result<(), FrameError> {
-    let question = rx.next::<Question>().await?;
+    let question = rx.next::<MembershipRequest>().await?;
     let (reply_tx, reply) = oneshot::channel();
     let _ = tx.send(Input::Asked(question, reply_tx));
     match reply.await {
--- a/sesamebeam/src/group/notes.rs
+++ b/sesamebeam/src/group/notes.rs
@@ -1,15 +1,15 @@
 //! Log lines of a control replica.
 
-use sesamebeam_core::gateway::coordinator::Note;
+use sesamebeam_core::gateway::coordinator::LogEvent;
 
 /// Writes a line for what the coordinator decided or learned.
-pub(super) fn log(note: &Note) {
+pub(super) fn log(note: &LogEvent) {
     match note {
-        Note::Role(role) => log::info!(role:? = role; "role changed"),
-        Note::Accepted { version, index } => {
+        LogEvent::Role(role) => log::info!(role:? = role; "role changed"),
+        LogEvent::Accepted { version, index } => {
             log::info!(version = version, index = index; "configuration accepted");
         }
-        Note::Rollout {
+        LogEvent::Rollout {
             service,
             target,
             phase,
@@ -19,7 +19,7 @@
             new_good = good, new_bad = bad, old_good = old_good, old_bad = old_bad;
             "roll-out moves"
         ),
-        Note::Evacuation {
+        LogEvent::Evacuation {
             domain,
             evacuated,
             index,
@@ -28,7 +28,7 @@
             domain:% = domain, evacuated = evacuated, index = index, servers = servers;
             "evacuation"
         ),
-        Note::Server {
+        LogEvent::Server {
             id,
             service,
             born,
@@ -38,7 +38,7 @@
             server:% = id, born = born, service:% = service, state:? = state, sequence = sequence;
             "backend server announced"
         ),
-        Note::Membership {
+        LogEvent::Membership {
             joins,
             leaves,
             domains,
@@ -48,12 +48,12 @@
                 "membership changes"
             );
         }
-        Note::Doubts(doubts) => log::info!(doubts:? = doubts; "backend servers doubted"),
-        Note::Limits(limits) => log::info!(limits:? = limits; "backend servers limited"),
-        Note::Shares(shares) => log::info!(shares:? = shares; "services short of capacity"),
-        Note::DiskStalled(true) => log::warn!("disk stalls"),
-        Note::DiskStalled(false) => log::info!("disk answers again"),
-        Note::Unreadable(index) => {
+        LogEvent::Doubts(doubts) => log::info!(doubts:? = doubts; "backend servers doubted"),
+        LogEvent::Limits(limits) => log::info!(limits:? = limits; "backend servers limited"),
+        LogEvent::Shares(shares) => log::info!(shares:? = shares; "services short of capacity"),
+        LogEvent::DiskStalled(true) => log::warn!("disk stalls"),
+        LogEvent::DiskStalled(false) => log::info!("disk answers again"),
+        LogEvent::Unreadable(index) => {
             log::error!(index = index; "log entry cannot be read");
         }
     }
--- a/sesamebeam/src/group/peer.rs
+++ b/sesamebeam/src/group/peer.rs
@@ -10,7 +10,7 @@
     gateway::{
         coordinator::Event,
         feed::{
-            Between,
+            CoordinatorMessage,
             Hello, //
         },
     },
@@ -48,7 +48,7 @@
     /// Number under which this process has introduced itself.
     own: NodeId,
     addr: SocketAddr,
-    tx: Sender<Between>,
+    tx: Sender<CoordinatorMessage>,
     halt: CancellationToken,
 }
 
@@ -89,7 +89,7 @@
     }
 
     /// Sends a message, or drops it if too many wait.
-    pub(super) fn send(&self, message: Between) {
+    pub(super) fn send(&self, message: CoordinatorMessage) {
         let _ = self.tx.try_send(message);
     }
 }
@@ -109,7 +109,7 @@
 }
 
 impl Link {
-    async fn keep(&self, mut rx: Receiver<Between>) {
+    async fn keep(&self, mut rx: Receiver<CoordinatorMessage>) {
         let mut retry = Retry::up_to(RETRY_MAX);
         loop {
             let mut reached = false;
@@ -129,7 +129,7 @@
     /// Sends until the connection ends, or nobody has anything more to send.
     async fn forward(
         &self,
-        rx: &mut Receiver<Between>,
+        rx: &mut Receiver<CoordinatorMessage>,
         reached: &mut bool,
     ) -> Result<(), FrameError> {
         let (mut tx, mut back) = frames::connect(self.addr).await?;
--- a/sesamebeam/src/group/subscribers.rs
+++ b/sesamebeam/src/group/subscribers.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use sesamebeam_core::gateway::{
     coordinator::{
-        EntryLife,
-        Receivers, //
+        EntryId,
+        Recipients, //
     },
     feed::ToEntry,
 };
@@ -53,7 +53,7 @@
 /// All entries that are connected.
 #[derive(Debug)]
 pub(super) struct Subscribers {
-    links: HashMap<EntryLife, EntryLink>,
+    links: HashMap<EntryId, EntryLink>,
     meters: Arc<Exposition>,
 }
 
@@ -72,13 +72,13 @@
     }
 
     /// Takes a connection in place of any before it of the same entry.
-    pub(super) fn connected(&mut self, life: EntryLife, link: EntryLink) {
+    pub(super) fn connected(&mut self, life: EntryId, link: EntryLink) {
         self.links.insert(life, link);
     }
 
     /// Notes that a connection has ended, by its number, and returns whether the entry has
     /// no other.
-    pub(super) fn ended(&mut self, life: EntryLife, number: u64) -> bool {
+    pub(super) fn ended(&mut self, life: EntryId, number: u64) -> bool {
         let held = self.links.get(&life);
         let is_last = held.is_none_or(|link| link.number == number);
         if is_last {
@@ -89,18 +89,18 @@
 
     /// Hands a message to the connections of entries. One that does not keep up is cut, and
     /// told what it lacks when it comes back.
-    pub(super) fn push(&mut self, to: &Receivers, message: &ToEntry) {
+    pub(super) fn push(&mut self, to: &Recipients, message: &ToEntry) {
         let Some(bytes) = encode(message) else {
             return;
         };
         let receivers = match to {
-            Receivers::Only(lives) => lives.len(),
-            Receivers::All => self.links.len(),
+            Recipients::Only(lives) => lives.len(),
+            Recipients::All => self.links.len(),
         };
         self.meters
             .message(Way::ToEntries, message.kind(), bytes.len(), receivers);
         match to {
-            Receivers::Only(lives) => {
+            Recipients::Only(lives) => {
                 for life in lives {
                     let link = self.links.get(life);
                     if link.is_some_and(|link| !link.push(&bytes)) {
@@ -108,7 +108,7 @@
                     }
                 }
             }
-            Receivers::All => self.links.retain(|_, link| link.push(&bytes)),
+            Recipients::All => self.links.retain(|_, link| link.push(&bytes)),
         }
     }
 }
--- a/sesamebeam_core/src/gateway/balance.rs
+++ b/sesamebeam_core/src/gateway/balance.rs
@@ -12,7 +12,7 @@
 
 use super::{
     directory::{
-        Known,
+        ServerRecord,
         ServerId, //
     },
     loads::{
@@ -202,9 +202,9 @@
     pub fn choose<'a>(
         &mut self,
         now: MonoTime,
-        candidates: &[&'a Known],
+        candidates: &[&'a ServerRecord],
         need: &Need<'_>,
-    ) -> Option<&'a Known> {
+    ) -> Option<&'a ServerRecord> {
         let fit = self.fit(now, candidates, need.tried);
         let chosen = match need.affinity {
             Some(affinity) => self.by_prompt(now, &fit, affinity, need),
@@ -384,14 +384,14 @@
 
     /// Returns whether a backend server may be tried: it does not rest, and the way to
     /// it is not cut.
-    pub fn reaches(&self, now: MonoTime, known: &Known) -> bool {
+    pub fn reaches(&self, now: MonoTime, known: &ServerRecord) -> bool {
         let seen = self.seen.get(&known.said.id);
         let rested = seen.is_none_or(|s| s.pause.is_over(now));
         rested && !self.paths.avoids(now, &known.said.domain)
     }
 
     /// Returns the share of the slots of some backend servers that are taken.
-    pub fn taken(&self, now: MonoTime, servers: &[&Known]) -> f64 {
+    pub fn taken(&self, now: MonoTime, servers: &[&ServerRecord]) -> f64 {
         let loads: Vec<f64> = servers.iter().map(|k| self.shared_load(now, k)).collect();
         mean(&loads)
     }
@@ -410,16 +410,16 @@
 
     /// Leaves out those that were tried, could not be reached or are behind a way
     /// that is cut, as long as others are left.
-    fn fit<'a>(&self, now: MonoTime, all: &[&'a Known], tried: &[ServerId]) -> Vec<&'a Known> {
-        let fresh: Vec<&Known> = all
+    fn fit<'a>(&self, now: MonoTime, all: &[&'a ServerRecord], tried: &[ServerId]) -> Vec<&'a ServerRecord> {
+        let fresh: Vec<&ServerRecord> = all
             .iter()
             .copied()
             .filter(|k| !tried.contains(&k.said.id))
             .collect();
-        let reached = |k: &&Known| self.reaches(now, k);
+        let reached = |k: &&ServerRecord| self.reaches(now, k);
         let mean = self.mean_failures(&fresh);
-        let sound = |k: &&Known| self.failures(k) <= mean + FAILURE_EXCESS;
-        let best: Vec<&Known> = fresh
+        let sound = |k: &&ServerRecord| self.failures(k) <= mean + FAILURE_EXCESS;
+        let best: Vec<&ServerRecord> = fresh
             .iter()
             .copied()
             .filter(reached)
@@ -428,7 +428,7 @@
         if !best.is_empty() {
             return best;
         }
-        let reached: Vec<&Known> = fresh.iter().copied().filter(reached).collect();
+        let reached: Vec<&ServerRecord> = fresh.iter().copied().filter(reached).collect();
         if reached.is_empty() { fresh } else { reached }
     }
 
@@ -437,10 +437,10 @@
     fn by_prompt<'a>(
         &self,
         now: MonoTime,
-        fit: &[&'a Known],
+        fit: &[&'a ServerRecord],
         affinity: Affinity,
         need: &Need<'_>,
-    ) -> Option<&'a Known> {
+    ) -> Option<&'a ServerRecord> {
         let slots = fit.iter().map(|k| k.said.slots).max().unwrap_or(1);
         let spare = LOAD_SPARE / f64::from(slots.max(1));
         let loads: Vec<f64> = fit.iter().map(|k| self.shared_load(now, k)).collect();
@@ -458,14 +458,14 @@
             (sound, near, hash::rendezvous(&k.said.id, &key))
         });
         // A second of reading holds up as many as a full engine.
-        let held_up = |(k, load): &(&Known, f64)| load + self.reads_for(now, k).as_secs_f64();
+        let held_up = |(k, load): &(&ServerRecord, f64)| load + self.reads_for(now, k).as_secs_f64();
         let lightest = || loaded().min_by(|a, b| held_up(a).total_cmp(&held_up(b)));
         best.or_else(lightest).map(|(k, _)| k)
     }
 
-    fn by_load<'a>(&self, now: MonoTime, fit: &[&'a Known], need: &Need<'_>) -> Option<&'a Known> {
+    fn by_load<'a>(&self, now: MonoTime, fit: &[&'a ServerRecord], need: &Need<'_>) -> Option<&'a ServerRecord> {
         let salt = need.seed.to_string();
-        let cost = |k: &Known| {
+        let cost = |k: &ServerRecord| {
             let far = if k.said.domain == need.domain {
                 0.0
             } else {
@@ -480,7 +480,7 @@
 
     /// Returns the requests at a backend server as a share of its slots, as far as
     /// this entry has heard from it.
-    fn load(&self, now: MonoTime, known: &Known) -> f64 {
+    fn load(&self, now: MonoTime, known: &ServerRecord) -> f64 {
         let seen = self.seen.get(&known.said.id);
         seen.map_or(0.0, |seen| seen.load(now, known.said.slots, seen.load))
     }
@@ -489,7 +489,7 @@
     ///
     /// It bounds who may get a request and never says who is the best: all entries
     /// are told the same at once, and would all send to one.
-    fn shared_load(&self, now: MonoTime, known: &Known) -> f64 {
+    fn shared_load(&self, now: MonoTime, known: &ServerRecord) -> f64 {
         let Some(seen) = self.seen.get(&known.said.id) else {
             return 0.0;
         };
@@ -497,13 +497,13 @@
     }
 
     /// Returns for how long an engine reads long prompts that were sent there.
-    fn reads_for(&self, now: MonoTime, known: &Known) -> Duration {
+    fn reads_for(&self, now: MonoTime, known: &ServerRecord) -> Duration {
         let seen = self.seen.get(&known.said.id);
         seen.map_or(Duration::ZERO, |seen| seen.queue.left(now))
     }
 
     /// Returns the share of failures for which a backend server is passed over.
-    fn doubt(&self, known: &Known, need: &Need<'_>) -> f64 {
+    fn doubt(&self, known: &ServerRecord, need: &Need<'_>) -> f64 {
         let tries = !need.once && need.tried.is_empty() && need.seed.is_multiple_of(TRY_DOUBTED);
         if self.doubts.is_empty() || tries {
             return 0.0;
@@ -512,11 +512,11 @@
         doubt.copied().unwrap_or_default()
     }
 
-    fn failures(&self, known: &Known) -> f64 {
+    fn failures(&self, known: &ServerRecord) -> f64 {
         self.seen.get(&known.said.id).map_or(0.0, |s| s.failures)
     }
 
-    fn mean_failures(&self, fit: &[&Known]) -> f64 {
+    fn mean_failures(&self, fit: &[&ServerRecord]) -> f64 {
         let failures: Vec<f64> = fit.iter().map(|k| self.failures(k)).collect();
         mean(&failures)
     }
--- a/sesamebeam_core/src/gateway/budget.rs
+++ b/sesamebeam_core/src/gateway/budget.rs
@@ -15,7 +15,7 @@
 
 use super::{
     config::ServiceId,
-    entries::EntryCount, //
+    entries::KnownEntryCount, //
 };
 use crate::ids::MonoTime;
 
@@ -52,7 +52,7 @@
 pub struct Budget {
     cfg: BudgetConfig,
     /// Entries that share the slack.
-    entries: EntryCount,
+    entries: KnownEntryCount,
     services: HashMap<ServiceId, VecDeque<Part>>,
 }
 
@@ -61,7 +61,7 @@
     pub fn new(cfg: BudgetConfig) -> Self {
         Self {
             cfg,
-            entries: EntryCount::default(),
+            entries: KnownEntryCount::default(),
             services: HashMap::new(),
         }
     }
--- a/sesamebeam_core/src/gateway/cold.rs
+++ b/sesamebeam_core/src/gateway/cold.rs
@@ -29,10 +29,10 @@
 use super::{
     config::ColdConfig,
     directory::{
-        Known,
+        ServerRecord,
         ServerId, //
     },
-    entries::EntryCount,
+    entries::KnownEntryCount,
 };
 use crate::{
     ids::{
@@ -60,7 +60,7 @@
     /// Name of this entry, which places its turns.
     name: SmolStr,
     /// Entries that take turns; none does before there is a count.
-    entries: EntryCount,
+    entries: KnownEntryCount,
     /// When failure domains were last taken back.
     readmitted: BTreeMap<DomainId, MonoTime>,
     /// Last turn that was used at each backend server.
@@ -72,7 +72,7 @@
     pub fn new(name: SmolStr) -> Self {
         Self {
             name,
-            entries: EntryCount::default(),
+            entries: KnownEntryCount::default(),
             readmitted: BTreeMap::new(),
             used: HashMap::new(),
         }
@@ -92,7 +92,7 @@
     ///
     /// In a failure domain that is taken back they may have become so moments before,
     /// of which they tell with their next announcement, over a second later.
-    pub fn is_cold(&self, now: MonoTime, known: &Known, limits: Option<&ColdConfig>) -> bool {
+    pub fn is_cold(&self, now: MonoTime, known: &ServerRecord, limits: Option<&ColdConfig>) -> bool {
         let Some(limits) = limits else {
             return false;
         };
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -24,18 +24,18 @@
 use smol_str::SmolStr;
 
 pub use calls::{
-    Answer,
-    Call, //
+    ApiResponse,
+    ApiRequest, //
 };
 pub use group::Peers;
 pub use telling::MAX_ANNOUNCEMENTS_PER_MESSAGE;
 
 use self::{
-    announce::Confirming,
-    calls::Waiting,
-    places::Places,
-    telling::Telling,
-    trial::Trials, //
+    announce::PendingConfirmation,
+    calls::PendingRequest,
+    places::VoterPlacement,
+    telling::Publisher,
+    trial::RolloutMonitor, //
 };
 use super::{
     config::ServiceId,
@@ -47,12 +47,12 @@
         ServerState, //
     },
     feed::{
-        Between,
-        Held,
-        Question,
-        Reply,
+        CoordinatorMessage,
+        SyncState,
+        MembershipRequest,
+        MembershipReply,
         Report,
-        Summary,
+        StateSummary,
         ToEntry, //
     },
     limits::{
@@ -99,7 +99,7 @@
 const PERIODIC_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Random number that an entry draws at startup to identify itself.
-pub type EntryLife = u64;
+pub type EntryId = u64;
 
 /// Settings of a coordinator.
 #[derive(Clone, Debug)]
@@ -131,32 +131,32 @@
         /// Id of the sender.
         from: NodeId,
         /// The message.
-        message: Between,
+        message: CoordinatorMessage,
     },
     /// A connection to another replica has been established.
     PeerConnected(NodeId),
     /// Addresses of the seeds, the first replicas listed in the settings.
     Seeds(BTreeSet<SocketAddr>),
     /// An entry has connected.
-    EntryConnected(EntryLife),
+    EntryConnected(EntryId),
     /// An entry's connection has closed.
-    EntryDisconnected(EntryLife),
+    EntryDisconnected(EntryId),
     /// An entry with the given state subscribes to updates from this replica.
-    EntryFollows(EntryLife, Held),
+    EntryFollows(EntryId, SyncState),
     /// An entry has moved its subscription to another replica.
-    EntryUnfollows(EntryLife),
+    EntryUnfollows(EntryId),
     /// An entry requests the updates that it is missing relative to this replica.
-    Lacks(EntryLife, Held),
+    UpdateRequested(EntryId, SyncState),
     /// An entry requests the backend servers in these sections of the directory.
-    LacksSections(EntryLife, Vec<Section>),
+    SectionsRequested(EntryId, Vec<Section>),
     /// An entry has sent the backend servers that it knows.
     Servers(Vec<Announcement>),
     /// An entry has reported its observations.
     EntryReported(Report),
     /// A non-member process has sent a membership request.
-    MembershipRequested(Ticket, Question),
+    MembershipRequested(Ticket, MembershipRequest),
     /// A caller has sent a request.
-    RequestReceived(Ticket, Call),
+    RequestReceived(Ticket, ApiRequest),
     /// A write has been synced.
     Synced(WriteId),
     /// The disk is full, or has space again.
@@ -165,11 +165,11 @@
 
 /// Entries that a message is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Receivers {
+pub enum Recipients {
     /// All connected entries.
     All,
     /// Only these entries.
-    Only(Vec<EntryLife>),
+    Only(Vec<EntryId>),
 }
 
 /// Output of a coordinator, to be carried out by its caller.
@@ -180,7 +180,7 @@
         /// Id of the recipient.
         to: NodeId,
         /// The message.
-        message: Between,
+        message: CoordinatorMessage,
     },
     /// Write to disk.
     Write {
@@ -194,27 +194,27 @@
         /// Address of the recipient.
         to: SocketAddr,
         /// The request.
-        told: Question,
+        told: MembershipRequest,
     },
     /// Reply to a membership request.
-    ReplyMembership(Ticket, Reply),
+    ReplyMembership(Ticket, MembershipReply),
     /// Respond to a caller.
-    Respond(Ticket, Answer),
+    Respond(Ticket, ApiResponse),
     /// Send a message to entries.
-    Push(Receivers, ToEntry),
+    Push(Recipients, ToEntry),
     /// Summary of this replica's state for the periodic heartbeat to all entries.
-    SetSummary(Summary),
+    SetSummary(StateSummary),
     /// Save backend servers to disk for the next startup.
     SaveServers(Vec<Announcement>),
     /// The membership of the group has changed.
     Peers(Peers),
     /// Write an event to the process log.
-    Log(Note),
+    Log(LogEvent),
 }
 
 /// Event for the process log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum LogEvent {
     /// The replica's role in the group has changed.
     Role(Role),
     /// A configuration was accepted.
@@ -253,7 +253,7 @@
         /// Its service.
         service: ServiceId,
         /// When it started.
-        born: super::directory::Born,
+        born: super::directory::StartTime,
         /// Its state.
         state: ServerState,
         /// Sequence number of the announcement.
@@ -293,13 +293,13 @@
     tell_seeds_at: MonoTime,
     store: Store,
     directory: Directory,
-    telling: Telling,
-    trials: Trials,
-    places: Places,
+    telling: Publisher,
+    trials: RolloutMonitor,
+    places: VoterPlacement,
     /// Leader as learned by a non-member process, and when.
     known_leader: Option<(SocketAddr, MonoTime)>,
-    waiting: BTreeMap<Ticket, Waiting>,
-    confirming: BTreeMap<u64, Confirming>,
+    waiting: BTreeMap<Ticket, PendingRequest>,
+    confirming: BTreeMap<u64, PendingConfirmation>,
     next_ticket: u64,
     crashes: Crashes,
     loads: Loads,
@@ -327,9 +327,9 @@
             tell_seeds_at: now,
             store: Store::default(),
             directory: Directory::default(),
-            telling: Telling::default(),
-            trials: Trials::default(),
-            places: Places::default(),
+            telling: Publisher::default(),
+            trials: RolloutMonitor::default(),
+            places: VoterPlacement::default(),
             known_leader: None,
             waiting: BTreeMap::new(),
             confirming: BTreeMap::new(),
@@ -382,8 +382,8 @@
             Event::EntryDisconnected(life) => self.unsubscribe(life),
             Event::EntryFollows(life, held) => self.follow(life, held),
             Event::EntryUnfollows(life) => self.unfollow(life),
-            Event::Lacks(life, held) => self.lacks(life, held),
-            Event::LacksSections(life, sections) => self.lacks_sections(life, &sections),
+            Event::UpdateRequested(life, held) => self.lacks(life, held),
+            Event::SectionsRequested(life, sections) => self.lacks_sections(life, &sections),
             Event::Servers(servers) => self.take_announcements(servers),
             Event::EntryReported(report) => self.reported(report),
             Event::MembershipRequested(ticket, question) => self.asked(ticket, question),
@@ -429,25 +429,25 @@
             .is_some_and(|r| r.role() == Role::Leader)
     }
 
-    fn peer(&mut self, from: NodeId, message: Between) {
+    fn peer(&mut self, from: NodeId, message: CoordinatorMessage) {
         match message {
-            Between::Log(message) => {
+            CoordinatorMessage::Log(message) => {
                 let message = *message;
                 self.step(ReplicaEvent::Message { from, message });
             }
-            Between::Servers(servers) => self.take_announcements(servers),
-            Between::Digests { held, domain, ask } => {
+            CoordinatorMessage::Servers(servers) => self.take_announcements(servers),
+            CoordinatorMessage::Digests { held, domain, ask } => {
                 self.places.learn(from, domain);
                 self.compared(from, &held, ask);
             }
-            Between::Wants(parts) => self.tell_servers(from, parts),
-            Between::Confirm { ticket, servers } => {
+            CoordinatorMessage::Wants(parts) => self.tell_servers(from, parts),
+            CoordinatorMessage::Confirm { ticket, servers } => {
                 self.take_announcements(servers);
-                let message = Between::Confirmed { ticket };
+                let message = CoordinatorMessage::Confirmed { ticket };
                 self.actions.push(Action::Send { to: from, message });
             }
-            Between::Confirmed { ticket } => self.confirmed(from, ticket),
-            Between::Report(report) => self.take_report(&report),
+            CoordinatorMessage::Confirmed { ticket } => self.confirmed(from, ticket),
+            CoordinatorMessage::Report(report) => self.take_report(&report),
         }
     }
 
@@ -464,7 +464,7 @@
         for action in actions {
             match action {
                 ReplicaAction::Send { to, message } => {
-                    let message = Between::Log(Box::new(message));
+                    let message = CoordinatorMessage::Log(Box::new(message));
                     self.actions.push(Action::Send { to, message });
                 }
                 ReplicaAction::Write { write, ops } => {
@@ -490,7 +490,7 @@
     fn apply(&mut self, index: LogIndex, ticket: Option<Ticket>, data: &[u8]) {
         match postcard::from_bytes::<Command>(data) {
             Ok(command) => self.apply_command(index, command),
-            Err(_) => self.note(Note::Unreadable(index)),
+            Err(_) => self.note(LogEvent::Unreadable(index)),
         }
         if let Some(ticket) = ticket {
             self.done(ticket);
@@ -511,9 +511,9 @@
     }
 
     /// Returns the log event to emit if a command changes the store.
-    fn note_of(&self, index: LogIndex, command: &Command) -> Option<Note> {
+    fn note_of(&self, index: LogIndex, command: &Command) -> Option<LogEvent> {
         match command {
-            Command::Apply(document) => Some(Note::Accepted {
+            Command::Apply(document) => Some(LogEvent::Accepted {
                 version: document.version,
                 index,
             }),
@@ -523,10 +523,10 @@
         }
     }
 
-    fn evacuation(&self, index: LogIndex, domain: &DomainId, evacuated: bool) -> Note {
+    fn evacuation(&self, index: LogIndex, domain: &DomainId, evacuated: bool) -> LogEvent {
         let of_domain = self.directory.all().filter(|k| k.said.domain == *domain);
         let living = of_domain.filter(|k| k.said.state != ServerState::Gone);
-        Note::Evacuation {
+        LogEvent::Evacuation {
             domain: domain.clone(),
             evacuated,
             index,
@@ -542,7 +542,7 @@
     fn restore(&mut self, index: LogIndex, data: &[u8]) {
         match Store::decode(data) {
             Ok(store) => self.store = store,
-            Err(_) => self.note(Note::Unreadable(index)),
+            Err(_) => self.note(LogEvent::Unreadable(index)),
         }
         self.trials.follow(self.now, self.store.rollouts());
         self.note_news(index, true);
@@ -566,7 +566,7 @@
             .is_some_and(|(_, since)| self.now.saturating_sub(since) > patience);
         if stalled != self.disk_stalled {
             self.disk_stalled = stalled;
-            self.note(Note::DiskStalled(stalled));
+            self.note(LogEvent::DiskStalled(stalled));
         }
         self.step(ReplicaEvent::DiskFull(self.disk_full || stalled));
     }
@@ -587,14 +587,14 @@
         self.tell_due();
     }
 
-    fn tell_peers(&mut self, message: &Between) {
+    fn tell_peers(&mut self, message: &CoordinatorMessage) {
         for to in self.peers.others() {
             let message = message.clone();
             self.actions.push(Action::Send { to, message });
         }
     }
 
-    fn note(&mut self, note: Note) {
+    fn note(&mut self, note: LogEvent) {
         self.actions.push(Action::Log(note));
     }
 }
--- a/sesamebeam_core/src/gateway/coordinator/announce.rs
+++ b/sesamebeam_core/src/gateway/coordinator/announce.rs
@@ -7,9 +7,9 @@
 
 use super::{
     Action,
-    Answer,
+    ApiResponse,
     Coordinator,
-    Note,
+    LogEvent,
     telling::PULL_RETRY_DELAY, //
 };
 use crate::{
@@ -17,15 +17,15 @@
         config::ServiceId,
         digests::{
             Digests,
-            Parts, //
+            BucketSet, //
         },
         directory::{
             Announcement,
             START_TIME_UNKNOWN,
-            Born,
+            StartTime,
             ServerState, //
         },
-        feed::Between,
+        feed::CoordinatorMessage,
     },
     ids::{
         MonoTime,
@@ -37,7 +37,7 @@
 
 /// An announcement that is being confirmed by other replicas.
 #[derive(Debug)]
-pub(super) struct Confirming {
+pub(super) struct PendingConfirmation {
     /// Request to respond to afterwards.
     ticket: Ticket,
     /// Replicas that have confirmed it.
@@ -80,7 +80,7 @@
         if self.peers.is_member() {
             self.tell_digests(to, true);
         } else {
-            self.tell_servers(to, Parts::ALL);
+            self.tell_servers(to, BucketSet::ALL);
         }
     }
 
@@ -100,7 +100,7 @@
         }
         let (wanted, later) = self.claim_parts(differing, held.filled());
         if !wanted.is_empty() {
-            let message = Between::Wants(wanted);
+            let message = CoordinatorMessage::Wants(wanted);
             self.actions.push(Action::Send { to: from, message });
         }
         if later {
@@ -109,10 +109,10 @@
     }
 
     /// Sends a replica the backend servers in some buckets of the directory.
-    pub(super) fn tell_servers(&mut self, to: NodeId, parts: Parts) {
+    pub(super) fn tell_servers(&mut self, to: NodeId, parts: BucketSet) {
         let servers: Vec<Announcement> = self.directory.tell_parts(self.now, parts).collect();
         if !servers.is_empty() {
-            let message = Between::Servers(servers);
+            let message = CoordinatorMessage::Servers(servers);
             self.actions.push(Action::Send { to, message });
         }
     }
@@ -131,7 +131,7 @@
     }
 
     fn tell_digests(&mut self, to: NodeId, ask: bool) {
-        let message = Between::Digests {
+        let message = CoordinatorMessage::Digests {
             held: self.directory.digests().clone(),
             domain: self.cfg.domain.clone(),
             ask,
@@ -158,9 +158,9 @@
             return;
         }
         if news {
-            self.tell_peers(&Between::Servers(vec![told]));
+            self.tell_peers(&CoordinatorMessage::Servers(vec![told]));
         }
-        self.actions.push(Action::Respond(ticket, Answer::Done));
+        self.actions.push(Action::Respond(ticket, ApiResponse::Done));
     }
 
     /// Handles the notice of a backend server that it is leaving, identified by its id and
@@ -170,13 +170,13 @@
     /// this replica has just started or is not a member. When such a notice was
     /// acknowledged without informing the others, entries kept sending requests to a server
     /// that had exited; 41 requests were lost in one case.
-    pub(super) fn left(&mut self, ticket: Ticket, id: &str, born: Option<Born>) {
+    pub(super) fn left(&mut self, ticket: Ticket, id: &str, born: Option<StartTime>) {
         let said = match self.directory.leave(self.now, id, born) {
             Some(said) => said,
             None => {
                 let said = gone(id, born.unwrap_or(START_TIME_UNKNOWN));
                 if !self.learn(said.clone()) {
-                    self.actions.push(Action::Respond(ticket, Answer::Done));
+                    self.actions.push(Action::Respond(ticket, ApiResponse::Done));
                     return;
                 }
                 said
@@ -196,7 +196,7 @@
         if confirming.by.len() >= confirming.wanted {
             let ticket = confirming.ticket;
             self.confirming.remove(&number);
-            self.actions.push(Action::Respond(ticket, Answer::Done));
+            self.actions.push(Action::Respond(ticket, ApiResponse::Done));
         }
     }
 
@@ -213,7 +213,7 @@
         for number in late {
             if let Some(c) = self.confirming.remove(&number) {
                 self.actions
-                    .push(Action::Respond(c.ticket, Answer::Unavailable));
+                    .push(Action::Respond(c.ticket, ApiResponse::Unavailable));
             }
         }
     }
@@ -227,26 +227,26 @@
         }
         let wanted = self.peers.count() / 2;
         if wanted == 0 {
-            self.actions.push(Action::Respond(ticket, Answer::Done));
+            self.actions.push(Action::Respond(ticket, ApiResponse::Done));
             return;
         }
         let number = self.next_ticket;
         self.next_ticket += 1;
-        let confirming = Confirming {
+        let confirming = PendingConfirmation {
             ticket,
             by: BTreeSet::new(),
             wanted,
             until: self.now + self.cfg.patience,
         };
         self.confirming.insert(number, confirming);
-        self.tell_peers(&Between::Confirm {
+        self.tell_peers(&CoordinatorMessage::Confirm {
             ticket: number,
             servers: vec![said],
         });
     }
 
     fn note_server(&mut self, said: &Announcement) {
-        self.note(Note::Server {
+        self.note(LogEvent::Server {
             id: said.id.clone(),
             service: said.service.clone(),
             born: said.born,
@@ -258,7 +258,7 @@
 
 /// Returns the announcement of a backend server that has left and about which nothing else
 /// is known.
-fn gone(id: &str, born: Born) -> Announcement {
+fn gone(id: &str, born: StartTime) -> Announcement {
     Announcement {
         id: id.into(),
         born,
--- a/sesamebeam_core/src/gateway/coordinator/calls.rs
+++ b/sesamebeam_core/src/gateway/coordinator/calls.rs
@@ -17,7 +17,7 @@
         config::ServiceId,
         directory::{
             Announcement,
-            Born,
+            StartTime,
             ServerId, //
         },
         rollout::Rollout,
@@ -39,7 +39,7 @@
 
 /// Request from an operator or a backend server.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Call {
+pub enum ApiRequest {
     /// A backend server announces itself.
     Announce(Announcement),
     /// A backend server leaves.
@@ -47,7 +47,7 @@
         /// Id of the backend server.
         id: ServerId,
         /// Its start time, if provided.
-        born: Option<Born>,
+        born: Option<StartTime>,
     },
     /// An operator applies a validated configuration.
     Apply(Document),
@@ -72,7 +72,7 @@
 
 /// Response to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum ApiResponse {
     /// The change is committed, or the announcement is recorded.
     Done,
     /// The newest configuration.
@@ -89,30 +89,30 @@
 
 /// A request that is waiting for the group.
 #[derive(Debug)]
-pub(super) struct Waiting {
-    call: Call,
+pub(super) struct PendingRequest {
+    call: ApiRequest,
     until: MonoTime,
 }
 
 impl Coordinator {
     /// Handles a request.
-    pub(super) fn called(&mut self, ticket: Ticket, call: Call) {
+    pub(super) fn called(&mut self, ticket: Ticket, call: ApiRequest) {
         match call {
-            Call::Announce(said) => self.announced(ticket, said),
-            Call::Leave { id, born } => self.left(ticket, &id, born),
-            Call::Apply(ref document) if self.holds(document.version) => {
-                self.answer(ticket, Answer::Done);
+            ApiRequest::Announce(said) => self.announced(ticket, said),
+            ApiRequest::Leave { id, born } => self.left(ticket, &id, born),
+            ApiRequest::Apply(ref document) if self.holds(document.version) => {
+                self.answer(ticket, ApiResponse::Done);
             }
-            Call::StartRollout {
+            ApiRequest::StartRollout {
                 ref service,
                 ref target,
                 ..
-            } if self.store.has_started(service, target) => self.answer(ticket, Answer::Done),
-            Call::Apply(ref document) => {
+            } if self.store.has_started(service, target) => self.answer(ticket, ApiResponse::Done),
+            ApiRequest::Apply(ref document) => {
                 let command = Command::Apply(document.clone());
                 self.propose(ticket, call, &command);
             }
-            Call::StartRollout {
+            ApiRequest::StartRollout {
                 ref service,
                 ref target,
                 duration,
@@ -127,18 +127,18 @@
             // Unlike for configurations, the local state is never used to answer a repeated
             // order: the opposite order may have been acknowledged in between, which a
             // lagging replica does not know.
-            Call::Evacuate(ref domain) if !self.store.may_evacuate(domain) => {
-                self.answer(ticket, Answer::Unavailable);
+            ApiRequest::Evacuate(ref domain) if !self.store.may_evacuate(domain) => {
+                self.answer(ticket, ApiResponse::Unavailable);
             }
-            Call::Evacuate(ref domain) => {
+            ApiRequest::Evacuate(ref domain) => {
                 let command = Command::Evacuate(domain.clone());
                 self.propose(ticket, call, &command);
             }
-            Call::Readmit(ref domain) => {
+            ApiRequest::Readmit(ref domain) => {
                 let command = Command::Readmit(domain.clone());
                 self.propose(ticket, call, &command);
             }
-            Call::ReadConfig | Call::ReadRollout(_) => {
+            ApiRequest::ReadConfig | ApiRequest::ReadRollout(_) => {
                 if self.may_lead(ticket) {
                     self.wait(ticket, call);
                     self.step(ReplicaEvent::Read { ticket });
@@ -150,7 +150,7 @@
     /// Responds to a request whose log entry is committed.
     pub(super) fn done(&mut self, ticket: Ticket) {
         if self.waiting.remove(&ticket).is_some() {
-            self.answer(ticket, Answer::Done);
+            self.answer(ticket, ApiResponse::Done);
         }
     }
 
@@ -160,15 +160,15 @@
             return;
         };
         let answer = match waiting.call {
-            Call::ReadConfig => match self.store.config() {
-                Some(document) => Answer::Config(document.bytes.clone()),
-                None => Answer::Missing,
+            ApiRequest::ReadConfig => match self.store.config() {
+                Some(document) => ApiResponse::Config(document.bytes.clone()),
+                None => ApiResponse::Missing,
             },
-            Call::ReadRollout(service) => match self.store.rollouts().get(&service) {
-                Some(rollout) => Answer::Rollout(rollout.clone()),
-                None => Answer::Missing,
+            ApiRequest::ReadRollout(service) => match self.store.rollouts().get(&service) {
+                Some(rollout) => ApiResponse::Rollout(rollout.clone()),
+                None => ApiResponse::Missing,
             },
-            _ => Answer::Done,
+            _ => ApiResponse::Done,
         };
         self.answer(ticket, answer);
     }
@@ -181,7 +181,7 @@
         let answer = match reason {
             Rejection::NotLeader(_) => self.elsewhere(),
             Rejection::Full | Rejection::Busy | Rejection::Unsure | Rejection::Change(_) => {
-                Answer::Unavailable
+                ApiResponse::Unavailable
             }
         };
         self.answer(ticket, answer);
@@ -199,7 +199,7 @@
             .collect();
         for ticket in late {
             self.waiting.remove(&ticket);
-            self.answer(ticket, Answer::Unavailable);
+            self.answer(ticket, ApiResponse::Unavailable);
         }
     }
 
@@ -222,7 +222,7 @@
         self.store.config().is_some_and(|c| c.version >= version)
     }
 
-    fn propose(&mut self, ticket: Ticket, call: Call, command: &Command) {
+    fn propose(&mut self, ticket: Ticket, call: ApiRequest, command: &Command) {
         if !self.may_lead(ticket) {
             return;
         }
@@ -231,7 +231,7 @@
                 self.wait(ticket, call);
                 self.step(ReplicaEvent::Propose { ticket, data });
             }
-            Err(_) => self.answer(ticket, Answer::Unavailable),
+            Err(_) => self.answer(ticket, ApiResponse::Unavailable),
         }
     }
 
@@ -246,19 +246,19 @@
     }
 
     /// Returns the response to a request that only the leader can handle.
-    pub(super) fn elsewhere(&self) -> Answer {
+    pub(super) fn elsewhere(&self) -> ApiResponse {
         match self.leader_addr() {
-            Some(addr) if addr != self.cfg.addr => Answer::Leader(addr),
-            _ => Answer::Unavailable,
+            Some(addr) if addr != self.cfg.addr => ApiResponse::Leader(addr),
+            _ => ApiResponse::Unavailable,
         }
     }
 
-    fn wait(&mut self, ticket: Ticket, call: Call) {
+    fn wait(&mut self, ticket: Ticket, call: ApiRequest) {
         let until = self.now + self.cfg.patience;
-        self.waiting.insert(ticket, Waiting { call, until });
+        self.waiting.insert(ticket, PendingRequest { call, until });
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: Answer) {
+    fn answer(&mut self, ticket: Ticket, answer: ApiResponse) {
         self.actions.push(Action::Respond(ticket, answer));
     }
 }
--- a/sesamebeam_core/src/gateway/coordinator/group.rs
+++ b/sesamebeam_core/src/gateway/coordinator/group.rs
@@ -9,12 +9,12 @@
 use super::{
     Action,
     Coordinator,
-    Note, //
+    LogEvent, //
 };
 use crate::{
     gateway::feed::{
-        Question,
-        Reply, //
+        MembershipRequest,
+        MembershipReply, //
     },
     ids::{
         DomainId,
@@ -126,17 +126,17 @@
     }
 
     /// Handles a membership request.
-    pub(super) fn asked(&mut self, ticket: Ticket, question: Question) {
+    pub(super) fn asked(&mut self, ticket: Ticket, question: MembershipRequest) {
         let reply = match (&self.replica, question) {
-            (_, Question::Members { replicas, .. }) => {
+            (_, MembershipRequest::Members { replicas, .. }) => {
                 self.learn_peers(replicas);
-                Reply::None
+                MembershipReply::None
             }
-            (None, _) => Reply::None,
-            (Some(_), Question::Group) => self.group_reply(),
+            (None, _) => MembershipReply::None,
+            (Some(_), MembershipRequest::Group) => self.group_reply(),
             (
                 Some(_),
-                Question::Join {
+                MembershipRequest::Join {
                     node,
                     incarnation,
                     addr,
@@ -158,7 +158,7 @@
 
     /// Handles a change of role.
     pub(super) fn role_changed(&mut self, role: Role) {
-        self.note(Note::Role(role));
+        self.note(LogEvent::Role(role));
         if role == Role::Leader {
             self.tell_seeds_at = self.now;
             self.trials.follow(self.now, self.store.rollouts());
@@ -191,7 +191,7 @@
             return;
         }
         self.tell_seeds_at = self.now + SEED_UPDATE_INTERVAL;
-        let told = Question::Members {
+        let told = MembershipRequest::Members {
             group: replica.group(),
             replicas: self.peers.all().collect(),
         };
@@ -227,12 +227,12 @@
         incarnation: u128,
         addr: SocketAddr,
         domain: DomainId,
-    ) -> Reply {
+    ) -> MembershipReply {
         let Some(replica) = self.replica.as_ref().filter(|_| self.leads()) else {
             return self.group_reply();
         };
         if replica.members().get(node).is_some() {
-            return Reply::Joining;
+            return MembershipReply::Joining;
         }
         let addr = Some(addr);
         let members = &replica.members().members;
@@ -266,12 +266,12 @@
             None => return self.group_reply(),
         };
         self.change(change, Some(node), gone);
-        Reply::Joining
+        MembershipReply::Joining
     }
 
     fn change(&mut self, change: MemberChange, joins: Option<NodeId>, leaves: Option<NodeId>) {
         let ticket = self.own_ticket();
-        self.note(Note::Membership {
+        self.note(LogEvent::Membership {
             joins,
             leaves,
             domains: self.places.domains().clone(),
@@ -279,11 +279,11 @@
         self.step(ReplicaEvent::Change { ticket, change });
     }
 
-    fn group_reply(&self) -> Reply {
+    fn group_reply(&self) -> MembershipReply {
         let Some(replica) = &self.replica else {
-            return Reply::None;
+            return MembershipReply::None;
         };
-        Reply::Group {
+        MembershipReply::Group {
             group: replica.group(),
             replicas: self.peers.addrs.iter().map(|(&n, &a)| (n, a)).collect(),
             leads: replica.has_lease(self.now),
--- a/sesamebeam_core/src/gateway/coordinator/places.rs
+++ b/sesamebeam_core/src/gateway/coordinator/places.rs
@@ -20,7 +20,7 @@
 
 /// Known failure domains of replicas, and recent requests to join.
 #[derive(Debug, Default)]
-pub(super) struct Places {
+pub(super) struct VoterPlacement {
     domains: BTreeMap<NodeId, DomainId>,
     /// When a process of each failure domain last asked to join.
     asked: BTreeMap<DomainId, MonoTime>,
@@ -28,7 +28,7 @@
     free_since: Option<MonoTime>,
 }
 
-impl Places {
+impl VoterPlacement {
     /// Records the failure domain of a replica.
     pub(super) fn learn(&mut self, node: NodeId, domain: DomainId) {
         self.domains.insert(node, domain);
--- a/sesamebeam_core/src/gateway/coordinator/telling.rs
+++ b/sesamebeam_core/src/gateway/coordinator/telling.rs
@@ -14,14 +14,14 @@
 use super::{
     Action,
     Coordinator,
-    EntryLife,
-    Note,
-    Receivers, //
+    EntryId,
+    LogEvent,
+    Recipients, //
 };
 use crate::{
     gateway::{
         digests::{
-            Parts,
+            BucketSet,
             Section, //
         },
         directory::{
@@ -29,16 +29,16 @@
             ServerId,
             ServerState, //
         },
-        entries::Counted,
+        entries::EntryCounter,
         feed::{
-            Between,
+            CoordinatorMessage,
             Crash,
-            Held,
-            Kept,
+            SyncState,
+            RetainedSessions,
             Report,
-            Summary,
+            StateSummary,
             ToEntry,
-            Unreached, //
+            UnreachableServer, //
         },
         limits::LimitOf,
         shortage::ShareOf,
@@ -74,15 +74,15 @@
 
 /// Pending updates for entries, and the reports collected from them.
 #[derive(Debug, Default)]
-pub(super) struct Telling {
+pub(super) struct Publisher {
     /// Connected entries.
-    entries: BTreeSet<EntryLife>,
+    entries: BTreeSet<EntryId>,
     /// Estimate of the number of entries.
-    counted: Counted,
+    counted: EntryCounter,
     /// Entries that subscribe to all updates from this replica.
-    followers: BTreeSet<EntryLife>,
+    followers: BTreeSet<EntryId>,
     /// Entries that have requested missing data, with their state.
-    lacking: BTreeMap<EntryLife, Held>,
+    lacking: BTreeMap<EntryId, SyncState>,
     /// Announcements to send to followers.
     fresh: BTreeMap<ServerId, Announcement>,
     /// When the last batch was sent.
@@ -96,7 +96,7 @@
     report: Report,
     /// Unreachable backend servers reported by followers, to be sent to the other
     /// followers. Most followers are in the same failure domain as this replica.
-    unreached: BTreeSet<Unreached>,
+    unreached: BTreeSet<UnreachableServer>,
     /// Whether a change of the replicated state is to be published, and if so, whether it
     /// includes the configuration.
     news: Option<bool>,
@@ -105,7 +105,7 @@
     /// Whether entries have been told that the state is current.
     told_current: bool,
     /// Last published summary.
-    summary: Summary,
+    summary: StateSummary,
     /// Last published shares.
     shares: Vec<ShareOf>,
     /// Last published limits.
@@ -114,7 +114,7 @@
     kept: (u32, MonoTime),
 }
 
-impl Telling {
+impl Publisher {
     /// Returns whether anything waits for the next batch.
     fn waits(&self) -> bool {
         !self.lacking.is_empty() || !self.fresh.is_empty()
@@ -130,23 +130,23 @@
         self.told_current = false;
     }
 
-    fn followers(&self) -> Receivers {
-        Receivers::Only(self.followers.iter().copied().collect())
+    fn followers(&self) -> Recipients {
+        Recipients::Only(self.followers.iter().copied().collect())
     }
 }
 
 impl Coordinator {
     /// Handles a newly connected entry.
-    pub(super) fn subscribe(&mut self, life: EntryLife) {
+    pub(super) fn subscribe(&mut self, life: EntryId) {
         self.telling.entries.insert(life);
         let entries = self.telling.entries.len() as u32;
         self.telling.counted.connected(self.now, entries);
         let fleet = self.fleet();
-        self.push(Receivers::Only(vec![life]), fleet);
+        self.push(Recipients::Only(vec![life]), fleet);
     }
 
     /// Removes an entry whose connection has closed.
-    pub(super) fn unsubscribe(&mut self, life: EntryLife) {
+    pub(super) fn unsubscribe(&mut self, life: EntryId) {
         self.telling.entries.remove(&life);
         self.telling.lacking.remove(&life);
         self.unfollow(life);
@@ -157,11 +157,11 @@
     /// The entry may know of more entries than a replica that has started inside a network
     /// partition. If the replica used its own count, entries that start there would claim
     /// too large a portion of the shared budgets.
-    pub(super) fn follow(&mut self, life: EntryLife, held: Held) {
+    pub(super) fn follow(&mut self, life: EntryId, held: SyncState) {
         self.telling.followers.insert(life);
         self.telling.counted.confirmed(held.entries);
         self.lacks(life, held);
-        let this = Receivers::Only(vec![life]);
+        let this = Recipients::Only(vec![life]);
         let quarantined = self.crashes.quarantined();
         if !quarantined.is_empty() {
             self.push(this.clone(), ToEntry::Quarantined(quarantined));
@@ -173,17 +173,17 @@
             self.push(this.clone(), ToEntry::Limits(limits));
         }
         for (kept, all) in self.trials.kept(self.now) {
-            self.push(this.clone(), ToEntry::Kept(kept, all));
+            self.push(this.clone(), ToEntry::RetainedSessions(kept, all));
         }
     }
 
     /// Ends an entry's subscription.
-    pub(super) fn unfollow(&mut self, life: EntryLife) {
+    pub(super) fn unfollow(&mut self, life: EntryId) {
         self.telling.followers.remove(&life);
     }
 
     /// Records that an entry requests the data that it is missing.
-    pub(super) fn lacks(&mut self, life: EntryLife, held: Held) {
+    pub(super) fn lacks(&mut self, life: EntryId, held: SyncState) {
         self.telling.lacking.insert(life, held);
     }
 
@@ -243,7 +243,7 @@
         }
         let report = self.telling.report.take();
         if !report.is_empty() {
-            self.tell_peers(&Between::Report(Box::new(report)));
+            self.tell_peers(&CoordinatorMessage::Report(Box::new(report)));
         }
         let unreached = std::mem::take(&mut self.telling.unreached);
         if !unreached.is_empty() {
@@ -263,7 +263,7 @@
         }
         if self.pool.judge(self.now, &self.directory) {
             let doubts = self.pool.doubts().to_vec();
-            self.note(Note::Doubts(doubts.clone()));
+            self.note(LogEvent::Doubts(doubts.clone()));
             self.push(self.telling.followers(), ToEntry::Doubts(doubts));
         }
         self.tell_limits();
@@ -298,7 +298,7 @@
         let limits = self.limits.tell(self.now);
         if self.telling.limits != limits {
             self.telling.limits = limits.clone();
-            self.note(Note::Limits(limits.clone()));
+            self.note(LogEvent::Limits(limits.clone()));
             self.push(self.telling.followers(), ToEntry::Limits(limits));
         }
     }
@@ -307,14 +307,14 @@
     fn note_shares(&mut self, shares: &[ShareOf]) {
         if self.telling.shares != shares {
             self.telling.shares = shares.to_vec();
-            self.note(Note::Shares(shares.to_vec()));
+            self.note(LogEvent::Shares(shares.to_vec()));
         }
     }
 
     /// Sends the group's membership to all entries.
     pub(super) fn tell_fleet(&mut self) {
         let fleet = self.fleet();
-        self.push(Receivers::All, fleet);
+        self.push(Recipients::All, fleet);
     }
 
     /// Publishes the replicated state as it is after an event.
@@ -338,16 +338,16 @@
         let summary = self.summary();
         self.telling.summary = summary;
         self.actions.push(Action::SetSummary(summary));
-        self.push(Receivers::All, ToEntry::Alive(summary));
+        self.push(Recipients::All, ToEntry::Alive(summary));
     }
 
     /// Sends entries what they are missing, grouped by identical content.
     fn tell_lacking(&mut self) {
         let config = self.store.config().map(|c| c.version);
         let own = self.directory.digests().clone();
-        let mut of_state: BTreeMap<bool, Vec<EntryLife>> = BTreeMap::new();
-        let mut of_servers: BTreeMap<Parts, Vec<EntryLife>> = BTreeMap::new();
-        let mut of_details: BTreeMap<Parts, Vec<EntryLife>> = BTreeMap::new();
+        let mut of_state: BTreeMap<bool, Vec<EntryId>> = BTreeMap::new();
+        let mut of_servers: BTreeMap<BucketSet, Vec<EntryId>> = BTreeMap::new();
+        let mut of_details: BTreeMap<BucketSet, Vec<EntryId>> = BTreeMap::new();
         for (life, held) in std::mem::take(&mut self.telling.lacking) {
             of_state.entry(config > held.config).or_default().push(life);
             let differing = own.differing(&held.servers);
@@ -360,57 +360,57 @@
         }
         for (with_config, lives) in of_state {
             let state = self.state(with_config);
-            self.push(Receivers::Only(lives), state);
+            self.push(Recipients::Only(lives), state);
         }
         for (parts, lives) in of_servers {
             let servers = self.directory.tell_parts(self.now, parts).collect();
-            self.push_servers(&Receivers::Only(lives), servers);
+            self.push_servers(&Recipients::Only(lives), servers);
         }
         for (parts, lives) in of_details.into_iter().filter(|(p, _)| !p.is_empty()) {
             let details = ToEntry::SectionDigests(self.directory.details(parts));
-            self.push(Receivers::Only(lives), details);
+            self.push(Recipients::Only(lives), details);
         }
     }
 
     /// Returns which of the differing buckets are compared section by section first: those
     /// in which the entry has data and which hold many backend servers.
-    fn detailed(&self, differing: Parts, filled: Parts) -> Parts {
+    fn detailed(&self, differing: BucketSet, filled: BucketSet) -> BucketSet {
         let large = |&n: &usize| self.directory.count_part(n) > MAX_UNSECTIONED_SERVERS;
-        Parts::these(differing.and(filled).numbers().filter(large))
+        BucketSet::these(differing.and(filled).numbers().filter(large))
     }
 
     /// Sends an entry the backend servers in some sections of the directory.
-    pub(super) fn lacks_sections(&mut self, life: EntryLife, sections: &[Section]) {
+    pub(super) fn lacks_sections(&mut self, life: EntryId, sections: &[Section]) {
         let servers = self.directory.tell_sections(self.now, sections).collect();
-        self.push_servers(&Receivers::Only(vec![life]), servers);
+        self.push_servers(&Recipients::Only(vec![life]), servers);
     }
 
     /// Sends announcements in chunks of at most [`MAX_ANNOUNCEMENTS_PER_MESSAGE`].
-    fn push_servers(&mut self, to: &Receivers, servers: Vec<Announcement>) {
+    fn push_servers(&mut self, to: &Recipients, servers: Vec<Announcement>) {
         for servers in servers.chunks(MAX_ANNOUNCEMENTS_PER_MESSAGE) {
             self.push(to.clone(), ToEntry::Servers(servers.to_vec()));
         }
     }
 
     /// Requests differing buckets from an entry, asking one entry at a time.
-    fn want(&mut self, life: EntryLife, differing: Parts, filled: Parts) {
+    fn want(&mut self, life: EntryId, differing: BucketSet, filled: BucketSet) {
         let (parts, _) = self.claim_parts(differing, filled);
         if !parts.is_empty() {
-            self.push(Receivers::Only(vec![life]), ToEntry::Wants(parts));
+            self.push(Recipients::Only(vec![life]), ToEntry::Wants(parts));
         }
     }
 
     /// Returns the buckets to request from a process now, among those that differ and that
     /// are not empty there, and whether others were left out because another process has
     /// just been asked for them.
-    pub(super) fn claim_parts(&mut self, differing: Parts, filled: Parts) -> (Parts, bool) {
+    pub(super) fn claim_parts(&mut self, differing: BucketSet, filled: BucketSet) -> (BucketSet, bool) {
         let want_at = &mut self.telling.want_at;
         let now = self.now;
         let is_due = |n: &usize| want_at.get(n).is_none_or(|at| now >= *at);
         let of_both = differing.and(filled).numbers();
         let (wanted, later): (Vec<usize>, Vec<usize>) = of_both.partition(is_due);
         want_at.extend(wanted.iter().map(|&n| (n, now + PULL_RETRY_DELAY)));
-        (Parts::these(wanted.into_iter()), !later.is_empty())
+        (BucketSet::these(wanted.into_iter()), !later.is_empty())
     }
 
     fn tell_fresh(&mut self) {
@@ -431,9 +431,9 @@
     }
 
     /// Records retained sessions and forwards them to followers.
-    fn keep_sessions(&mut self, kept: &Kept) {
+    fn keep_sessions(&mut self, kept: &RetainedSessions) {
         self.trials.keep(kept);
-        self.push(self.telling.followers(), ToEntry::Kept(kept.clone(), false));
+        self.push(self.telling.followers(), ToEntry::RetainedSessions(kept.clone(), false));
     }
 
     /// Builds the message with the replicated state.
@@ -455,8 +455,8 @@
         }
     }
 
-    fn summary(&mut self) -> Summary {
-        Summary {
+    fn summary(&mut self) -> StateSummary {
+        StateSummary {
             config: self.store.config().map(|c| c.version),
             index: self.telling.changed_at,
             servers: self.directory.digests().whole(),
@@ -465,8 +465,8 @@
     }
 
     /// Queues a message to entries unless there are no recipients.
-    fn push(&mut self, to: Receivers, message: ToEntry) {
-        if to != Receivers::Only(Vec::new()) {
+    fn push(&mut self, to: Recipients, message: ToEntry) {
+        if to != Recipients::Only(Vec::new()) {
             self.actions.push(Action::Push(to, message));
         }
     }
--- a/sesamebeam_core/src/gateway/coordinator/trial.rs
+++ b/sesamebeam_core/src/gateway/coordinator/trial.rs
@@ -9,15 +9,15 @@
 
 use super::{
     Coordinator,
-    Note, //
+    LogEvent, //
 };
 use crate::{
     gateway::{
         config::ServiceId,
         feed::{
-            Age,
+            RolloutAge,
             Evidence,
-            Kept, //
+            RetainedSessions, //
         },
         rollout::{
             Rollouts,
@@ -34,7 +34,7 @@
 
 /// Rollouts being monitored.
 #[derive(Debug, Default)]
-pub(super) struct Trials {
+pub(super) struct RolloutMonitor {
     watched: BTreeMap<(ServiceId, SmolStr), Watch>,
     /// Start times of rollouts whose start command is not applied here yet.
     heard: BTreeMap<(ServiceId, SmolStr), MonoTime>,
@@ -42,7 +42,7 @@
     kept: BTreeMap<(ServiceId, SmolStr), BTreeSet<u64>>,
 }
 
-impl Trials {
+impl RolloutMonitor {
     /// Starts monitoring new rollouts and drops replaced ones.
     pub(super) fn follow(&mut self, now: MonoTime, rollouts: &Rollouts) {
         self.watched.retain(|(service, target), _| {
@@ -61,9 +61,9 @@
 
     /// Records how long rollouts have been running, including those not applied here yet: a
     /// replica that has just started learns of them from reports first.
-    pub(super) fn have_run(&mut self, now: MonoTime, store: &Store, ages: &[Age]) {
+    pub(super) fn have_run(&mut self, now: MonoTime, store: &Store, ages: &[RolloutAge]) {
         self.follow(now, store.rollouts());
-        for Age {
+        for RolloutAge {
             service,
             target,
             age,
@@ -82,7 +82,7 @@
     }
 
     /// Records sessions that must stay on the versions before a rollout.
-    pub(super) fn keep(&mut self, kept: &Kept) {
+    pub(super) fn keep(&mut self, kept: &RetainedSessions) {
         let key = (kept.service.clone(), kept.target.clone());
         let sessions = self.kept.entry(key).or_default();
         sessions.extend(&kept.sessions);
@@ -90,10 +90,10 @@
 
     /// Returns the retained sessions of each rollout, and whether all sessions that were
     /// active when it started have been reported.
-    pub(super) fn kept(&self, now: MonoTime) -> Vec<(Kept, bool)> {
+    pub(super) fn kept(&self, now: MonoTime) -> Vec<(RetainedSessions, bool)> {
         let report = |(key, watch): (&(ServiceId, SmolStr), &Watch)| {
             let sessions = self.kept.get(key).into_iter().flatten().copied();
-            let kept = Kept {
+            let kept = RetainedSessions {
                 service: key.0.clone(),
                 target: key.1.clone(),
                 sessions: sessions.collect(),
@@ -135,7 +135,7 @@
             }
             let counts = watch.summary();
             let target = rollout.target.clone();
-            self.note(Note::Rollout {
+            self.note(LogEvent::Rollout {
                 service: service.clone(),
                 target: target.clone(),
                 phase,
--- a/sesamebeam_core/src/gateway/crashes.rs
+++ b/sesamebeam_core/src/gateway/crashes.rs
@@ -11,7 +11,7 @@
 };
 
 use super::{
-    directory::Life,
+    directory::ServerIncarnation,
     feed::Crash, //
 };
 use crate::ids::Digest;
@@ -27,7 +27,7 @@
 /// Crashes by the request that was running.
 #[derive(Clone, Debug, Default)]
 pub struct Crashes {
-    kept: VecDeque<(Digest, BTreeSet<Life>)>,
+    kept: VecDeque<(Digest, BTreeSet<ServerIncarnation>)>,
 }
 
 impl Crashes {
--- a/sesamebeam_core/src/gateway/digests.rs
+++ b/sesamebeam_core/src/gateway/digests.rs
@@ -13,7 +13,7 @@
 
 use super::{
     directory::{
-        Indexed,
+        IndexedServer,
         ServerId,
         ServerState, //
     },
@@ -45,15 +45,15 @@
 /// Digests of the sections of one bucket. They narrow down a difference between two large
 /// directories, so that the rest of the bucket need not be sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartDetail {
+pub struct SectionDigests {
     /// Number of the bucket.
     part: u8,
     sections: Vec<u32>,
 }
 
-impl PartDetail {
+impl SectionDigests {
     /// Computes the digests of the backend servers in a bucket.
-    pub(super) fn of(part: usize, servers: impl Iterator<Item = Indexed>) -> Self {
+    pub(super) fn of(part: usize, servers: impl Iterator<Item = IndexedServer>) -> Self {
         let mut sections = vec![0; SECTIONS];
         for server in servers {
             let at = usize::from(section(server.key())) % SECTIONS;
@@ -101,7 +101,7 @@
 
 /// Returns the digest of one backend server. It is 0 for one that is gone, because only one
 /// of the two sides may still remember it.
-fn digest(server: &Indexed) -> u32 {
+fn digest(server: &IndexedServer) -> u32 {
     if server.state == ServerState::Gone {
         return 0;
     }
@@ -112,9 +112,9 @@
 
 /// Set of buckets of a directory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Parts(u64);
+pub struct BucketSet(u64);
 
-impl Parts {
+impl BucketSet {
     /// All buckets.
     pub const ALL: Self = Self(u64::MAX);
 
@@ -166,7 +166,7 @@
 
 impl Digests {
     /// Adds a backend server, or removes it if it was added before.
-    pub(super) fn toggle(&mut self, server: &Indexed) {
+    pub(super) fn toggle(&mut self, server: &IndexedServer) {
         self.0[part(server.key())] ^= digest(server);
     }
 
@@ -178,13 +178,13 @@
 
     /// Returns the buckets that differ between two directories: all of them if the other
     /// side uses another number of buckets.
-    pub fn differing(&self, other: &Self) -> Parts {
+    pub fn differing(&self, other: &Self) -> BucketSet {
         let differs = |n: &usize| self.0.get(*n) != other.0.get(*n);
-        Parts::these((0..BUCKETS).filter(differs))
+        BucketSet::these((0..BUCKETS).filter(differs))
     }
 
     /// Returns the buckets that are not empty.
-    pub fn filled(&self) -> Parts {
+    pub fn filled(&self) -> BucketSet {
         self.differing(&Self::default())
     }
 }
--- a/sesamebeam_core/src/gateway/directory.rs
+++ b/sesamebeam_core/src/gateway/directory.rs
@@ -19,9 +19,9 @@
 use smol_str::SmolStr;
 
 use self::index::Index;
-pub(super) use self::index::Indexed;
+pub(super) use self::index::IndexedServer;
 pub use self::index::{
-    Group,
+    ServerGroup,
     Window, //
 };
 use super::{
@@ -29,8 +29,8 @@
     digests::{
         self,
         Digests,
-        PartDetail,
-        Parts,
+        SectionDigests,
+        BucketSet,
         Section, //
     },
     loads::ServerKey, //
@@ -46,19 +46,19 @@
 
 /// Start time of a backend server in Unix milliseconds by its own clock; 0 if it does not
 /// provide one.
-pub type Born = u64;
+pub type StartTime = u64;
 
 /// Start time of an incarnation that left and about which nothing else is known. No
 /// announcement with the same id can bring it back.
-pub const START_TIME_UNKNOWN: Born = Born::MAX;
+pub const START_TIME_UNKNOWN: StartTime = StartTime::MAX;
 
 /// One incarnation of a backend server. Its state and its sequence numbers end with it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
+pub struct ServerIncarnation {
     /// Id of the backend server.
     pub id: ServerId,
     /// Start time.
-    pub born: Born,
+    pub born: StartTime,
 }
 
 /// Number of ended incarnations that are remembered, so that a late announcement does not
@@ -88,7 +88,7 @@
     /// Id of the backend server.
     pub id: ServerId,
     /// Start time of this incarnation.
-    pub born: Born,
+    pub born: StartTime,
     /// Service that it belongs to.
     pub service: ServiceId,
     /// Address for requests.
@@ -112,7 +112,7 @@
 
 /// A backend server as known to this process.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct ServerRecord {
     /// The newest announcement.
     pub said: Announcement,
     /// When it was last heard of, directly or through others.
@@ -124,7 +124,7 @@
 /// All known backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    servers: BTreeMap<ServerId, Known>,
+    servers: BTreeMap<ServerId, ServerRecord>,
     index: Index,
     /// Digests of the directory's contents.
     digests: Digests,
@@ -162,7 +162,7 @@
         if said.state != ServerState::Gone && is_named {
             self.end_at(now, &said);
         }
-        self.put(Known {
+        self.put(ServerRecord {
             cold_until: now + said.cold,
             heard_at: now,
             said,
@@ -184,7 +184,7 @@
     }
 
     /// Marks a backend server as gone, identified by its id and optionally its start time.
-    pub fn leave(&mut self, now: MonoTime, id: &str, born: Option<Born>) -> Option<Announcement> {
+    pub fn leave(&mut self, now: MonoTime, id: &str, born: Option<StartTime>) -> Option<Announcement> {
         let known = self.servers.get(id)?;
         if born.is_some_and(|born| born != known.said.born) {
             return None;
@@ -197,23 +197,23 @@
     }
 
     /// Returns a backend server.
-    pub fn get(&self, id: &str) -> Option<&Known> {
+    pub fn get(&self, id: &str) -> Option<&ServerRecord> {
         self.servers.get(id)
     }
 
     /// Iterates over the backend servers that share a key, usually one.
-    pub fn with_key(&self, key: ServerKey) -> impl Iterator<Item = &Known> {
+    pub fn with_key(&self, key: ServerKey) -> impl Iterator<Item = &ServerRecord> {
         self.with_keys((key, key))
     }
 
-    fn with_keys(&self, keys: (ServerKey, ServerKey)) -> impl Iterator<Item = &Known> {
+    fn with_keys(&self, keys: (ServerKey, ServerKey)) -> impl Iterator<Item = &ServerRecord> {
         let ids = self.index.with_keys(keys);
         ids.filter_map(|id| self.servers.get(id))
     }
 
     /// Iterates over current announcements of the backend servers in some buckets,
     /// including those that are gone.
-    pub fn tell_parts(&self, now: MonoTime, parts: Parts) -> impl Iterator<Item = Announcement> {
+    pub fn tell_parts(&self, now: MonoTime, parts: BucketSet) -> impl Iterator<Item = Announcement> {
         let keys = parts.numbers().map(digests::keys_of_part);
         let known = keys.flat_map(|keys| self.with_keys(keys));
         known.map(move |known| known.tell(now))
@@ -237,12 +237,12 @@
     }
 
     /// Returns the section digests of some buckets.
-    pub fn details(&self, parts: Parts) -> Vec<PartDetail> {
+    pub fn details(&self, parts: BucketSet) -> Vec<SectionDigests> {
         parts.numbers().map(|part| self.detail(part)).collect()
     }
 
     /// Returns the sections that differ from those of another directory.
-    pub fn differing_sections(&self, details: &[PartDetail]) -> Vec<Section> {
+    pub fn differing_sections(&self, details: &[SectionDigests]) -> Vec<Section> {
         let pairs = details.iter().filter_map(|theirs| {
             let own = self.detail(theirs.part()?);
             Some(own.differing(theirs).collect::<Vec<_>>())
@@ -250,9 +250,9 @@
         pairs.flatten().collect()
     }
 
-    fn detail(&self, part: usize) -> PartDetail {
+    fn detail(&self, part: usize) -> SectionDigests {
         let known = self.with_keys(digests::keys_of_part(part));
-        PartDetail::of(part, known.map(Indexed::of))
+        SectionDigests::of(part, known.map(IndexedServer::of))
     }
 
     /// Iterates over current announcements of all backend servers, including those that are
@@ -262,7 +262,7 @@
     }
 
     /// Iterates over all known backend servers, including those that are gone.
-    pub fn all(&self) -> impl Iterator<Item = &Known> + '_ {
+    pub fn all(&self) -> impl Iterator<Item = &ServerRecord> + '_ {
         self.servers.values()
     }
 
@@ -272,22 +272,22 @@
     }
 
     /// Iterates over the ready backend servers of a service in groups.
-    pub fn groups<'a>(&'a self, service: &str) -> impl Iterator<Item = Group<'a>> + use<'a> {
+    pub fn groups<'a>(&'a self, service: &str) -> impl Iterator<Item = ServerGroup<'a>> + use<'a> {
         self.index.groups(service)
     }
 
     /// Iterates over the backend servers of a group with a key in a window.
     pub fn members<'a>(
         &'a self,
-        group: &Group<'a>,
+        group: &ServerGroup<'a>,
         window: Window,
-    ) -> impl Iterator<Item = &'a Known> + use<'a> {
+    ) -> impl Iterator<Item = &'a ServerRecord> + use<'a> {
         let ids = group.within(window);
         ids.filter_map(|id| self.servers.get(id))
     }
 
     /// Iterates over the ready backend servers of a service.
-    pub fn ready<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Known> + use<'a> {
+    pub fn ready<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a ServerRecord> + use<'a> {
         let groups = self.groups(service);
         groups.flat_map(|group| self.members(&group, Window::ALL))
     }
@@ -327,11 +327,11 @@
     }
 
     /// Modifies a record and keeps the index and digests in sync.
-    fn change<T>(&mut self, id: &str, change: impl FnOnce(&mut Known) -> T) -> Option<T> {
+    fn change<T>(&mut self, id: &str, change: impl FnOnce(&mut ServerRecord) -> T) -> Option<T> {
         let known = self.servers.get_mut(id)?;
-        let before = Indexed::of(known);
+        let before = IndexedServer::of(known);
         let result = change(known);
-        let after = Indexed::of(known);
+        let after = IndexedServer::of(known);
         if before != after {
             self.index.remove(&before);
             self.index.insert(&after);
@@ -342,9 +342,9 @@
     }
 
     /// Inserts a record in place of any previous incarnation with the same id.
-    fn put(&mut self, known: Known) {
+    fn put(&mut self, known: ServerRecord) {
         self.remove(&known.said.id);
-        let indexed = Indexed::of(&known);
+        let indexed = IndexedServer::of(&known);
         self.index.insert(&indexed);
         self.digests.toggle(&indexed);
         self.servers.insert(known.said.id.clone(), known);
@@ -352,17 +352,17 @@
 
     fn remove(&mut self, id: &str) {
         if let Some(known) = self.servers.remove(id) {
-            let indexed = Indexed::of(&known);
+            let indexed = IndexedServer::of(&known);
             self.index.remove(&indexed);
             self.digests.toggle(&indexed);
         }
     }
 }
 
-impl Known {
+impl ServerRecord {
     /// Returns the incarnation.
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn life(&self) -> ServerIncarnation {
+        ServerIncarnation {
             id: self.said.id.clone(),
             born: self.said.born,
         }
--- a/sesamebeam_core/src/gateway/directory/index.rs
+++ b/sesamebeam_core/src/gateway/directory/index.rs
@@ -14,8 +14,8 @@
 use smol_str::SmolStr;
 
 use super::{
-    Known,
-    Life,
+    ServerRecord,
+    ServerIncarnation,
     ServerId,
     ServerState, //
 };
@@ -34,13 +34,13 @@
 };
 
 /// Backend servers ordered by key, which gives the same order in every process.
-type Members = BTreeSet<(ServerKey, ServerId)>;
+type ServerSet = BTreeSet<(ServerKey, ServerId)>;
 
 /// Indexed properties of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(in crate::gateway) struct Indexed {
+pub(in crate::gateway) struct IndexedServer {
     key: ServerKey,
-    pub(in crate::gateway) life: Life,
+    pub(in crate::gateway) life: ServerIncarnation,
     pub(in crate::gateway) state: ServerState,
     pub(in crate::gateway) version: SmolStr,
     service: ServiceId,
@@ -50,9 +50,9 @@
     ended_at: Option<MonoTime>,
 }
 
-impl Indexed {
+impl IndexedServer {
     /// Extracts the indexed properties of a record.
-    pub(super) fn of(known: &Known) -> Self {
+    pub(super) fn of(known: &ServerRecord) -> Self {
         let said = &known.said;
         Self {
             key: loads::key(&said.id),
@@ -116,15 +116,15 @@
 
 /// Ready backend servers of a service with the same version and failure domain.
 #[derive(Clone, Copy, Debug)]
-pub struct Group<'a> {
+pub struct ServerGroup<'a> {
     /// Failure domain.
     pub domain: &'a DomainId,
     /// Version.
     pub version: &'a SmolStr,
-    members: &'a Members,
+    members: &'a ServerSet,
 }
 
-impl<'a> Group<'a> {
+impl<'a> ServerGroup<'a> {
     /// Returns the number of backend servers.
     pub fn count(&self) -> usize {
         self.members.len()
@@ -152,18 +152,18 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Index {
     /// Ready backend servers.
-    ready: BTreeMap<ServiceId, BTreeMap<(DomainId, SmolStr), Members>>,
+    ready: BTreeMap<ServiceId, BTreeMap<(DomainId, SmolStr), ServerSet>>,
     /// Number of known backend servers of each service, including those that are gone.
     services: BTreeMap<ServiceId, usize>,
     /// Backend servers at an address that are not gone.
     at: HashMap<SocketAddr, Vec<ServerId>>,
-    keys: Members,
+    keys: ServerSet,
     /// Backend servers that are gone, oldest first.
     ended: BTreeSet<(MonoTime, ServerId)>,
 }
 
 impl Index {
-    pub(super) fn insert(&mut self, indexed: &Indexed) {
+    pub(super) fn insert(&mut self, indexed: &IndexedServer) {
         self.keys.insert(indexed.member());
         *self.services.entry(indexed.service.clone()).or_default() += 1;
         if let Some(at) = indexed.ended_at {
@@ -179,7 +179,7 @@
         }
     }
 
-    pub(super) fn remove(&mut self, indexed: &Indexed) {
+    pub(super) fn remove(&mut self, indexed: &IndexedServer) {
         let id = &indexed.life.id;
         self.keys.remove(&indexed.member());
         if let Some(count) = self.services.get_mut(&indexed.service) {
@@ -226,9 +226,9 @@
     }
 
     /// Iterates over the groups of a service.
-    pub(super) fn groups<'a>(&'a self, service: &str) -> impl Iterator<Item = Group<'a>> + use<'a> {
+    pub(super) fn groups<'a>(&'a self, service: &str) -> impl Iterator<Item = ServerGroup<'a>> + use<'a> {
         let groups = self.ready.get(service).into_iter().flatten();
-        groups.map(|((domain, version), members)| Group {
+        groups.map(|((domain, version), members)| ServerGroup {
             domain,
             version,
             members,
--- a/sesamebeam_core/src/gateway/enquiry.rs
+++ b/sesamebeam_core/src/gateway/enquiry.rs
@@ -8,11 +8,11 @@
 /// it is known the others are no longer asked: each request is a separate connection, and
 /// most processes of a large fleet stay on standby for their whole runtime.
 #[derive(Clone, Debug, Default)]
-pub struct Enquiry {
+pub struct LeaderDiscovery {
     leader: Option<ProcessAddr>,
 }
 
-impl Enquiry {
+impl LeaderDiscovery {
     /// Returns the processes to ask, given those that may know the group.
     pub fn targets(&self, known: BTreeSet<ProcessAddr>) -> BTreeSet<ProcessAddr> {
         match self.leader {
--- a/sesamebeam_core/src/gateway/entries.rs
+++ b/sesamebeam_core/src/gateway/entries.rs
@@ -21,7 +21,7 @@
 
 /// Count of the entries connected to a control replica.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counted {
+pub struct EntryCounter {
     most: u32,
     /// When the first entry connected.
     since: Option<MonoTime>,
@@ -31,7 +31,7 @@
     told: u32,
 }
 
-impl Counted {
+impl EntryCounter {
     /// Records the number of connected entries.
     pub fn connected(&mut self, now: MonoTime, entries: u32) {
         self.since.get_or_insert(now);
@@ -64,13 +64,13 @@
 /// Largest number of entries that an entry has been told of. The maximum is kept because
 /// during a network partition each side sees only its own entries.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct EntryCount {
+pub struct KnownEntryCount {
     most: u32,
     /// When the first number was received.
     since: MonoTime,
 }
 
-impl EntryCount {
+impl KnownEntryCount {
     /// Records a number of entries and returns whether it is a new maximum.
     pub fn hear(&mut self, now: MonoTime, entries: u32) -> bool {
         if self.most == 0 {
--- a/sesamebeam_core/src/gateway/feed.rs
+++ b/sesamebeam_core/src/gateway/feed.rs
@@ -27,13 +27,13 @@
     },
     digests::{
         Digests,
-        PartDetail,
-        Parts,
+        SectionDigests,
+        BucketSet,
         Section, //
     },
     directory::{
         Announcement,
-        Life, //
+        ServerIncarnation, //
     },
     limits::LimitOf,
     loads::{
@@ -91,12 +91,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromEntry {
     /// Subscribe to updates, given the state of the sender.
-    Follow(Held),
+    Follow(SyncState),
     /// End the subscription; the sender now follows another replica.
     Unfollow,
     /// Request the updates that the sender, with this state, is missing relative to the
     /// receiver's summary.
-    RequestUpdate(Held),
+    RequestUpdate(SyncState),
     /// Request the backend servers that the receiver knows in these sections.
     RequestSections(Vec<Section>),
     /// Backend servers known to the sender, as requested by the receiver.
@@ -124,7 +124,7 @@
 
 /// The data from control replicas that an entry has.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct SyncState {
     /// Version of its configuration.
     pub config: Option<ConfigVersion>,
     /// Digests of its backend server directory.
@@ -147,7 +147,7 @@
     /// Backend servers that could not be reached from a failure domain. They are only
     /// passed on within that domain, because a server that is cut off from one domain may
     /// be reachable from another.
-    pub unreached: Vec<Unreached>,
+    pub unreached: Vec<UnreachableServer>,
     /// Waiting times until the first event.
     pub waits: Vec<WaitsOf>,
     /// Outcomes of requests to plain services.
@@ -155,9 +155,9 @@
     /// Requests that were running when backend servers crashed.
     pub crashes: Vec<Crash>,
     /// Sessions that must stay on the versions before a rollout.
-    pub kept: Vec<Kept>,
+    pub kept: Vec<RetainedSessions>,
     /// How long rollouts have been running, for a replica that has started since.
-    pub ages: Vec<Age>,
+    pub ages: Vec<RolloutAge>,
 }
 
 impl Report {
@@ -244,7 +244,7 @@
 
 /// A backend server that could not be reached.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Unreached {
+pub struct UnreachableServer {
     /// Failure domain of the entry that tried to connect.
     pub from: DomainId,
     /// Key of the backend server.
@@ -280,9 +280,9 @@
     /// Backend servers with new announcements, or that the receiver is missing.
     Servers(Vec<Announcement>),
     /// Section digests of buckets that differ from the receiver's.
-    SectionDigests(Vec<PartDetail>),
+    SectionDigests(Vec<SectionDigests>),
     /// Request for the receiver's backend servers in these buckets.
-    Wants(Parts),
+    Wants(BucketSet),
     /// Recent observations of all entries.
     Loads {
         /// Loads reported by backend servers.
@@ -297,14 +297,14 @@
     /// Current rate limits of backend servers, and those that ended recently.
     Limits(Vec<LimitOf>),
     /// Backend servers that have just been found unreachable.
-    Unreachable(Vec<Unreached>),
+    Unreachable(Vec<UnreachableServer>),
     /// Requests that crash the backend servers running them.
     Quarantined(Vec<Digest>),
     /// Sessions reported by entries that must stay on the versions before a rollout, and
     /// whether all sessions active at its start have been reported.
-    Kept(Kept, bool),
+    RetainedSessions(RetainedSessions, bool),
     /// Heartbeat with a summary of the sender's state.
-    Alive(Summary),
+    Alive(StateSummary),
 }
 
 impl ToEntry {
@@ -321,7 +321,7 @@
             Self::Limits(_) => "limits",
             Self::Unreachable(_) => "unreached",
             Self::Quarantined(_) => "quarantined",
-            Self::Kept(..) => "kept",
+            Self::RetainedSessions(..) => "kept",
             Self::Alive(_) => "alive",
         }
     }
@@ -329,7 +329,7 @@
 
 /// Summary of a control replica's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Summary {
+pub struct StateSummary {
     /// Version of its configuration.
     pub config: Option<ConfigVersion>,
     /// Log position of the last change of its state.
@@ -342,7 +342,7 @@
 
 /// Message between control replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Between {
+pub enum CoordinatorMessage {
     /// Message of the replicated log.
     Log(Box<ReplicaMessage>),
     /// Announcements of backend servers.
@@ -357,7 +357,7 @@
         ask: bool,
     },
     /// Request for the receiver's backend servers in these buckets.
-    Wants(Parts),
+    Wants(BucketSet),
     /// Announcements that the receiver must confirm.
     Confirm {
         /// Id of the confirmation request.
@@ -376,7 +376,7 @@
 
 /// Sessions on the versions before a rollout that were active when it started.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct RetainedSessions {
     /// Service.
     pub service: ServiceId,
     /// Version being rolled out.
@@ -387,7 +387,7 @@
 
 /// How long a rollout has been running, as known to one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Age {
+pub struct RolloutAge {
     /// Service.
     pub service: ServiceId,
     /// Version being rolled out.
@@ -402,12 +402,12 @@
     /// Fingerprint of the request.
     pub fingerprint: Digest,
     /// The incarnation that crashed.
-    pub server: Life,
+    pub server: ServerIncarnation,
 }
 
 /// Request from a process outside the group about its membership.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Question {
+pub enum MembershipRequest {
     /// Asks for the group's identity and members.
     Group,
     /// Asks to become a replica.
@@ -432,7 +432,7 @@
 
 /// Reply to a membership request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Reply {
+pub enum MembershipReply {
     /// The group.
     Group {
         /// Identity of the group.
--- a/sesamebeam_core/src/gateway/limits.rs
+++ b/sesamebeam_core/src/gateway/limits.rs
@@ -29,7 +29,7 @@
 };
 use super::{
     directory::ServerId,
-    entries::EntryCount,
+    entries::KnownEntryCount,
     loads::{
         self,
         ServerKey, //
@@ -49,7 +49,7 @@
 pub struct Limits {
     /// Name of this entry, which places its turns.
     name: SmolStr,
-    entries: EntryCount,
+    entries: KnownEntryCount,
     of: HashMap<ServerId, Limited>,
     /// What is to be reported.
     fresh: HashMap<ServerKey, LimitOf>,
@@ -74,7 +74,7 @@
     pub fn new(name: SmolStr) -> Self {
         Self {
             name,
-            entries: EntryCount::default(),
+            entries: KnownEntryCount::default(),
             of: HashMap::new(),
             fresh: HashMap::new(),
         }
--- a/sesamebeam_core/src/gateway/router.rs
+++ b/sesamebeam_core/src/gateway/router.rs
@@ -41,15 +41,15 @@
     },
     directory::{
         Announcement,
-        Born,
+        StartTime,
         Directory,
-        Known,
-        Life,
+        ServerRecord,
+        ServerIncarnation,
         ServerId, //
     },
     feed::{
-        Age,
-        Kept, //
+        RolloutAge,
+        RetainedSessions, //
     },
     lengths::Lengths,
     limits::Limits,
@@ -194,7 +194,7 @@
     /// Which.
     pub id: ServerId,
     /// When the life started that was chosen.
-    pub born: Born,
+    pub born: StartTime,
     /// Where.
     pub addr: SocketAddr,
     /// Its version.
@@ -207,8 +207,8 @@
 
 impl Choice {
     /// Returns the life that was chosen.
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn life(&self) -> ServerIncarnation {
+        ServerIncarnation {
             id: self.id.clone(),
             born: self.born,
         }
@@ -328,10 +328,10 @@
     pub fn announced(&mut self, now: MonoTime, said: Announcement) -> bool {
         let table = self.table.as_ref();
         let is_named = table.is_some_and(|t| t.config().service(&said.service).is_some());
-        let before = self.directory.get(&said.id).map(Known::life);
+        let before = self.directory.get(&said.id).map(ServerRecord::life);
         let id = said.id.clone();
         let news = self.directory.take(now, said, is_named);
-        let after = self.directory.get(&id).map(Known::life);
+        let after = self.directory.get(&id).map(ServerRecord::life);
         if before.is_some() && before != after {
             self.balance.reborn(&id);
             self.limits.forget(&id);
@@ -537,12 +537,12 @@
     }
 
     /// Takes sessions that must stay on the versions before a roll-out.
-    pub fn keep_sessions(&mut self, now: MonoTime, kept: &Kept, all: bool) {
+    pub fn keep_sessions(&mut self, now: MonoTime, kept: &RetainedSessions, all: bool) {
         self.sessions.keep(now, kept, all);
     }
 
     /// Returns how long each roll-out has run.
-    pub fn rollout_ages(&self, now: MonoTime) -> Vec<Age> {
+    pub fn rollout_ages(&self, now: MonoTime) -> Vec<RolloutAge> {
         self.sessions.ages(now)
     }
 
--- a/sesamebeam_core/src/gateway/router/choosing.rs
+++ b/sesamebeam_core/src/gateway/router/choosing.rs
@@ -15,8 +15,8 @@
         cold,
         config::ColdConfig,
         directory::{
-            Group,
-            Known,
+            ServerGroup,
+            ServerRecord,
             ServerId,
             Window, //
         },
@@ -76,7 +76,7 @@
         let orders = &self.orders;
         let groups = self.directory.groups(&plan.service);
         let groups = groups.filter(|g| orders.admit(g.domain) && allowed.has(g.version));
-        let mut fit: Vec<&Known> = groups
+        let mut fit: Vec<&ServerRecord> = groups
             .flat_map(|g| self.directory.members(&g, window))
             .collect();
         let candidates = fit.len();
@@ -152,7 +152,7 @@
         now: MonoTime,
         plan: &'a Plan,
         tried: &'a [ServerId],
-    ) -> impl Iterator<Item = &'a Known> + 'a {
+    ) -> impl Iterator<Item = &'a ServerRecord> + 'a {
         let allowed = self.allowed(plan);
         let open = self.open(&plan.service);
         open.filter(move |k| {
@@ -163,7 +163,7 @@
 
     /// Iterates over the backend servers of a service that take work, in failure
     /// domains that are not evacuated.
-    pub(super) fn open<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Known> + 'a {
+    pub(super) fn open<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a ServerRecord> + 'a {
         let groups = self.open_groups(service);
         groups.flat_map(|g| self.directory.members(&g, Window::ALL))
     }
@@ -172,7 +172,7 @@
     pub(super) fn open_groups<'a>(
         &'a self,
         service: &'a str,
-    ) -> impl Iterator<Item = Group<'a>> + 'a {
+    ) -> impl Iterator<Item = ServerGroup<'a>> + 'a {
         let groups = self.directory.groups(service);
         groups.filter(|g| self.orders.admit(g.domain))
     }
@@ -183,7 +183,7 @@
         let window = self.window(plan, None, &self.allowed(plan), CANDIDATES);
         let groups = self.open_groups(&plan.service);
         let members = groups.flat_map(|g| self.directory.members(&g, window));
-        let servers: Vec<&Known> = members.collect();
+        let servers: Vec<&ServerRecord> = members.collect();
         self.balance.taken(now, &servers)
     }
 
@@ -215,24 +215,24 @@
     fn keep_warm(
         &self,
         now: MonoTime,
-        fit: &mut Vec<&Known>,
+        fit: &mut Vec<&ServerRecord>,
         limits: Option<&ColdConfig>,
         tried: &[ServerId],
     ) {
         let Some(limits) = limits else {
             return;
         };
-        let is_cold = |k: &Known| self.cold.is_cold(now, k, Some(limits));
-        let has_turn = |k: &&Known| {
+        let is_cold = |k: &ServerRecord| self.cold.is_cold(now, k, Some(limits));
+        let has_turn = |k: &&ServerRecord| {
             is_cold(k) && !tried.contains(&k.said.id) && self.cold.has_turn(now, &k.said.id, limits)
         };
         if !fit.iter().any(|k| is_cold(k)) {
             return;
         }
-        let serves = |k: &&&Known| {
+        let serves = |k: &&&ServerRecord| {
             !is_cold(k) && !tried.contains(&k.said.id) && self.balance.reaches(now, k)
         };
-        let warm: Vec<&Known> = fit.iter().filter(serves).copied().collect();
+        let warm: Vec<&ServerRecord> = fit.iter().filter(serves).copied().collect();
         let is_pressed = warm.is_empty() || self.balance.taken(now, &warm) >= cold::PRESSED;
         if is_pressed && fit.iter().any(has_turn) {
             fit.retain(has_turn);
--- a/sesamebeam_core/src/gateway/router/exchange.rs
+++ b/sesamebeam_core/src/gateway/router/exchange.rs
@@ -6,9 +6,9 @@
         directory::ServerId,
         feed::{
             Evidence,
-            Held,
+            SyncState,
             Report,
-            Unreached, //
+            UnreachableServer, //
         },
         limits::LimitOf,
         loads::LoadOf,
@@ -23,8 +23,8 @@
 
 impl Router {
     /// Returns what this entry holds of what control replicas tell.
-    pub fn held(&mut self) -> Held {
-        Held {
+    pub fn held(&mut self) -> SyncState {
+        SyncState {
             config: self.version(),
             servers: self.directory.digests().clone(),
             entries: self.budget.entries(),
@@ -75,7 +75,7 @@
     }
 
     /// Notes backend servers that other entries could not reach just now.
-    pub fn told_unreached(&mut self, now: MonoTime, told: &[Unreached]) {
+    pub fn told_unreached(&mut self, now: MonoTime, told: &[UnreachableServer]) {
         for unreached in told.iter().filter(|u| u.from == self.cfg.domain) {
             for said in self.directory.with_key(unreached.server).map(|k| &k.said) {
                 self.balance
@@ -107,9 +107,9 @@
     }
 
     /// Takes the backend servers that could not be reached.
-    fn take_unreached(&mut self) -> Vec<Unreached> {
+    fn take_unreached(&mut self) -> Vec<UnreachableServer> {
         let from = &self.cfg.domain;
-        let unreached = |(server, is_down)| Unreached {
+        let unreached = |(server, is_down)| UnreachableServer {
             from: from.clone(),
             server,
             is_down,
--- a/sesamebeam_core/src/gateway/router/trial.rs
+++ b/sesamebeam_core/src/gateway/router/trial.rs
@@ -8,7 +8,7 @@
     gateway::{
         config::ServiceId,
         directory::{
-            Known,
+            ServerRecord,
             ServerId, //
         },
         rollout::{
@@ -39,7 +39,7 @@
     /// Some versions fail only under load. Spread over all of them, the share of
     /// a trial loads none, and such a version takes over with no evidence against
     /// it. Every entry leaves the same ones.
-    pub(super) fn keep_few(&self, fit: &mut Vec<&Known>, plan: &Plan, tried: &[ServerId]) {
+    pub(super) fn keep_few(&self, fit: &mut Vec<&ServerRecord>, plan: &Plan, tried: &[ServerId]) {
         let few = self.few_on_trial(self.count_before(&plan.service));
         fit.retain(|k| !tried.contains(&k.said.id));
         fit.sort_by_key(|k| {
--- a/sesamebeam_core/src/gateway/sessions.rs
+++ b/sesamebeam_core/src/gateway/sessions.rs
@@ -21,8 +21,8 @@
 use super::{
     config::ServiceId,
     feed::{
-        Age,
-        Kept, //
+        RolloutAge,
+        RetainedSessions, //
     },
 };
 use crate::{
@@ -114,7 +114,7 @@
 
     /// Takes sessions that other entries have reported; `all` if those that ran
     /// when the roll-out started have all been.
-    pub fn keep(&mut self, now: MonoTime, kept: &Kept, all: bool) {
+    pub fn keep(&mut self, now: MonoTime, kept: &RetainedSessions, all: bool) {
         self.start(now, &kept.service, &kept.target);
         if let Some(trial) = self.trials.get_mut(&kept.service)
             && trial.target == kept.target
@@ -127,8 +127,8 @@
     }
 
     /// Returns how long each roll-out has run.
-    pub fn ages(&self, now: MonoTime) -> Vec<Age> {
-        let age = |(service, trial): (&ServiceId, &Trial)| Age {
+    pub fn ages(&self, now: MonoTime) -> Vec<RolloutAge> {
+        let age = |(service, trial): (&ServiceId, &Trial)| RolloutAge {
             service: service.clone(),
             target: trial.target.clone(),
             age: now.saturating_sub(trial.since),
@@ -137,9 +137,9 @@
     }
 
     /// Takes what is to be reported.
-    pub fn take_fresh(&mut self) -> Vec<Kept> {
+    pub fn take_fresh(&mut self) -> Vec<RetainedSessions> {
         let with_fresh = self.trials.iter_mut().filter(|(_, t)| !t.fresh.is_empty());
-        let report = |(service, trial): (&ServiceId, &mut Trial)| Kept {
+        let report = |(service, trial): (&ServiceId, &mut Trial)| RetainedSessions {
             service: service.clone(),
             target: trial.target.clone(),
             sessions: std::mem::take(&mut trial.fresh),
--- a/sesamebeam_core/src/gateway/subscription.rs
+++ b/sesamebeam_core/src/gateway/subscription.rs
@@ -14,7 +14,7 @@
 
 use super::{
     config::ConfigVersion,
-    feed::Summary, //
+    feed::StateSummary, //
 };
 use crate::{
     ids::{
@@ -79,7 +79,7 @@
     since: MonoTime,
     /// Its failure domain, once it has said.
     domain: Option<DomainId>,
-    summary: Summary,
+    summary: StateSummary,
     /// Since when it has known no leader.
     unsettled_since: Option<MonoTime>,
     /// Since when it has held newer state.
@@ -123,7 +123,7 @@
         let link = Link {
             since: now,
             domain: None,
-            summary: Summary::default(),
+            summary: StateSummary::default(),
             unsettled_since: Some(now),
             ahead_since: None,
             ask_at: MonoTime::ZERO,
@@ -147,7 +147,7 @@
     }
 
     /// Takes what a replica says to hold, beside what this entry holds.
-    pub fn told(&mut self, now: MonoTime, addr: ProcessAddr, summary: Summary, own: &Holding) {
+    pub fn told(&mut self, now: MonoTime, addr: ProcessAddr, summary: StateSummary, own: &Holding) {
         let Some(link) = self.links.get_mut(&addr) else {
             return;
         };
--- a/sesamebeam_core/src/gateway/suspects.rs
+++ b/sesamebeam_core/src/gateway/suspects.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexSet;
 
 use super::{
-    directory::Life,
+    directory::ServerIncarnation,
     feed::Crash, //
 };
 use crate::ids::Digest;
@@ -48,7 +48,7 @@
     }
 
     /// Notes that a request was running when a backend server went down.
-    pub(super) fn crashed(&mut self, fingerprint: Digest, server: Life) {
+    pub(super) fn crashed(&mut self, fingerprint: Digest, server: ServerIncarnation) {
         if self.completed.contains(&fingerprint) {
             return;
         }
--- a/sesamebeam_core/tests/gateway/balance.rs
+++ b/sesamebeam_core/tests/gateway/balance.rs
@@ -14,7 +14,7 @@
     },
     directory::{
         Announcement,
-        Known, //
+        ServerRecord, //
     },
     loads::{
         self,
@@ -43,20 +43,20 @@
     Affinity { key, tokens: 5_000 }
 }
 
-fn known(said: Announcement) -> Known {
-    Known {
+fn known(said: Announcement) -> ServerRecord {
+    ServerRecord {
         said,
         heard_at: ms(0),
         cold_until: ms(0),
     }
 }
 
-fn servers(count: u8) -> Vec<Known> {
+fn servers(count: u8) -> Vec<ServerRecord> {
     (0..count).map(|n| known(announcement(n))).collect()
 }
 
-fn choose(balance: &mut Balance, now: u64, servers: &[Known], need: &Need<'_>) -> String {
-    let all: Vec<&Known> = servers.iter().collect();
+fn choose(balance: &mut Balance, now: u64, servers: &[ServerRecord], need: &Need<'_>) -> String {
+    let all: Vec<&ServerRecord> = servers.iter().collect();
     let chosen = balance.choose(ms(now), &all, need);
     chosen.expect("there is one").said.id.to_string()
 }
@@ -233,7 +233,7 @@
 }
 
 /// Returns where requests with different prompts go, one a time.
-fn domains(balance: &mut Balance, times: &[u64], servers: &[Known]) -> Vec<String> {
+fn domains(balance: &mut Balance, times: &[u64], servers: &[ServerRecord]) -> Vec<String> {
     let domain = |&now: &u64| {
         let need = Need {
             affinity: Some(sharing(now * 7919)),
@@ -307,7 +307,7 @@
         known.said.domain = "hall-2".into();
     }
     let mut balance = Balance::default();
-    let far: Vec<&Known> = servers[2..].iter().collect();
+    let far: Vec<&ServerRecord> = servers[2..].iter().collect();
     for _ in 0..2 {
         let chosen = balance.choose(ms(0), &far, &NEED).expect("there is one");
         balance.finished(ms(0), &chosen.said.id, Outcome::Unreachable);
@@ -321,7 +321,7 @@
     assert_eq!(tries, 1, "{later:?}");
     let tried = servers.iter().find(|k| k.said.domain == "hall-2");
     let tried = tried.expect("there is one").said.id.clone();
-    let only: Vec<&Known> = servers.iter().filter(|k| k.said.id == tried).collect();
+    let only: Vec<&ServerRecord> = servers.iter().filter(|k| k.said.id == tried).collect();
     balance.choose(ms(801), &only, &NEED).expect("there is one");
     balance.heard(ms(802), &tried, None);
     let healed: Vec<u64> = (803..900).collect();
@@ -338,7 +338,7 @@
         known.said.domain = "hall-2".into();
     }
     let mut balance = Balance::default();
-    let far: Vec<&Known> = servers[2..].iter().collect();
+    let far: Vec<&ServerRecord> = servers[2..].iter().collect();
     for _ in 0..4 {
         let chosen = balance.choose(ms(0), &far, &NEED).expect("there is one");
         let id = chosen.said.id.clone();
--- a/sesamebeam_core/tests/gateway/budget.rs
+++ b/sesamebeam_core/tests/gateway/budget.rs
@@ -5,7 +5,7 @@
         Budget,
         BudgetConfig, //
     },
-    entries::Counted,
+    entries::EntryCounter,
 };
 
 use crate::make::ms;
@@ -79,7 +79,7 @@
     // All processes were killed together and start again; a replica counts the entries as
     // they connect, within a second, and the service fails whatever is sent. Each entry
     // took itself for one of the few that had come before it: 26 repeats of 20 allowed.
-    let mut counted = Counted::default();
+    let mut counted = EntryCounter::default();
     let mut entries: Vec<Budget> = (0..15).map(|_| budget(0)).collect();
     let mut spent = 0;
     for now in (0..8000).step_by(50) {
@@ -98,7 +98,7 @@
 fn starts_alone() {
     // One entry is killed and starts again. The replica has counted all before, so that
     // the entry has its part of the slack with its first request.
-    let mut counted = Counted::default();
+    let mut counted = EntryCounter::default();
     counted.connected(ms(0), 10);
     let mut budget = budget(0);
     budget.set_entries(ms(20_000), counted.known(ms(20_000)));
--- a/sesamebeam_core/tests/gateway/crashes.rs
+++ b/sesamebeam_core/tests/gateway/crashes.rs
@@ -2,14 +2,14 @@
 
 use sesamebeam_core::gateway::{
     crashes::Crashes,
-    directory::Life,
+    directory::ServerIncarnation,
     feed::Crash, //
 };
 
 fn crash(fingerprint: u128, server: &str) -> Crash {
     Crash {
         fingerprint,
-        server: Life {
+        server: ServerIncarnation {
             id: server.into(),
             born: 1,
         },
--- a/sesamebeam_core/tests/gateway/evacuations.rs
+++ b/sesamebeam_core/tests/gateway/evacuations.rs
@@ -6,13 +6,13 @@
     gateway::{
         balance::Outcome,
         coordinator::{
-            Answer,
-            Call,
+            ApiResponse,
+            ApiRequest,
             Event, //
         },
         directory::ServerId,
         feed::{
-            Held,
+            SyncState,
             ToEntry, //
         },
         rollout::{
@@ -52,12 +52,12 @@
 /// later than a second is missed by the operator.
 const ACKNOWLEDGED_IN: u64 = 1000;
 
-fn evacuate(domain: &str) -> Call {
-    Call::Evacuate(domain.into())
+fn evacuate(domain: &str) -> ApiRequest {
+    ApiRequest::Evacuate(domain.into())
 }
 
-fn readmit(domain: &str) -> Call {
-    Call::Readmit(domain.into())
+fn readmit(domain: &str) -> ApiRequest {
+    ApiRequest::Readmit(domain.into())
 }
 
 /// Returns the failure domains that the state of a replica has evacuated.
@@ -68,7 +68,7 @@
 
 /// Gives an order to one replica after another, as an operator does, and returns how
 /// long it took until one acknowledged it.
-fn order(group: &mut Group, call: &Call) -> u64 {
+fn order(group: &mut Group, call: &ApiRequest) -> u64 {
     let since = group.now;
     while group.now < since + ms(30_000) {
         let nodes: Vec<NodeId> = group.processes.keys().copied().collect();
@@ -78,7 +78,7 @@
             while group.now < until && !group.answers.contains_key(&ticket) {
                 group.run(1);
             }
-            if group.answers.get(&ticket) == Some(&Answer::Done) {
+            if group.answers.get(&ticket) == Some(&ApiResponse::Done) {
                 return (group.now - since).as_millis() as u64;
             }
         }
@@ -104,16 +104,16 @@
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     let other = (1..=3).find(|&n| n != leader).expect("there are three");
-    let config = Call::Apply(Document {
+    let config = ApiRequest::Apply(Document {
         version: 5,
         bytes: "five".into(),
     });
-    assert_eq!(group.ask(leader, config), Answer::Done);
+    assert_eq!(group.ask(leader, config), ApiResponse::Done);
     group.event(other, Event::EntryConnected(9));
-    group.event(other, Event::EntryFollows(9, Held::default()));
+    group.event(other, Event::EntryFollows(9, SyncState::default()));
     group.run(100);
     group.pushed.clear();
-    assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
+    assert_eq!(group.ask(leader, evacuate("hall-1")), ApiResponse::Done);
     group.run(200);
     let hears = |group: &Group, node: NodeId, with_config: bool| {
         group.pushed.iter().any(|(from, push)| match push {
@@ -126,7 +126,7 @@
     assert!(hears(&group, other, false), "{:?}", group.pushed);
     group.pushed.clear();
     group.event(leader, Event::EntryConnected(10));
-    group.event(leader, Event::EntryFollows(10, Held::default()));
+    group.event(leader, Event::EntryFollows(10, SyncState::default()));
     group.run(100);
     assert!(hears(&group, leader, true), "{:?}", group.pushed);
 }
@@ -137,11 +137,11 @@
     // enough is ordered that the state comes from a snapshot, and power is lost again.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
-    assert_eq!(group.ask(leader, evacuate("hall-2")), Answer::Done);
+    assert_eq!(group.ask(leader, evacuate("hall-1")), ApiResponse::Done);
+    assert_eq!(group.ask(leader, evacuate("hall-2")), ApiResponse::Done);
     lose_power(&mut group);
     for version in 1..=50 {
-        let config = Call::Apply(Document {
+        let config = ApiRequest::Apply(Document {
             version,
             bytes: "text".into(),
         });
@@ -162,14 +162,14 @@
     // elsewhere, twice, and is told the same. Nothing else comes of it.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
+    assert_eq!(group.ask(leader, evacuate("hall-1")), ApiResponse::Done);
     group.kill(leader);
     let next = group.new_leader(None);
-    assert_eq!(group.ask(next, evacuate("hall-1")), Answer::Done);
-    assert_eq!(group.ask(next, evacuate("hall-1")), Answer::Done);
+    assert_eq!(group.ask(next, evacuate("hall-1")), ApiResponse::Done);
+    assert_eq!(group.ask(next, evacuate("hall-1")), ApiResponse::Done);
     assert_eq!(evacuated(&group, next), ["hall-1"]);
-    assert_eq!(group.ask(next, readmit("hall-1")), Answer::Done);
-    assert_eq!(group.ask(next, readmit("hall-1")), Answer::Done);
+    assert_eq!(group.ask(next, readmit("hall-1")), ApiResponse::Done);
+    assert_eq!(group.ask(next, readmit("hall-1")), ApiResponse::Done);
     assert!(evacuated(&group, next).is_empty());
 }
 
@@ -179,8 +179,8 @@
     // backend server was heard of is evacuated like any: some may come there.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, readmit("hall-1")), Answer::Done);
-    assert_eq!(group.ask(leader, evacuate("nowhere")), Answer::Done);
+    assert_eq!(group.ask(leader, readmit("hall-1")), ApiResponse::Done);
+    assert_eq!(group.ask(leader, evacuate("nowhere")), ApiResponse::Done);
     assert_eq!(evacuated(&group, leader), ["nowhere"]);
 }
 
@@ -191,13 +191,13 @@
     // taken back.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
+    assert_eq!(group.ask(leader, evacuate("hall-1")), ApiResponse::Done);
     group.run(300);
     let away = (1..=3).find(|&n| n != leader).expect("there are three");
     group.isolate(away);
-    assert_eq!(group.ask(leader, readmit("hall-1")), Answer::Done);
+    assert_eq!(group.ask(leader, readmit("hall-1")), ApiResponse::Done);
     assert_eq!(evacuated(&group, away), ["hall-1"]);
-    assert_ne!(group.ask(away, evacuate("hall-1")), Answer::Done);
+    assert_ne!(group.ask(away, evacuate("hall-1")), ApiResponse::Done);
 }
 
 /// What happens to the replica that leads while an order is given.
@@ -238,7 +238,7 @@
         Trouble::Storm => {
             for version in 1..=60 {
                 let bytes = vec![7; 20_000].into();
-                group.call(leader, Call::Apply(Document { version, bytes }));
+                group.call(leader, ApiRequest::Apply(Document { version, bytes }));
             }
         }
     }
--- a/sesamebeam_core/tests/gateway/group.rs
+++ b/sesamebeam_core/tests/gateway/group.rs
@@ -14,16 +14,16 @@
     gateway::{
         coordinator::{
             Action,
-            Answer,
-            Call,
+            ApiResponse,
+            ApiRequest,
             Coordinator,
             CoordinatorConfig,
             Event, //
         },
         feed::{
-            Between,
-            Question,
-            Reply,
+            CoordinatorMessage,
+            MembershipRequest,
+            MembershipReply,
             ToEntry, //
         },
     },
@@ -68,13 +68,13 @@
 pub(crate) struct Group {
     pub(crate) now: MonoTime,
     pub(crate) processes: BTreeMap<NodeId, Process>,
-    mail: VecDeque<(MonoTime, NodeId, NodeId, Between)>,
+    mail: VecDeque<(MonoTime, NodeId, NodeId, CoordinatorMessage)>,
     cut: BTreeSet<(NodeId, NodeId)>,
-    pub(crate) answers: BTreeMap<u64, Answer>,
-    pub(crate) replies: BTreeMap<u64, Reply>,
+    pub(crate) answers: BTreeMap<u64, ApiResponse>,
+    pub(crate) replies: BTreeMap<u64, MembershipReply>,
     pub(crate) pushed: Vec<(NodeId, ToEntry)>,
     /// Requests sent to processes outside the group, with the recipient's address.
-    pub(crate) told: VecDeque<(SocketAddr, Question)>,
+    pub(crate) told: VecDeque<(SocketAddr, MembershipRequest)>,
     /// Number of announcements that each replica has received from others, including
     /// repeated ones.
     pub(crate) servers_told: BTreeMap<NodeId, usize>,
@@ -217,21 +217,21 @@
     }
 
     /// Sends a request to a replica and returns its ticket.
-    pub(crate) fn call(&mut self, node: NodeId, call: Call) -> u64 {
+    pub(crate) fn call(&mut self, node: NodeId, call: ApiRequest) -> u64 {
         let ticket = self.ticket();
         self.event(node, Event::RequestReceived(ticket, call));
         ticket
     }
 
     /// Sends a request to a replica and waits for the response.
-    pub(crate) fn ask(&mut self, node: NodeId, call: Call) -> Answer {
+    pub(crate) fn ask(&mut self, node: NodeId, call: ApiRequest) -> ApiResponse {
         let ticket = self.call(node, call);
         self.run_until(|g| g.answers.contains_key(&ticket));
         self.answers[&ticket].clone()
     }
 
     /// Sends a membership request to a replica and returns the reply.
-    pub(crate) fn question(&mut self, node: NodeId, question: Question) -> Reply {
+    pub(crate) fn question(&mut self, node: NodeId, question: MembershipRequest) -> MembershipReply {
         let ticket = self.ticket();
         self.event(node, Event::MembershipRequested(ticket, question));
         self.replies[&ticket].clone()
@@ -276,7 +276,7 @@
             if at > now || asleep {
                 self.mail.push_back((at, from, to, message));
             } else if !self.cut.contains(&(from, to)) {
-                if let Between::Servers(servers) = &message {
+                if let CoordinatorMessage::Servers(servers) = &message {
                     *self.servers_told.entry(to).or_default() += servers.len();
                 }
                 self.event(to, Event::Peer { from, message });
--- a/sesamebeam_core/tests/gateway/joining.rs
+++ b/sesamebeam_core/tests/gateway/joining.rs
@@ -5,18 +5,18 @@
 use sesamebeam_core::{
     gateway::{
         coordinator::{
-            Answer,
-            Call,
+            ApiResponse,
+            ApiRequest,
             Event, //
         },
         directory::{
             Announcement,
             ServerState, //
         },
-        enquiry::Enquiry,
+        enquiry::LeaderDiscovery,
         feed::{
-            Question,
-            Reply, //
+            MembershipRequest,
+            MembershipReply, //
         },
         store::Document,
     },
@@ -48,8 +48,8 @@
     }
 }
 
-fn apply(version: u64) -> Call {
-    Call::Apply(Document {
+fn apply(version: u64) -> ApiRequest {
+    ApiRequest::Apply(Document {
         version,
         bytes: format!("text {version}").into(),
     })
@@ -62,7 +62,7 @@
         let leader = group.new_leader(None);
         group.question(
             leader,
-            Question::Join {
+            MembershipRequest::Join {
                 node,
                 incarnation: u128::from(node),
                 addr: listens(at),
@@ -84,7 +84,7 @@
     // replaces the silent replica, and the group survives one more failure.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(1)), Answer::Done);
+    assert_eq!(group.ask(leader, apply(1)), ApiResponse::Done);
     let gone = (1..=3).find(|&n| n != leader).expect("there are three");
     group.kill(gone);
     join(&mut group, 8, 8);
@@ -93,7 +93,7 @@
         .expect("one more");
     group.kill(other);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(2)), Answer::Done);
+    assert_eq!(group.ask(leader, apply(2)), ApiResponse::Done);
 }
 
 #[test]
@@ -103,14 +103,14 @@
     // nothing acknowledged is lost.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(1)), Answer::Done);
+    assert_eq!(group.ask(leader, apply(1)), ApiResponse::Done);
     group.kill(leader);
     join(&mut group, 7, leader);
     let other = (1..=3).find(|&n| n != leader && group.leader() != Some(n));
     group.kill(other.expect("one more"));
     let leader = group.new_leader(None);
-    let answer = group.ask(leader, Call::ReadConfig);
-    assert_eq!(answer, Answer::Config("text 1".into()));
+    let answer = group.ask(leader, ApiRequest::ReadConfig);
+    assert_eq!(answer, ApiResponse::Config("text 1".into()));
 }
 
 #[test]
@@ -120,7 +120,7 @@
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     group.run(500);
-    let question = Question::Join {
+    let question = MembershipRequest::Join {
         node: 8,
         incarnation: 8,
         addr: listens(8),
@@ -129,14 +129,14 @@
     group.boot(8, Members::default(), Saved::default());
     let reply = group.question(leader, question.clone());
     assert!(
-        matches!(reply, Reply::Group { leads: true, .. }),
+        matches!(reply, MembershipReply::Group { leads: true, .. }),
         "{reply:?}"
     );
     let gone = (1..=3).find(|&n| n != leader).expect("there are three");
     group.kill(gone);
     group.run(2500);
     let leader = group.new_leader(None);
-    assert_eq!(group.question(leader, question), Reply::Joining);
+    assert_eq!(group.question(leader, question), MembershipReply::Joining);
 }
 
 #[test]
@@ -151,7 +151,7 @@
     group.kill(1);
     group.kill(2);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(1)), Answer::Done);
+    assert_eq!(group.ask(leader, apply(1)), ApiResponse::Done);
     assert!(group.now > ms(0));
 }
 
@@ -166,7 +166,7 @@
     for round in 0..20 {
         for &(node, domain) in asking {
             let leader = group.new_leader(None);
-            let question = Question::Join {
+            let question = MembershipRequest::Join {
                 node,
                 incarnation: u128::from(node),
                 addr: listens(node),
@@ -221,31 +221,31 @@
 
 #[parameterized(
     new_config = { apply(3) },
-    config_read = { Call::ReadConfig },
+    config_read = { ApiRequest::ReadConfig },
     leaves = { leave("server-7") },
-    drains = { Call::Announce(draining()) },
+    drains = { ApiRequest::Announce(draining()) },
 )]
-fn reserve_names_the_leader(call: Call) {
+fn reserve_names_the_leader(call: ApiRequest) {
     // Callers of a standby process must be redirected to the leader, not rejected without a
     // hint.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     group.boot(8, Members::default(), Saved::default());
-    assert_eq!(group.ask(8, call.clone()), Answer::Unavailable);
+    assert_eq!(group.ask(8, call.clone()), ApiResponse::Unavailable);
     let now = group.now;
     let reserve = group.processes.get_mut(&8).expect("it runs");
     reserve.core.learn_leader(now, listens(leader));
-    assert_eq!(group.ask(8, call.clone()), Answer::Leader(listens(leader)));
+    assert_eq!(group.ask(8, call.clone()), ApiResponse::Leader(listens(leader)));
     // The leader may have changed by now.
     group.run(1_500);
-    assert_eq!(group.ask(8, call), Answer::Unavailable);
+    assert_eq!(group.ask(8, call), ApiResponse::Unavailable);
 }
 
 #[parameterized(two = { 2 }, fleet = { 20 }, two_fleets = { 45 })]
 fn reserves_ask_the_leader(reserves: usize) {
     // A standby process must not ask every replica and seed in every round.
     let replicas: BTreeSet<_> = (1..=8).map(listens).collect();
-    let mut enquiries = vec![Enquiry::default(); reserves];
+    let mut enquiries = vec![LeaderDiscovery::default(); reserves];
     let mut round = |leader: Option<NodeId>| {
         let mut asked = 0;
         for enquiry in &mut enquiries {
@@ -276,7 +276,7 @@
     let asking = [(20, "hall-4"), (21, "hall-4"), (30, "hall-5")];
     group.boot(20, Members::default(), Saved::default());
     group.isolate(20);
-    let question = Question::Join {
+    let question = MembershipRequest::Join {
         node: 20,
         incarnation: 20,
         addr: listens(20),
@@ -307,16 +307,16 @@
     // is told so, leaves the group, and becomes a standby itself under another id.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(1)), Answer::Done);
+    assert_eq!(group.ask(leader, apply(1)), ApiResponse::Done);
     let away = (1..=3).find(|&n| n != leader).expect("there are three");
     let disk = group.kill(away);
     join(&mut group, 8, 8);
     group.restart(away, disk);
     group.run(1000);
     let leader = group.new_leader(None);
-    let Reply::Group {
+    let MembershipReply::Group {
         replicas, leads, ..
-    } = group.question(leader, Question::Group)
+    } = group.question(leader, MembershipRequest::Group)
     else {
         panic!("there is a group");
     };
@@ -330,6 +330,6 @@
     group.kill(other.expect("one more"));
     join(&mut group, 9, away);
     let leader = group.new_leader(None);
-    let answer = group.ask(leader, Call::ReadConfig);
-    assert_eq!(answer, Answer::Config("text 1".into()));
+    let answer = group.ask(leader, ApiRequest::ReadConfig);
+    assert_eq!(answer, ApiResponse::Config("text 1".into()));
 }
--- a/sesamebeam_core/tests/gateway/make.rs
+++ b/sesamebeam_core/tests/gateway/make.rs
@@ -18,7 +18,7 @@
             ServiceConfig, //
         },
         coordinator::{
-            Call,
+            ApiRequest,
             Coordinator,
             CoordinatorConfig, //
         },
@@ -54,8 +54,8 @@
 }
 
 /// Creates the request by which a backend server leaves.
-pub(crate) fn leave(id: &str) -> Call {
-    Call::Leave {
+pub(crate) fn leave(id: &str) -> ApiRequest {
+    ApiRequest::Leave {
         id: id.into(),
         born: None,
     }
--- a/sesamebeam_core/tests/gateway/orders.rs
+++ b/sesamebeam_core/tests/gateway/orders.rs
@@ -2,8 +2,8 @@
 
 use sesamebeam_core::gateway::{
     coordinator::{
-        Answer,
-        Call,
+        ApiResponse,
+        ApiRequest,
         Event, //
     },
     directory::{
@@ -11,9 +11,9 @@
         ServerState, //
     },
     feed::{
-        Age,
+        RolloutAge,
         Evidence,
-        Held,
+        SyncState,
         Report,
         ToEntry, //
     },
@@ -45,8 +45,8 @@
     },
 };
 
-fn apply(version: u64, text: &str) -> Call {
-    Call::Apply(Document {
+fn apply(version: u64, text: &str) -> ApiRequest {
+    ApiRequest::Apply(Document {
         version,
         bytes: text.to_owned().into(),
     })
@@ -55,23 +55,23 @@
 /// Makes an entry without any state follow a replica.
 fn follow(group: &mut Group, node: NodeId) {
     group.event(node, Event::EntryConnected(9));
-    group.event(node, Event::EntryFollows(9, Held::default()));
+    group.event(node, Event::EntryFollows(9, SyncState::default()));
     group.run(100);
 }
 
-fn read(group: &mut Group) -> Answer {
+fn read(group: &mut Group) -> ApiResponse {
     let leader = group.new_leader(None);
-    group.ask(leader, Call::ReadConfig)
+    group.ask(leader, ApiRequest::ReadConfig)
 }
 
 #[test]
 fn highest_wins() {
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(5, "five")), Answer::Done);
-    assert_eq!(group.ask(leader, apply(4, "four")), Answer::Done);
-    assert_eq!(group.ask(leader, apply(5, "other")), Answer::Done);
-    assert_eq!(read(&mut group), Answer::Config("five".into()));
+    assert_eq!(group.ask(leader, apply(5, "five")), ApiResponse::Done);
+    assert_eq!(group.ask(leader, apply(4, "four")), ApiResponse::Done);
+    assert_eq!(group.ask(leader, apply(5, "other")), ApiResponse::Done);
+    assert_eq!(read(&mut group), ApiResponse::Config("five".into()));
 }
 
 #[test]
@@ -80,11 +80,11 @@
     // is sent again to another replica, which must accept it.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(5, "five")), Answer::Done);
+    assert_eq!(group.ask(leader, apply(5, "five")), ApiResponse::Done);
     group.kill(leader);
     let next = group.new_leader(None);
-    assert_eq!(group.ask(next, apply(5, "five")), Answer::Done);
-    assert_eq!(read(&mut group), Answer::Config("five".into()));
+    assert_eq!(group.ask(next, apply(5, "five")), ApiResponse::Done);
+    assert_eq!(read(&mut group), ApiResponse::Config("five".into()));
 }
 
 #[test]
@@ -94,7 +94,7 @@
     group.run(200);
     let follower = (1..=3).find(|&n| n != leader).expect("there are three");
     let answer = group.ask(follower, apply(5, "five"));
-    assert_eq!(answer, Answer::Leader(listens(leader)));
+    assert_eq!(answer, ApiResponse::Leader(listens(leader)));
 }
 
 #[test]
@@ -104,12 +104,12 @@
     // old configuration as the newest one.
     let mut group = Group::start(3, 1);
     let old = group.new_leader(None);
-    assert_eq!(group.ask(old, apply(5, "five")), Answer::Done);
+    assert_eq!(group.ask(old, apply(5, "five")), ApiResponse::Done);
     group.isolate(old);
     let new = group.new_leader(Some(old));
-    assert_eq!(group.ask(new, apply(6, "six")), Answer::Done);
-    let answer = group.ask(old, Call::ReadConfig);
-    assert_eq!(answer, Answer::Unavailable);
+    assert_eq!(group.ask(new, apply(6, "six")), ApiResponse::Done);
+    let answer = group.ask(old, ApiRequest::ReadConfig);
+    assert_eq!(answer, ApiResponse::Unavailable);
 }
 
 #[test]
@@ -119,13 +119,13 @@
     // elapsed time, and it must not return the old configuration.
     let mut group = Group::start(3, 1);
     let old = group.new_leader(None);
-    assert_eq!(group.ask(old, apply(5, "five")), Answer::Done);
+    assert_eq!(group.ask(old, apply(5, "five")), ApiResponse::Done);
     group.processes.get_mut(&old).expect("it runs").suspended = true;
     let new = group.new_leader(Some(old));
-    assert_eq!(group.ask(new, apply(6, "six")), Answer::Done);
+    assert_eq!(group.ask(new, apply(6, "six")), ApiResponse::Done);
     group.processes.get_mut(&old).expect("it runs").suspended = false;
-    let answer = group.ask(old, Call::ReadConfig);
-    assert_ne!(answer, Answer::Config("five".into()));
+    let answer = group.ask(old, ApiRequest::ReadConfig);
+    assert_ne!(answer, ApiResponse::Config("five".into()));
 }
 
 #[test]
@@ -135,14 +135,14 @@
     let leader = group.new_leader(None);
     for version in 1..=50 {
         let order = apply(version, &format!("text {version}"));
-        assert_eq!(group.ask(leader, order), Answer::Done);
+        assert_eq!(group.ask(leader, order), ApiResponse::Done);
     }
     let disks: Vec<_> = (1..=3).map(|node| (node, group.kill(node))).collect();
     group.run(500);
     for (node, disk) in disks {
         group.restart(node, disk);
     }
-    assert_eq!(read(&mut group), Answer::Config("text 50".into()));
+    assert_eq!(read(&mut group), ApiResponse::Config("text 50".into()));
 }
 
 #[test]
@@ -154,10 +154,10 @@
     group.processes.get_mut(&old).expect("it runs").stalled = true;
     group.call(old, apply(5, "five"));
     let new = group.new_leader(Some(old));
-    assert_eq!(group.ask(new, apply(6, "six")), Answer::Done);
+    assert_eq!(group.ask(new, apply(6, "six")), ApiResponse::Done);
     group.processes.get_mut(&old).expect("it runs").stalled = false;
     group.run(2000);
-    assert_eq!(read(&mut group), Answer::Config("six".into()));
+    assert_eq!(read(&mut group), ApiResponse::Config("six".into()));
 }
 
 #[test]
@@ -166,7 +166,7 @@
     let leader = group.new_leader(None);
     follow(&mut group, 2);
     group.pushed.clear();
-    assert_eq!(group.ask(leader, apply(5, "five")), Answer::Done);
+    assert_eq!(group.ask(leader, apply(5, "five")), ApiResponse::Done);
     group.run(200);
     let told = group.pushed.iter().any(|(node, push)| {
         *node == 2 && matches!(push, ToEntry::State { config: Some(c), .. } if c.version == 5)
@@ -180,12 +180,12 @@
     // another replica has forwarded the announcement to its entries as well.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
-    assert_eq!(group.ask(1, Call::Announce(announcement(1))), Answer::Done);
+    assert_eq!(group.ask(1, ApiRequest::Announce(announcement(1))), ApiResponse::Done);
     group.run(50);
     let mut leaving = announcement(1);
     leaving.state = ServerState::Draining;
     leaving.sequence = 2;
-    assert_eq!(group.ask(1, Call::Announce(leaving)), Answer::Done);
+    assert_eq!(group.ask(1, ApiRequest::Announce(leaving)), ApiResponse::Done);
     let knows = |node| {
         let known = group.processes[&node].core.directory().get("server-1");
         known.map(|k| k.said.state)
@@ -204,27 +204,27 @@
     // keep sending requests, so it must not acknowledge.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
-    assert_eq!(group.ask(1, Call::Announce(announcement(1))), Answer::Done);
+    assert_eq!(group.ask(1, ApiRequest::Announce(announcement(1))), ApiResponse::Done);
     group.run(50);
     group.isolate(1);
     let answer = group.ask(1, leave("server-1"));
-    assert_eq!(answer, Answer::Unavailable);
+    assert_eq!(answer, ApiResponse::Unavailable);
 }
 
 #[test]
 fn roll_out_again() {
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    let order = Call::StartRollout {
+    let order = ApiRequest::StartRollout {
         service: "pool".into(),
         target: "v2".into(),
         duration: ms(10_000),
     };
-    assert_eq!(group.ask(leader, order.clone()), Answer::Done);
+    assert_eq!(group.ask(leader, order.clone()), ApiResponse::Done);
     group.kill(leader);
     let next = group.new_leader(None);
-    assert_eq!(group.ask(next, order), Answer::Done);
-    let Answer::Rollout(rollout) = group.ask(next, Call::ReadRollout("pool".into())) else {
+    assert_eq!(group.ask(next, order), ApiResponse::Done);
+    let ApiResponse::Rollout(rollout) = group.ask(next, ApiRequest::ReadRollout("pool".into())) else {
         panic!("there is a roll-out");
     };
     assert_eq!(rollout.target, "v2");
@@ -240,7 +240,7 @@
     group.isolate(away);
     for version in 1..=60 {
         let order = apply(version, &format!("text {version}"));
-        assert_eq!(group.ask(leader, order), Answer::Done);
+        assert_eq!(group.ask(leader, order), ApiResponse::Done);
     }
     group.heal();
     group.run(3000);
@@ -254,19 +254,19 @@
     // not since when; entries report its age, and it ends on time.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    let order = Call::StartRollout {
+    let order = ApiRequest::StartRollout {
         service: "pool".into(),
         target: "v2".into(),
         duration: ms(20_000),
     };
-    assert_eq!(group.ask(leader, order), Answer::Done);
+    assert_eq!(group.ask(leader, order), ApiResponse::Done);
     group.run(12_000);
     let disks: Vec<_> = (1..=3).map(|node| (node, group.kill(node))).collect();
     for (node, disk) in disks {
         group.restart(node, disk);
     }
     for node in 1..=3 {
-        let age = Age {
+        let age = RolloutAge {
             service: "pool".into(),
             target: "v2".into(),
             age: ms(12_000),
@@ -291,7 +291,7 @@
     }
     group.run(7000);
     let leader = group.new_leader(None);
-    let Answer::Rollout(rollout) = group.ask(leader, Call::ReadRollout("pool".into())) else {
+    let ApiResponse::Rollout(rollout) = group.ask(leader, ApiRequest::ReadRollout("pool".into())) else {
         panic!("there is a roll-out");
     };
     assert_eq!(rollout.phase, Phase::Completed);
@@ -344,7 +344,7 @@
     group.new_leader(None);
     group.isolate(2);
     let said = announcement(5);
-    assert_eq!(group.ask(2, Call::Announce(said)), Answer::Done);
+    assert_eq!(group.ask(2, ApiRequest::Announce(said)), ApiResponse::Done);
     group.run(100);
     group.heal();
     group.event(2, Event::PeerConnected(1));
@@ -388,7 +388,7 @@
     group.new_leader(None);
     group.boot(8, Members::default(), Saved::default());
     group.isolate(8);
-    assert_eq!(group.ask(8, Call::Announce(announcement(5))), Answer::Done);
+    assert_eq!(group.ask(8, ApiRequest::Announce(announcement(5))), ApiResponse::Done);
     group.run(100);
     group.heal();
     group.event(8, Event::PeerConnected(2));
@@ -426,7 +426,7 @@
     group.event(2, Event::Servers(vec![announcement(1)]));
     group.run(50);
     group.pushed.clear();
-    assert_eq!(group.ask(1, leave("server-1")), Answer::Done);
+    assert_eq!(group.ask(1, leave("server-1")), ApiResponse::Done);
     group.run(50);
     let told = group.pushed.iter().any(|(node, push)| {
         let ToEntry::Servers(servers) = push else {
@@ -445,7 +445,7 @@
     group.new_leader(None);
     group.boot(8, Members::default(), Saved::default());
     let answer = group.ask(8, leave("server-1"));
-    assert_eq!(answer, Answer::Unavailable);
+    assert_eq!(answer, ApiResponse::Unavailable);
 }
 
 #[test]
@@ -456,7 +456,7 @@
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     for version in 1..=6 {
-        assert_eq!(group.ask(leader, apply(version, "text")), Answer::Done);
+        assert_eq!(group.ask(leader, apply(version, "text")), ApiResponse::Done);
     }
     let disks: Vec<_> = (1..=3).map(|n| (n, group.kill(n))).collect();
     group.pushed.clear();
--- a/sesamebeam_core/tests/gateway/plays.rs
+++ b/sesamebeam_core/tests/gateway/plays.rs
@@ -15,13 +15,13 @@
         coordinator::{
             Action,
             Coordinator,
-            EntryLife,
+            EntryId,
             Event,
-            Receivers, //
+            Recipients, //
         },
         directory::ServerId,
         feed::{
-            Held,
+            SyncState,
             ToEntry, //
         },
         router::Router, //
@@ -45,7 +45,7 @@
 
 /// Entries before one service, and the replica that they follow.
 struct Fleet {
-    entries: BTreeMap<EntryLife, Router>,
+    entries: BTreeMap<EntryId, Router>,
     core: Coordinator,
     now: u64,
     rng: StdRng,
@@ -71,7 +71,7 @@
             }
             fleet.entries.insert(life, router);
             fleet.event(Event::EntryConnected(life));
-            fleet.event(Event::EntryFollows(life, Held::default()));
+            fleet.event(Event::EntryFollows(life, SyncState::default()));
         }
         fleet
     }
@@ -88,8 +88,8 @@
             };
             for (life, router) in &mut self.entries {
                 let is_told = match &to {
-                    Receivers::All => true,
-                    Receivers::Only(lives) => lives.contains(life),
+                    Recipients::All => true,
+                    Recipients::Only(lives) => lives.contains(life),
                 };
                 if is_told && let ToEntry::Doubts(doubts) = &message {
                     router.set_doubts(doubts.clone());
--- a/sesamebeam_core/tests/gateway/shortage.rs
+++ b/sesamebeam_core/tests/gateway/shortage.rs
@@ -25,7 +25,7 @@
         ServerId, //
     },
     feed::{
-        Held,
+        SyncState,
         ToEntry, //
     },
     request::Load,
@@ -119,7 +119,7 @@
         let all: Vec<Announcement> = (0..servers).map(serving).collect();
         core.handle(ms(0), Event::Servers(all.clone()));
         core.handle(ms(0), Event::EntryConnected(1));
-        core.handle(ms(0), Event::EntryFollows(1, Held::default()));
+        core.handle(ms(0), Event::EntryFollows(1, SyncState::default()));
         let entry = || {
             let mut router = Router::new(router_config());
             router.set_config(ms(0), plain());
--- a/sesamebeam_core/tests/gateway/subscription.rs
+++ b/sesamebeam_core/tests/gateway/subscription.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use sesamebeam_core::gateway::{
-    feed::Summary,
+    feed::StateSummary,
     subscription::{
         Holding,
         Order,
@@ -17,7 +17,7 @@
     make::ms, //
 };
 
-const SETTLED: Summary = Summary {
+const SETTLED: StateSummary = StateSummary {
     config: Some(5),
     index: 9,
     servers: 77,
@@ -52,7 +52,7 @@
     }
 
     /// Lets time pass, in which replicas say what they hold twice a second.
-    fn run(&mut self, millis: u64, replicas: &[(u64, Summary)], own: &Holding) -> Vec<Order> {
+    fn run(&mut self, millis: u64, replicas: &[(u64, StateSummary)], own: &Holding) -> Vec<Order> {
         let until = self.now + millis;
         let mut orders = Vec::new();
         while self.now < until {
@@ -132,11 +132,11 @@
     // them within half a second, and another tells it from then on.
     let mut entry = Entry::new();
     entry.settle();
-    let lost = Summary {
+    let lost = StateSummary {
         settled: false,
         ..SETTLED
     };
-    let newer = Summary {
+    let newer = StateSummary {
         config: Some(6),
         ..SETTLED
     };
@@ -149,12 +149,12 @@
 }
 
 #[parameterized(
-    newer_config = { Summary { config: Some(6), ..SETTLED }, true },
-    newer_rollout = { Summary { index: 10, ..SETTLED }, true },
-    other_servers = { Summary { servers: 3, ..SETTLED }, true },
-    older = { Summary { config: Some(4), index: 8, ..SETTLED }, false },
+    newer_config = { StateSummary { config: Some(6), ..SETTLED }, true },
+    newer_rollout = { StateSummary { index: 10, ..SETTLED }, true },
+    other_servers = { StateSummary { servers: 3, ..SETTLED }, true },
+    older = { StateSummary { config: Some(4), index: 8, ..SETTLED }, false },
 )]
-fn asks(summary: Summary, expected: bool) {
+fn asks(summary: StateSummary, expected: bool) {
     let mut entry = Entry::new();
     entry.settle();
     let told = [(1, SETTLED), (2, SETTLED), (3, summary)];
@@ -171,7 +171,7 @@
     // Asking brings nothing, and is done ever more rarely.
     let mut entry = Entry::new();
     entry.settle();
-    let other = Summary {
+    let other = StateSummary {
         servers: 3,
         ..SETTLED
     };
--- a/sesamebeam_core/tests/gateway/telling.rs
+++ b/sesamebeam_core/tests/gateway/telling.rs
@@ -3,18 +3,18 @@
 use sesamebeam_core::gateway::{
     coordinator::{
         Action,
-        Call,
+        ApiRequest,
         Coordinator,
         Event,
         MAX_ANNOUNCEMENTS_PER_MESSAGE,
-        Receivers, //
+        Recipients, //
     },
     directory::{
         Announcement,
         Directory, //
     },
     feed::{
-        Held,
+        SyncState,
         Report,
         ToEntry, //
     },
@@ -45,8 +45,8 @@
 /// Returns the messages to entries, each with its number of recipients.
 fn pushes(actions: &[Action]) -> Vec<(usize, &ToEntry)> {
     let pushed = actions.iter().filter_map(|action| match action {
-        Action::Push(Receivers::Only(lives), message) => Some((lives.len(), message)),
-        Action::Push(Receivers::All, message) => Some((ENTRIES as usize, message)),
+        Action::Push(Recipients::Only(lives), message) => Some((lives.len(), message)),
+        Action::Push(Recipients::All, message) => Some((ENTRIES as usize, message)),
         _ => None,
     });
     pushed.collect()
@@ -58,7 +58,7 @@
         let now = ms(life);
         actions.extend(core.handle(now, Event::EntryConnected(life)));
         if life % 5 == 0 {
-            let held = Held::default();
+            let held = SyncState::default();
             actions.extend(core.handle(now, Event::EntryFollows(life, held)));
         }
     }
@@ -95,7 +95,7 @@
     let mut told = 0;
     for number in 0..ENGINES {
         let now = ms(2000 + u64::from(number) * 7);
-        let call = Call::Announce(engine(number));
+        let call = ApiRequest::Announce(engine(number));
         let actions = core.handle(now, Event::RequestReceived(u64::from(number), call));
         told += pushes(&actions).iter().map(|(n, _)| n).sum::<usize>();
     }
@@ -112,7 +112,7 @@
     let mut core = coordinator();
     core.handle(ms(0), Event::Servers((0..servers).map(engine).collect()));
     core.handle(ms(100), Event::EntryConnected(1));
-    let actions = core.handle(ms(200), Event::EntryFollows(1, Held::default()));
+    let actions = core.handle(ms(200), Event::EntryFollows(1, SyncState::default()));
     let told = pushes(&actions).into_iter().filter_map(|(_, m)| match m {
         ToEntry::Servers(servers) => Some(servers.len()),
         _ => None,
@@ -132,9 +132,9 @@
     for said in &all[1..] {
         known.take(ms(0), said.clone(), true);
     }
-    let held = Held {
+    let held = SyncState {
         servers: known.digests().clone(),
-        ..Held::default()
+        ..SyncState::default()
     };
     core.handle(ms(100), Event::EntryConnected(1));
     let mut actions = core.handle(ms(200), Event::EntryFollows(1, held));
@@ -144,7 +144,7 @@
     });
     if let Some(details) = details {
         let sections = known.differing_sections(&details);
-        actions.extend(core.handle(ms(210), Event::LacksSections(1, sections)));
+        actions.extend(core.handle(ms(210), Event::SectionsRequested(1, sections)));
     }
     let told = pushes(&actions).into_iter().filter_map(|(_, m)| match m {
         ToEntry::Servers(servers) => Some(servers),
@@ -168,7 +168,7 @@
     let mut core = coordinator();
     core.handle(ms(0), Event::Servers((0..servers).map(engine).collect()));
     core.handle(ms(100), Event::EntryConnected(1));
-    core.handle(ms(200), Event::EntryFollows(1, Held::default()));
+    core.handle(ms(200), Event::EntryFollows(1, SyncState::default()));
     let load = |number| {
         let load = Load {
             running,
@@ -201,7 +201,7 @@
     for said in &servers[1..] {
         known.take(ms(0), said.clone(), true);
     }
-    let held = Held {
+    let held = SyncState {
         config: None,
         servers: known.digests().clone(),
         entries: 0,
@@ -228,7 +228,7 @@
     let mut core = coordinator();
     let mut known = Directory::default();
     known.take(ms(0), announcement(1), true);
-    let held = Held {
+    let held = SyncState {
         config: None,
         servers: known.digests().clone(),
         entries: 0,
@@ -256,9 +256,9 @@
     let mut core = coordinator();
     core.handle(ms(0), Event::Servers(vec![announcement(1)]));
     core.handle(ms(0), Event::EntryConnected(1));
-    core.handle(ms(100), Event::EntryFollows(1, Held::default()));
+    core.handle(ms(100), Event::EntryFollows(1, SyncState::default()));
     core.handle(ms(1000), Event::Tick);
-    let call = Call::Leave {
+    let call = ApiRequest::Leave {
         id: "server-1".into(),
         born: None,
     };
@@ -314,9 +314,9 @@
     assert_eq!(kept(&actions).map(<[_]>::len), Some(usize::from(ENGINES)));
     let mut again = engine(3);
     again.sequence = 9;
-    core.handle(ms(700), Event::RequestReceived(1, Call::Announce(again)));
+    core.handle(ms(700), Event::RequestReceived(1, ApiRequest::Announce(again)));
     assert_eq!(kept(&core.handle(ms(1300), Event::Tick)), None);
-    let call = Call::Leave {
+    let call = ApiRequest::Leave {
         id: "server-3".into(),
         born: None,
     };
@@ -328,7 +328,7 @@
     let mut next = coordinator();
     next.handle(ms(0), Event::Servers(kept.to_vec()));
     next.handle(ms(100), Event::EntryConnected(1));
-    let actions = next.handle(ms(200), Event::EntryFollows(1, Held::default()));
+    let actions = next.handle(ms(200), Event::EntryFollows(1, SyncState::default()));
     let told = pushes(&actions).into_iter().find_map(|(_, m)| match m {
         ToEntry::Servers(servers) => Some(servers.len()),
         _ => None,
@@ -346,12 +346,12 @@
     for life in 1..=3 {
         core.handle(ms(life), Event::EntryConnected(life));
     }
-    let held = Held {
+    let held = SyncState {
         entries: 9,
-        ..Held::default()
+        ..SyncState::default()
     };
     let mut actions = core.handle(ms(100), Event::EntryFollows(1, held));
-    actions.extend(core.handle(ms(200), Event::EntryFollows(2, Held::default())));
+    actions.extend(core.handle(ms(200), Event::EntryFollows(2, SyncState::default())));
     for at in (300..700).step_by(10) {
         actions.extend(core.handle(ms(at), Event::Tick));
     }
