--- a/sesamebeam/src/gateway/feed.rs
+++ b/sesamebeam/src/gateway/feed.rs
@@ -263,7 +263,7 @@
                     self.send(addr, FromEntry::Follow(held));
                     let ages = self.gateway.router().rollout_ages(now);
                     let report = Report {
-                        ages,
+                        rollout_ages: ages,
                         ..Report::default()
                     };
                     self.send(addr, FromEntry::Report(report));
@@ -328,7 +328,7 @@
                     self.replicas = replicas.into_iter().collect();
                 }
             }
-            ToEntry::Alive(summary) => {
+            ToEntry::Heartbeat(summary) => {
                 let holding = gateway.router().holding();
                 self.subscription.told(now, addr, summary, &holding);
             }
@@ -364,7 +364,7 @@
                     self.send(addr, FromEntry::RequestSections(sections));
                 }
             }
-            ToEntry::Wants(parts) => self.tell_servers(addr, parts),
+            ToEntry::RequestBuckets(parts) => self.tell_servers(addr, parts),
             ToEntry::Loads {
                 loads,
                 waits,
@@ -425,7 +425,7 @@
         let servers: Vec<_> = {
             let now = self.gateway.now();
             let router = self.gateway.router();
-            router.directory().tell_parts(now, parts).collect()
+            router.directory().announcements_in_buckets(now, parts).collect()
         };
         self.send(addr, FromEntry::Servers(servers));
     }
@@ -494,7 +494,7 @@
     async fn follow(&self, reached: &mut bool) -> Result<(), FrameError> {
         let (mut tx, mut rx) = frames::connect(self.addr).await?;
         tx.send(&Hello::Entry {
-            life: self.life,
+            id: self.life,
             name: self.name.clone(),
         })
         .await?;
@@ -530,7 +530,7 @@
     loop {
         let message = tokio::select! {
             message = messages.recv() => message.ok_or(FrameError::Closed)?,
-            _ = ticks.tick() => FromEntry::Alive,
+            _ = ticks.tick() => FromEntry::Heartbeat,
         };
         let frame = frames::encode(&message)?;
         meters.message(Way::ToControl, message.kind(), frame.len(), 1);
--- a/sesamebeam/src/group.rs
+++ b/sesamebeam/src/group.rs
@@ -208,10 +208,10 @@
     let cfg = CoordinatorConfig {
         addr: settings.internal,
         domain: settings.domain.clone(),
-        tolerated: settings.tolerated,
-        exposure: settings.exposure,
-        patience: PATIENCE,
-        disk_patience: DISK_PATIENCE,
+        tolerated_failures: settings.tolerated,
+        max_exposure: settings.exposure,
+        request_timeout: PATIENCE,
+        disk_stall_timeout: DISK_PATIENCE,
     };
     let (place, place_rx) = watch::channel(Place::default());
     let (alive, alive_rx) = watch::channel(Bytes::new());
@@ -322,7 +322,7 @@
                         disk.write(write, ops);
                     }
                 }
-                Action::SendMembershipRequest { to, told } => {
+                Action::SendMembershipRequest { to, request: told } => {
                     tokio::spawn(join::tell(to, told));
                 }
                 Action::ReplyMembership(ticket, reply) => {
@@ -365,7 +365,7 @@
 
     /// Has all entries told now and then what this replica holds.
     fn hold(&mut self, summary: StateSummary) {
-        if let Some(bytes) = subscribers::encode(&ToEntry::Alive(summary)) {
+        if let Some(bytes) = subscribers::encode(&ToEntry::Heartbeat(summary)) {
             self.alive.send_replace(bytes);
         }
     }
--- a/sesamebeam/src/group/join.rs
+++ b/sesamebeam/src/group/join.rs
@@ -127,7 +127,7 @@
         let replies = futures::future::join_all(replies).await;
         for (addr, reply) in asked.into_iter().zip(replies) {
             let leads = reply.as_ref().ok().map(leads);
-            enquiry.answered(addr, leads);
+            enquiry.record_reply(addr, leads);
             if leads == Some(true) {
                 let _ = tx.send(Input::Leader(addr));
             }
--- a/sesamebeam/src/group/links.rs
+++ b/sesamebeam/src/group/links.rs
@@ -82,7 +82,7 @@
 ) -> Result<(), FrameError> {
     let (back, mut rx) = frames::split(stream)?;
     match rx.next::<Hello>().await? {
-        Hello::Entry { life, name } => serve_entry(back, rx, tx, alive, life, name).await,
+        Hello::Entry { id: id, name } => serve_entry(back, rx, tx, alive, id, name).await,
         Hello::Replica { node } => serve_replica(back, rx, tx, node).await,
         Hello::NonMember => serve_asker(back, rx, tx).await,
     }
@@ -148,7 +148,7 @@
                 FromEntry::RequestSections(sections) => Event::SectionsRequested(life, sections),
                 FromEntry::Servers(servers) => Event::Servers(servers),
                 FromEntry::Report(report) => Event::EntryReported(report),
-                FromEntry::Alive => continue,
+                FromEntry::Heartbeat => continue,
             };
             if tx.send(Input::Event(event)).is_err() {
                 return Ok(());
--- a/sesamebeam/src/group/notes.rs
+++ b/sesamebeam/src/group/notes.rs
@@ -31,7 +31,7 @@
         LogEvent::Server {
             id,
             service,
-            born,
+            started_at: born,
             state,
             sequence,
         } => log::info!(
--- a/sesamebeam/tests/roster.rs
+++ b/sesamebeam/tests/roster.rs
@@ -17,7 +17,7 @@
 fn announcement(number: u8) -> Announcement {
     Announcement {
         id: format!("server-{number}").into(),
-        born: 5,
+        started_at: 5,
         service: "pool".into(),
         addr: ([10, 0, 0, number], 8080).into(),
         domain: "hall-1".into(),
--- a/sesamebeam_bench/benches/directory.rs
+++ b/sesamebeam_bench/benches/directory.rs
@@ -45,7 +45,7 @@
 fn server(number: u32) -> Announcement {
     Announcement {
         id: format!("server-{number}").into(),
-        born: 1,
+        started_at: 1,
         service: "pool".into(),
         addr: (Ipv4Addr::from(0x0a00_0000 + number), 80).into(),
         domain: format!("hall-{}", number % DOMAINS).into(),
--- a/sesamebeam_core/src/gateway/balance.rs
+++ b/sesamebeam_core/src/gateway/balance.rs
@@ -210,12 +210,12 @@
             Some(affinity) => self.by_prompt(now, &fit, affinity, need),
             None => self.by_load(now, &fit, need),
         }?;
-        let seen = self.seen.entry(chosen.said.id.clone()).or_default();
+        let seen = self.seen.entry(chosen.announcement.id.clone()).or_default();
         seen.in_flight += 1;
-        seen.domain = chosen.said.domain.clone();
-        self.paths.tries(now, &chosen.said.domain);
+        seen.domain = chosen.announcement.domain.clone();
+        self.paths.tries(now, &chosen.announcement.domain);
         if need.reading >= reading::LONG {
-            self.expect_queue(now, &chosen.said.id, need.reading);
+            self.expect_queue(now, &chosen.announcement.id, need.reading);
         }
         Some(chosen)
     }
@@ -385,9 +385,9 @@
     /// Returns whether a backend server may be tried: it does not rest, and the way to
     /// it is not cut.
     pub fn reaches(&self, now: MonoTime, known: &ServerRecord) -> bool {
-        let seen = self.seen.get(&known.said.id);
+        let seen = self.seen.get(&known.announcement.id);
         let rested = seen.is_none_or(|s| s.pause.is_over(now));
-        rested && !self.paths.avoids(now, &known.said.domain)
+        rested && !self.paths.avoids(now, &known.announcement.domain)
     }
 
     /// Returns the share of the slots of some backend servers that are taken.
@@ -414,7 +414,7 @@
         let fresh: Vec<&ServerRecord> = all
             .iter()
             .copied()
-            .filter(|k| !tried.contains(&k.said.id))
+            .filter(|k| !tried.contains(&k.announcement.id))
             .collect();
         let reached = |k: &&ServerRecord| self.reaches(now, k);
         let mean = self.mean_failures(&fresh);
@@ -441,7 +441,7 @@
         affinity: Affinity,
         need: &Need<'_>,
     ) -> Option<&'a ServerRecord> {
-        let slots = fit.iter().map(|k| k.said.slots).max().unwrap_or(1);
+        let slots = fit.iter().map(|k| k.announcement.slots).max().unwrap_or(1);
         let spare = LOAD_SPARE / f64::from(slots.max(1));
         let loads: Vec<f64> = fit.iter().map(|k| self.shared_load(now, k)).collect();
         let bound = mean(&loads) * (1.0 + LOAD_MARGIN) + spare;
@@ -453,9 +453,9 @@
             *load <= bound && reads_for <= READS_FOR
         });
         let best = within.max_by_key(|(k, _)| {
-            let near = near_first && k.said.domain == need.domain;
+            let near = near_first && k.announcement.domain == need.domain;
             let sound = self.doubt(k, need) == 0.0;
-            (sound, near, hash::rendezvous(&k.said.id, &key))
+            (sound, near, hash::rendezvous(&k.announcement.id, &key))
         });
         // A second of reading holds up as many as a full engine.
         let held_up = |(k, load): &(&ServerRecord, f64)| load + self.reads_for(now, k).as_secs_f64();
@@ -466,12 +466,12 @@
     fn by_load<'a>(&self, now: MonoTime, fit: &[&'a ServerRecord], need: &Need<'_>) -> Option<&'a ServerRecord> {
         let salt = need.seed.to_string();
         let cost = |k: &ServerRecord| {
-            let far = if k.said.domain == need.domain {
+            let far = if k.announcement.domain == need.domain {
                 0.0
             } else {
                 FAR_COST
             };
-            let jitter = hash::unit(k.said.id.as_bytes(), &salt) * 0.05;
+            let jitter = hash::unit(k.announcement.id.as_bytes(), &salt) * 0.05;
             self.load(now, k) + far + jitter + DOUBT_COST * self.doubt(k, need)
         };
         let best = fit.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
@@ -481,8 +481,8 @@
     /// Returns the requests at a backend server as a share of its slots, as far as
     /// this entry has heard from it.
     fn load(&self, now: MonoTime, known: &ServerRecord) -> f64 {
-        let seen = self.seen.get(&known.said.id);
-        seen.map_or(0.0, |seen| seen.load(now, known.said.slots, seen.load))
+        let seen = self.seen.get(&known.announcement.id);
+        seen.map_or(0.0, |seen| seen.load(now, known.announcement.slots, seen.load))
     }
 
     /// Returns the same from what any entry has heard.
@@ -490,15 +490,15 @@
     /// It bounds who may get a request and never says who is the best: all entries
     /// are told the same at once, and would all send to one.
     fn shared_load(&self, now: MonoTime, known: &ServerRecord) -> f64 {
-        let Some(seen) = self.seen.get(&known.said.id) else {
+        let Some(seen) = self.seen.get(&known.announcement.id) else {
             return 0.0;
         };
-        seen.load(now, known.said.slots, seen.newest())
+        seen.load(now, known.announcement.slots, seen.newest())
     }
 
     /// Returns for how long an engine reads long prompts that were sent there.
     fn reads_for(&self, now: MonoTime, known: &ServerRecord) -> Duration {
-        let seen = self.seen.get(&known.said.id);
+        let seen = self.seen.get(&known.announcement.id);
         seen.map_or(Duration::ZERO, |seen| seen.queue.left(now))
     }
 
@@ -508,12 +508,12 @@
         if self.doubts.is_empty() || tries {
             return 0.0;
         }
-        let doubt = self.doubts.get(&loads::key(&known.said.id));
+        let doubt = self.doubts.get(&loads::key(&known.announcement.id));
         doubt.copied().unwrap_or_default()
     }
 
     fn failures(&self, known: &ServerRecord) -> f64 {
-        self.seen.get(&known.said.id).map_or(0.0, |s| s.failures)
+        self.seen.get(&known.announcement.id).map_or(0.0, |s| s.failures)
     }
 
     fn mean_failures(&self, fit: &[&ServerRecord]) -> f64 {
--- a/sesamebeam_core/src/gateway/budget.rs
+++ b/sesamebeam_core/src/gateway/budget.rs
@@ -68,12 +68,12 @@
 
     /// Notes how many entries there are.
     pub fn set_entries(&mut self, now: MonoTime, entries: u32) {
-        self.entries.hear(now, entries);
+        self.entries.record(now, entries);
     }
 
     /// Returns the most entries that were heard of.
     pub fn entries(&self) -> u32 {
-        self.entries.most()
+        self.entries.max()
     }
 
     /// Counts a request.
@@ -85,7 +85,7 @@
     pub fn try_repeat(&mut self, now: MonoTime, service: &ServiceId) -> bool {
         self.part(now, service);
         let (requests, repeats) = self.counted(service);
-        let slack = match self.entries.most() {
+        let slack = match self.entries.max() {
             0 => 0.0,
             n => self.cfg.slack / f64::from(n),
         };
--- a/sesamebeam_core/src/gateway/cold.rs
+++ b/sesamebeam_core/src/gateway/cold.rs
@@ -80,7 +80,7 @@
 
     /// Notes how many entries there are.
     pub fn set_entries(&mut self, now: MonoTime, entries: u32) {
-        self.entries.hear(now, entries);
+        self.entries.record(now, entries);
     }
 
     /// Notes that a failure domain is no longer evacuated.
@@ -96,7 +96,7 @@
         let Some(limits) = limits else {
             return false;
         };
-        let readmitted = self.readmitted.get(&known.said.domain);
+        let readmitted = self.readmitted.get(&known.announcement.domain);
         let may_be = readmitted.is_some_and(|at| now < *at + limits.lasts);
         may_be || now < known.cold_until
     }
@@ -123,7 +123,7 @@
     /// Returns the number of this entry's turn at a backend server, if it is now.
     fn turn(&self, now: MonoTime, id: &ServerId, limits: &ColdConfig) -> Option<u64> {
         let rate = limits.per_second * SHARE;
-        let entries = self.entries.most();
+        let entries = self.entries.max();
         if entries == 0 || rate <= 0.0 {
             return None;
         }
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -6,11 +6,11 @@
 //! accepts announcements and forwards them, but makes no decisions.
 
 mod announce;
-mod calls;
+mod requests;
 mod group;
-mod places;
-mod telling;
-mod trial;
+mod placement;
+mod publisher;
+mod rollout_monitor;
 
 use std::{
     collections::{
@@ -23,19 +23,19 @@
 
 use smol_str::SmolStr;
 
-pub use calls::{
+pub use requests::{
     ApiResponse,
     ApiRequest, //
 };
 pub use group::Peers;
-pub use telling::MAX_ANNOUNCEMENTS_PER_MESSAGE;
+pub use publisher::MAX_ANNOUNCEMENTS_PER_MESSAGE;
 
 use self::{
     announce::PendingConfirmation,
-    calls::PendingRequest,
-    places::VoterPlacement,
-    telling::Publisher,
-    trial::RolloutMonitor, //
+    requests::PendingRequest,
+    placement::VoterPlacement,
+    publisher::Publisher,
+    rollout_monitor::RolloutMonitor, //
 };
 use super::{
     config::ServiceId,
@@ -110,15 +110,15 @@
     pub domain: DomainId,
     /// Number of simultaneous replica failures to survive; the group has `2 * n + 1`
     /// voters.
-    pub tolerated: usize,
+    pub tolerated_failures: usize,
     /// Share of a service's requests that may be exposed to a bad version by the end of its
     /// rollout.
-    pub exposure: f64,
+    pub max_exposure: f64,
     /// Time limit for answering a request; the caller then tries another replica.
-    pub patience: Duration,
+    pub request_timeout: Duration,
     /// Time a write may stay unsynced before the disk counts as stalled and leadership is
     /// handed over.
-    pub disk_patience: Duration,
+    pub disk_stall_timeout: Duration,
 }
 
 /// Input to a coordinator.
@@ -194,7 +194,7 @@
         /// Address of the recipient.
         to: SocketAddr,
         /// The request.
-        told: MembershipRequest,
+        request: MembershipRequest,
     },
     /// Reply to a membership request.
     ReplyMembership(Ticket, MembershipReply),
@@ -253,7 +253,7 @@
         /// Its service.
         service: ServiceId,
         /// When it started.
-        born: super::directory::StartTime,
+        started_at: super::directory::StartTime,
         /// Its state.
         state: ServerState,
         /// Sequence number of the announcement.
@@ -290,16 +290,16 @@
     /// Addresses that processes without any known replica connect to.
     seeds: BTreeSet<SocketAddr>,
     /// When seeds outside the group are next sent the membership.
-    tell_seeds_at: MonoTime,
+    next_seed_update_at: MonoTime,
     store: Store,
     directory: Directory,
-    telling: Publisher,
-    trials: RolloutMonitor,
-    places: VoterPlacement,
+    publisher: Publisher,
+    rollout_monitor: RolloutMonitor,
+    placement: VoterPlacement,
     /// Leader as learned by a non-member process, and when.
-    known_leader: Option<(SocketAddr, MonoTime)>,
-    waiting: BTreeMap<Ticket, PendingRequest>,
-    confirming: BTreeMap<u64, PendingConfirmation>,
+    leader_hint: Option<(SocketAddr, MonoTime)>,
+    pending_requests: BTreeMap<Ticket, PendingRequest>,
+    pending_confirmations: BTreeMap<u64, PendingConfirmation>,
     next_ticket: u64,
     crashes: Crashes,
     loads: Loads,
@@ -307,9 +307,9 @@
     pool: Pool,
     waits: PooledWaits,
     shortages: Shortages,
-    look_at: MonoTime,
+    next_periodic_at: MonoTime,
     /// Write that is not yet synced, and when it was issued.
-    writing: Option<(WriteId, MonoTime)>,
+    unsynced_write: Option<(WriteId, MonoTime)>,
     disk_full: bool,
     disk_stalled: bool,
     actions: Vec<Action>,
@@ -324,15 +324,15 @@
             replica: None,
             peers: Peers::default(),
             seeds: BTreeSet::new(),
-            tell_seeds_at: now,
+            next_seed_update_at: now,
             store: Store::default(),
             directory: Directory::default(),
-            telling: Publisher::default(),
-            trials: RolloutMonitor::default(),
-            places: VoterPlacement::default(),
-            known_leader: None,
-            waiting: BTreeMap::new(),
-            confirming: BTreeMap::new(),
+            publisher: Publisher::default(),
+            rollout_monitor: RolloutMonitor::default(),
+            placement: VoterPlacement::default(),
+            leader_hint: None,
+            pending_requests: BTreeMap::new(),
+            pending_confirmations: BTreeMap::new(),
             next_ticket: 1,
             crashes: Crashes::default(),
             loads: Loads::default(),
@@ -340,8 +340,8 @@
             pool: Pool::default(),
             waits: PooledWaits::default(),
             shortages: Shortages::default(),
-            look_at: now,
-            writing: None,
+            next_periodic_at: now,
+            unsynced_write: None,
             disk_full: false,
             disk_stalled: false,
             actions: Vec::new(),
@@ -353,8 +353,8 @@
         self.now = self.now.max(now);
         let (replica, actions) = Replica::new(cfg, saved, self.now);
         self.replica = Some(replica);
-        self.telling.restart();
-        self.carry(actions);
+        self.publisher.restart();
+        self.execute(actions);
         self.tell();
         std::mem::take(&mut self.actions)
     }
@@ -364,8 +364,8 @@
     pub fn leave(&mut self) {
         self.replica = None;
         self.store = Store::default();
-        self.waiting.clear();
-        self.writing = None;
+        self.pending_requests.clear();
+        self.unsynced_write = None;
         self.disk_full = false;
         self.disk_stalled = false;
     }
@@ -374,27 +374,27 @@
     pub fn handle(&mut self, now: MonoTime, event: Event) -> Vec<Action> {
         self.now = self.now.max(now);
         match event {
-            Event::Tick => self.step(ReplicaEvent::Tick),
-            Event::Peer { from, message } => self.peer(from, message),
-            Event::PeerConnected(to) => self.compare_servers(to),
+            Event::Tick => self.step_replica(ReplicaEvent::Tick),
+            Event::Peer { from, message } => self.handle_peer_message(from, message),
+            Event::PeerConnected(to) => self.compare_directories(to),
             Event::Seeds(seeds) => self.seeds = seeds,
-            Event::EntryConnected(life) => self.subscribe(life),
-            Event::EntryDisconnected(life) => self.unsubscribe(life),
+            Event::EntryConnected(life) => self.add_entry(life),
+            Event::EntryDisconnected(life) => self.remove_entry(life),
             Event::EntryFollows(life, held) => self.follow(life, held),
             Event::EntryUnfollows(life) => self.unfollow(life),
-            Event::UpdateRequested(life, held) => self.lacks(life, held),
-            Event::SectionsRequested(life, sections) => self.lacks_sections(life, &sections),
-            Event::Servers(servers) => self.take_announcements(servers),
-            Event::EntryReported(report) => self.reported(report),
-            Event::MembershipRequested(ticket, question) => self.asked(ticket, question),
-            Event::RequestReceived(ticket, call) => self.called(ticket, call),
+            Event::UpdateRequested(life, held) => self.request_update(life, held),
+            Event::SectionsRequested(life, sections) => self.send_sections(life, &sections),
+            Event::Servers(servers) => self.merge_announcements(servers),
+            Event::EntryReported(report) => self.handle_entry_report(report),
+            Event::MembershipRequested(ticket, question) => self.handle_membership_request(ticket, question),
+            Event::RequestReceived(ticket, call) => self.handle_request(ticket, call),
             Event::Synced(write) => self.synced(write),
             Event::DiskFull(full) => {
                 self.disk_full = full;
-                self.tell_disk();
+                self.update_disk_state();
             }
         }
-        self.look();
+        self.run_periodic();
         self.tell();
         std::mem::take(&mut self.actions)
     }
@@ -402,9 +402,9 @@
     /// Returns when the next [`Event::Tick`] is due.
     pub fn next_wake(&self) -> MonoTime {
         let replica = self.replica.as_ref().map(Replica::next_wake);
-        let told = self.telling.next_wake();
+        let told = self.publisher.next_wake();
         let wakes = [replica, told].into_iter().flatten();
-        wakes.fold(self.look_at, MonoTime::min)
+        wakes.fold(self.next_periodic_at, MonoTime::min)
     }
 
     /// Returns the replicated state.
@@ -429,38 +429,38 @@
             .is_some_and(|r| r.role() == Role::Leader)
     }
 
-    fn peer(&mut self, from: NodeId, message: CoordinatorMessage) {
+    fn handle_peer_message(&mut self, from: NodeId, message: CoordinatorMessage) {
         match message {
             CoordinatorMessage::Log(message) => {
                 let message = *message;
-                self.step(ReplicaEvent::Message { from, message });
+                self.step_replica(ReplicaEvent::Message { from, message });
             }
-            CoordinatorMessage::Servers(servers) => self.take_announcements(servers),
-            CoordinatorMessage::Digests { held, domain, ask } => {
-                self.places.learn(from, domain);
-                self.compared(from, &held, ask);
+            CoordinatorMessage::Servers(servers) => self.merge_announcements(servers),
+            CoordinatorMessage::Digests { digests: digests, domain, reply_requested: ask } => {
+                self.placement.learn(from, domain);
+                self.handle_digests(from, &digests, ask);
             }
-            CoordinatorMessage::Wants(parts) => self.tell_servers(from, parts),
+            CoordinatorMessage::RequestBuckets(parts) => self.send_buckets(from, parts),
             CoordinatorMessage::Confirm { ticket, servers } => {
-                self.take_announcements(servers);
+                self.merge_announcements(servers);
                 let message = CoordinatorMessage::Confirmed { ticket };
                 self.actions.push(Action::Send { to: from, message });
             }
-            CoordinatorMessage::Confirmed { ticket } => self.confirmed(from, ticket),
-            CoordinatorMessage::Report(report) => self.take_report(&report),
+            CoordinatorMessage::Confirmed { ticket } => self.handle_confirmation(from, ticket),
+            CoordinatorMessage::Report(report) => self.process_report(&report),
         }
     }
 
     /// Passes an event to the replica and carries out the resulting actions.
-    fn step(&mut self, event: ReplicaEvent) {
+    fn step_replica(&mut self, event: ReplicaEvent) {
         let Some(replica) = &mut self.replica else {
             return;
         };
         let actions = replica.handle(self.now, event);
-        self.carry(actions);
+        self.execute(actions);
     }
 
-    fn carry(&mut self, actions: Vec<ReplicaAction>) {
+    fn execute(&mut self, actions: Vec<ReplicaAction>) {
         for action in actions {
             match action {
                 ReplicaAction::Send { to, message } => {
@@ -468,7 +468,7 @@
                     self.actions.push(Action::Send { to, message });
                 }
                 ReplicaAction::Write { write, ops } => {
-                    self.writing = Some((write, self.now));
+                    self.unsynced_write = Some((write, self.now));
                     self.actions.push(Action::Write { write, ops });
                 }
                 ReplicaAction::Apply {
@@ -476,7 +476,7 @@
                     ticket,
                     data,
                 } => self.apply(index, ticket, &data),
-                ReplicaAction::Rejected { ticket, reason } => self.rejected(ticket, reason),
+                ReplicaAction::Rejected { ticket, reason } => self.handle_rejection(ticket, reason),
                 ReplicaAction::ReadReady { ticket } => self.read_ready(ticket),
                 ReplicaAction::Changed { .. } => {}
                 ReplicaAction::TakeSnapshot { index } => self.take_snapshot(index),
@@ -490,42 +490,42 @@
     fn apply(&mut self, index: LogIndex, ticket: Option<Ticket>, data: &[u8]) {
         match postcard::from_bytes::<Command>(data) {
             Ok(command) => self.apply_command(index, command),
-            Err(_) => self.note(LogEvent::Unreadable(index)),
+            Err(_) => self.log(LogEvent::Unreadable(index)),
         }
         if let Some(ticket) = ticket {
-            self.done(ticket);
+            self.complete_request(ticket);
         }
     }
 
     fn apply_command(&mut self, index: LogIndex, command: Command) {
-        let note = self.note_of(index, &command);
+        let note = self.log_event_for(index, &command);
         let is_config = matches!(command, Command::Apply(_));
         if !self.store.apply(index, command) {
             return;
         }
         if let Some(note) = note {
-            self.note(note);
+            self.log(note);
         }
-        self.trials.follow(self.now, self.store.rollouts());
-        self.note_news(index, is_config);
+        self.rollout_monitor.follow(self.now, self.store.rollouts());
+        self.mark_state_changed(index, is_config);
     }
 
     /// Returns the log event to emit if a command changes the store.
-    fn note_of(&self, index: LogIndex, command: &Command) -> Option<LogEvent> {
+    fn log_event_for(&self, index: LogIndex, command: &Command) -> Option<LogEvent> {
         match command {
             Command::Apply(document) => Some(LogEvent::Accepted {
                 version: document.version,
                 index,
             }),
-            Command::Evacuate(domain) => Some(self.evacuation(index, domain, true)),
-            Command::Readmit(domain) => Some(self.evacuation(index, domain, false)),
+            Command::Evacuate(domain) => Some(self.evacuation_event(index, domain, true)),
+            Command::Readmit(domain) => Some(self.evacuation_event(index, domain, false)),
             Command::Start { .. } | Command::Move { .. } => None,
         }
     }
 
-    fn evacuation(&self, index: LogIndex, domain: &DomainId, evacuated: bool) -> LogEvent {
-        let of_domain = self.directory.all().filter(|k| k.said.domain == *domain);
-        let living = of_domain.filter(|k| k.said.state != ServerState::Gone);
+    fn evacuation_event(&self, index: LogIndex, domain: &DomainId, evacuated: bool) -> LogEvent {
+        let of_domain = self.directory.all().filter(|k| k.announcement.domain == *domain);
+        let living = of_domain.filter(|k| k.announcement.state != ServerState::Gone);
         LogEvent::Evacuation {
             domain: domain.clone(),
             evacuated,
@@ -536,22 +536,22 @@
 
     fn take_snapshot(&mut self, index: LogIndex) {
         let data = postcard::to_stdvec(&self.store).unwrap_or_default();
-        self.step(ReplicaEvent::Snapshot { index, data });
+        self.step_replica(ReplicaEvent::Snapshot { index, data });
     }
 
     fn restore(&mut self, index: LogIndex, data: &[u8]) {
         match Store::decode(data) {
             Ok(store) => self.store = store,
-            Err(_) => self.note(LogEvent::Unreadable(index)),
+            Err(_) => self.log(LogEvent::Unreadable(index)),
         }
-        self.trials.follow(self.now, self.store.rollouts());
-        self.note_news(index, true);
+        self.rollout_monitor.follow(self.now, self.store.rollouts());
+        self.mark_state_changed(index, true);
     }
 
     fn synced(&mut self, write: WriteId) {
-        self.writing.take_if(|(at, _)| *at == write);
-        self.step(ReplicaEvent::Synced { write });
-        self.tell_disk();
+        self.unsynced_write.take_if(|(at, _)| *at == write);
+        self.step_replica(ReplicaEvent::Synced { write });
+        self.update_disk_state();
     }
 
     /// Reports the disk as full if it is full or has stalled.
@@ -559,42 +559,42 @@
     /// A leader whose disk stalls cannot write anything new, so no change is acknowledged
     /// although the other replicas could go on. Handing over leadership is sufficient
     /// because they can commit without this disk.
-    fn tell_disk(&mut self) {
-        let patience = self.cfg.disk_patience;
+    fn update_disk_state(&mut self) {
+        let patience = self.cfg.disk_stall_timeout;
         let stalled = self
-            .writing
+            .unsynced_write
             .is_some_and(|(_, since)| self.now.saturating_sub(since) > patience);
         if stalled != self.disk_stalled {
             self.disk_stalled = stalled;
-            self.note(LogEvent::DiskStalled(stalled));
+            self.log(LogEvent::DiskStalled(stalled));
         }
-        self.step(ReplicaEvent::DiskFull(self.disk_full || stalled));
+        self.step_replica(ReplicaEvent::DiskFull(self.disk_full || stalled));
     }
 
     /// Runs the periodic tasks if they are due.
-    fn look(&mut self) {
-        if self.now < self.look_at {
+    fn run_periodic(&mut self) {
+        if self.now < self.next_periodic_at {
             return;
         }
-        self.look_at = self.now + PERIODIC_INTERVAL;
-        if self.writing.is_some() || self.disk_stalled {
-            self.tell_disk();
+        self.next_periodic_at = self.now + PERIODIC_INTERVAL;
+        if self.unsynced_write.is_some() || self.disk_stalled {
+            self.update_disk_state();
         }
-        self.give_up_late();
-        self.mend_group();
-        self.tell_seeds();
-        self.move_rollouts();
-        self.tell_due();
+        self.expire_requests();
+        self.remove_surplus_voter();
+        self.update_seeds();
+        self.advance_rollouts();
+        self.publish_due();
     }
 
-    fn tell_peers(&mut self, message: &CoordinatorMessage) {
+    fn broadcast(&mut self, message: &CoordinatorMessage) {
         for to in self.peers.others() {
             let message = message.clone();
             self.actions.push(Action::Send { to, message });
         }
     }
 
-    fn note(&mut self, note: LogEvent) {
+    fn log(&mut self, note: LogEvent) {
         self.actions.push(Action::Log(note));
     }
 }
--- a/sesamebeam_core/src/gateway/coordinator/announce.rs
+++ b/sesamebeam_core/src/gateway/coordinator/announce.rs
@@ -10,7 +10,7 @@
     ApiResponse,
     Coordinator,
     LogEvent,
-    telling::PULL_RETRY_DELAY, //
+    publisher::PULL_RETRY_DELAY, //
 };
 use crate::{
     gateway::{
@@ -41,30 +41,30 @@
     /// Request to respond to afterwards.
     ticket: Ticket,
     /// Replicas that have confirmed it.
-    by: BTreeSet<NodeId>,
+    confirmed_by: BTreeSet<NodeId>,
     /// Number of confirmations required.
-    wanted: usize,
+    required: usize,
     /// When the request is abandoned.
-    until: MonoTime,
+    deadline: MonoTime,
 }
 
 impl Coordinator {
     /// Merges announcements received through another process.
-    pub(super) fn take_announcements(&mut self, servers: Vec<Announcement>) {
+    pub(super) fn merge_announcements(&mut self, servers: Vec<Announcement>) {
         let mut news = Vec::new();
         for said in servers {
-            if self.learn(said.clone()) {
-                self.note_server(&said);
+            if self.merge_announcement(said.clone()) {
+                self.log_server(&said);
                 news.push(said);
             }
         }
-        self.tell_servers_soon(news);
+        self.queue_announcements(news);
     }
 
     /// Merges an announcement and returns whether it contains anything new. A service
     /// counts as existing if the directory knows another backend server of it.
-    fn learn(&mut self, said: Announcement) -> bool {
-        let is_named = self.directory.has_other(&said);
+    fn merge_announcement(&mut self, said: Announcement) -> bool {
+        let is_named = self.directory.has_other_server(&said);
         self.directory.take(self.now, said, is_named)
     }
 
@@ -76,11 +76,11 @@
     /// themselves to was slightly ahead of its connections. A standby process sends
     /// everything it knows, which consists of announcements made to it directly: members
     /// have no connection to it over which they could ask.
-    pub(super) fn compare_servers(&mut self, to: NodeId) {
+    pub(super) fn compare_directories(&mut self, to: NodeId) {
         if self.peers.is_member() {
-            self.tell_digests(to, true);
+            self.send_digests(to, true);
         } else {
-            self.tell_servers(to, BucketSet::ALL);
+            self.send_buckets(to, BucketSet::ALL);
         }
     }
 
@@ -90,27 +90,27 @@
     /// If several replicas hold the same data, only one of them is asked. If each sent
     /// everything, a replica that starts in a group of 24 would receive every backend
     /// server 24 times.
-    pub(super) fn compared(&mut self, from: NodeId, held: &Digests, ask: bool) {
+    pub(super) fn handle_digests(&mut self, from: NodeId, held: &Digests, ask: bool) {
         let differing = self.directory.digests().differing(held);
         if differing.is_empty() {
             return;
         }
         if ask {
-            self.tell_digests(from, false);
+            self.send_digests(from, false);
         }
-        let (wanted, later) = self.claim_parts(differing, held.filled());
+        let (wanted, later) = self.claim_buckets(differing, held.non_empty());
         if !wanted.is_empty() {
-            let message = CoordinatorMessage::Wants(wanted);
+            let message = CoordinatorMessage::RequestBuckets(wanted);
             self.actions.push(Action::Send { to: from, message });
         }
         if later {
-            self.telling.compare_at.insert(from, self.now + PULL_RETRY_DELAY);
+            self.publisher.next_comparison_at.insert(from, self.now + PULL_RETRY_DELAY);
         }
     }
 
     /// Sends a replica the backend servers in some buckets of the directory.
-    pub(super) fn tell_servers(&mut self, to: NodeId, parts: BucketSet) {
-        let servers: Vec<Announcement> = self.directory.tell_parts(self.now, parts).collect();
+    pub(super) fn send_buckets(&mut self, to: NodeId, parts: BucketSet) {
+        let servers: Vec<Announcement> = self.directory.announcements_in_buckets(self.now, parts).collect();
         if !servers.is_empty() {
             let message = CoordinatorMessage::Servers(servers);
             self.actions.push(Action::Send { to, message });
@@ -119,22 +119,22 @@
 
     /// Repeats the comparison with replicas that were skipped while another one was being
     /// asked.
-    pub(super) fn compare_due(&mut self) {
-        let (now, due) = (self.now, &mut self.telling.compare_at);
+    pub(super) fn repeat_comparisons(&mut self) {
+        let (now, due) = (self.now, &mut self.publisher.next_comparison_at);
         let due: Vec<NodeId> = due
             .extract_if(.., |_, at| *at <= now)
             .map(|d| d.0)
             .collect();
         for to in due {
-            self.compare_servers(to);
+            self.compare_directories(to);
         }
     }
 
-    fn tell_digests(&mut self, to: NodeId, ask: bool) {
+    fn send_digests(&mut self, to: NodeId, ask: bool) {
         let message = CoordinatorMessage::Digests {
-            held: self.directory.digests().clone(),
+            digests: self.directory.digests().clone(),
             domain: self.cfg.domain.clone(),
-            ask,
+            reply_requested: ask,
         };
         self.actions.push(Action::Send { to, message });
     }
@@ -144,21 +144,21 @@
     /// A backend server that is leaving gets its response only once most other replicas
     /// have the announcement too. Otherwise an entry that is connected only to those
     /// replicas would keep sending it requests after it was told that it may exit.
-    pub(super) fn announced(&mut self, ticket: Ticket, said: Announcement) {
-        let news = self.learn(said.clone());
+    pub(super) fn handle_announcement(&mut self, ticket: Ticket, said: Announcement) {
+        let news = self.merge_announcement(said.clone());
         let leaves = said.state != ServerState::Ready;
         let known = self.directory.get(&said.id);
         let told = known.map_or(said, |k| k.tell(self.now));
         if news {
-            self.note_server(&told);
-            self.tell_servers_soon([told.clone()]);
+            self.log_server(&told);
+            self.queue_announcements([told.clone()]);
         }
         if leaves {
-            self.confirm(ticket, told);
+            self.request_confirmation(ticket, told);
             return;
         }
         if news {
-            self.tell_peers(&CoordinatorMessage::Servers(vec![told]));
+            self.broadcast(&CoordinatorMessage::Servers(vec![told]));
         }
         self.actions.push(Action::Respond(ticket, ApiResponse::Done));
     }
@@ -170,58 +170,58 @@
     /// this replica has just started or is not a member. When such a notice was
     /// acknowledged without informing the others, entries kept sending requests to a server
     /// that had exited; 41 requests were lost in one case.
-    pub(super) fn left(&mut self, ticket: Ticket, id: &str, born: Option<StartTime>) {
-        let said = match self.directory.leave(self.now, id, born) {
+    pub(super) fn handle_leave(&mut self, ticket: Ticket, id: &str, born: Option<StartTime>) {
+        let said = match self.directory.mark_gone(self.now, id, born) {
             Some(said) => said,
             None => {
                 let said = gone(id, born.unwrap_or(START_TIME_UNKNOWN));
-                if !self.learn(said.clone()) {
+                if !self.merge_announcement(said.clone()) {
                     self.actions.push(Action::Respond(ticket, ApiResponse::Done));
                     return;
                 }
                 said
             }
         };
-        self.note_server(&said);
-        self.tell_servers_soon([said.clone()]);
-        self.confirm(ticket, said);
+        self.log_server(&said);
+        self.queue_announcements([said.clone()]);
+        self.request_confirmation(ticket, said);
     }
 
     /// Records that a replica has confirmed an announcement.
-    pub(super) fn confirmed(&mut self, from: NodeId, number: u64) {
-        let Some(confirming) = self.confirming.get_mut(&number) else {
+    pub(super) fn handle_confirmation(&mut self, from: NodeId, number: u64) {
+        let Some(confirming) = self.pending_confirmations.get_mut(&number) else {
             return;
         };
-        confirming.by.insert(from);
-        if confirming.by.len() >= confirming.wanted {
+        confirming.confirmed_by.insert(from);
+        if confirming.confirmed_by.len() >= confirming.required {
             let ticket = confirming.ticket;
-            self.confirming.remove(&number);
+            self.pending_confirmations.remove(&number);
             self.actions.push(Action::Respond(ticket, ApiResponse::Done));
         }
     }
 
     /// Abandons announcements that were not confirmed in time; the backend server then
     /// tries another replica.
-    pub(super) fn give_up_confirming(&mut self) {
+    pub(super) fn expire_confirmations(&mut self) {
         let now = self.now;
         let late: Vec<u64> = self
-            .confirming
+            .pending_confirmations
             .iter()
-            .filter(|(_, c)| now >= c.until)
+            .filter(|(_, c)| now >= c.deadline)
             .map(|(&number, _)| number)
             .collect();
         for number in late {
-            if let Some(c) = self.confirming.remove(&number) {
+            if let Some(c) = self.pending_confirmations.remove(&number) {
                 self.actions
                     .push(Action::Respond(c.ticket, ApiResponse::Unavailable));
             }
         }
     }
 
-    fn confirm(&mut self, ticket: Ticket, said: Announcement) {
+    fn request_confirmation(&mut self, ticket: Ticket, said: Announcement) {
         // Replicas do not confirm announcements of a non-member.
         if !self.peers.is_member() {
-            let answer = self.elsewhere();
+            let answer = self.redirect();
             self.actions.push(Action::Respond(ticket, answer));
             return;
         }
@@ -234,22 +234,22 @@
         self.next_ticket += 1;
         let confirming = PendingConfirmation {
             ticket,
-            by: BTreeSet::new(),
-            wanted,
-            until: self.now + self.cfg.patience,
+            confirmed_by: BTreeSet::new(),
+            required: wanted,
+            deadline: self.now + self.cfg.request_timeout,
         };
-        self.confirming.insert(number, confirming);
-        self.tell_peers(&CoordinatorMessage::Confirm {
+        self.pending_confirmations.insert(number, confirming);
+        self.broadcast(&CoordinatorMessage::Confirm {
             ticket: number,
             servers: vec![said],
         });
     }
 
-    fn note_server(&mut self, said: &Announcement) {
-        self.note(LogEvent::Server {
+    fn log_server(&mut self, said: &Announcement) {
+        self.log(LogEvent::Server {
             id: said.id.clone(),
             service: said.service.clone(),
-            born: said.born,
+            started_at: said.started_at,
             state: said.state,
             sequence: said.sequence,
         });
@@ -261,7 +261,7 @@
 fn gone(id: &str, born: StartTime) -> Announcement {
     Announcement {
         id: id.into(),
-        born,
+        started_at: born,
         service: ServiceId::default(),
         addr: ServerAddr::from(([0, 0, 0, 0], 0)),
         domain: Default::default(),
--- a/sesamebeam_core/src/gateway/coordinator/group.rs
+++ b/sesamebeam_core/src/gateway/coordinator/group.rs
@@ -106,7 +106,7 @@
 
     /// Records the address of a process that has reported itself as the leader.
     pub fn learn_leader(&mut self, now: MonoTime, leader: SocketAddr) {
-        self.known_leader = Some((leader, now));
+        self.leader_hint = Some((leader, now));
     }
 
     /// Returns the replica id of this process, if it has one.
@@ -126,14 +126,14 @@
     }
 
     /// Handles a membership request.
-    pub(super) fn asked(&mut self, ticket: Ticket, question: MembershipRequest) {
+    pub(super) fn handle_membership_request(&mut self, ticket: Ticket, question: MembershipRequest) {
         let reply = match (&self.replica, question) {
             (_, MembershipRequest::Members { replicas, .. }) => {
                 self.learn_peers(replicas);
                 MembershipReply::None
             }
             (None, _) => MembershipReply::None,
-            (Some(_), MembershipRequest::Group) => self.group_reply(),
+            (Some(_), MembershipRequest::Group) => self.membership_reply(),
             (
                 Some(_),
                 MembershipRequest::Join {
@@ -150,7 +150,7 @@
     /// Applies a membership change.
     pub(super) fn members_changed(&mut self, members: &Members) {
         let own = self.replica.as_ref().map(|r| r.id());
-        self.places.retain(|node| members.get(node).is_some());
+        self.placement.retain(|node| members.get(node).is_some());
         let addr = |(&node, m): (&NodeId, &crate::replica::Member)| Some((node, m.addr?));
         let addrs = members.members.iter().filter_map(addr).collect();
         self.set_peers(Peers { own, addrs });
@@ -158,10 +158,10 @@
 
     /// Handles a change of role.
     pub(super) fn role_changed(&mut self, role: Role) {
-        self.note(LogEvent::Role(role));
+        self.log(LogEvent::Role(role));
         if role == Role::Leader {
-            self.tell_seeds_at = self.now;
-            self.trials.follow(self.now, self.store.rollouts());
+            self.next_seed_update_at = self.now;
+            self.rollout_monitor.follow(self.now, self.store.rollouts());
         }
     }
 
@@ -172,7 +172,7 @@
             let replica = self.replica.as_ref()?;
             return self.peers.addr(replica.leader()?);
         }
-        let (leader, at) = self.known_leader?;
+        let (leader, at) = self.leader_hint?;
         (self.now < at + LEADER_HINT_TTL).then_some(leader)
     }
 
@@ -183,14 +183,14 @@
     /// the seeds, and none of these knows the members: the group had a leader and
     /// committed, but no entry ever learned of it. The leader knows the seeds from its
     /// settings, so it contacts them first.
-    pub(super) fn tell_seeds(&mut self) {
+    pub(super) fn update_seeds(&mut self) {
         let Some(replica) = &self.replica else {
             return;
         };
-        if !replica.has_lease(self.now) || self.now < self.tell_seeds_at {
+        if !replica.has_lease(self.now) || self.now < self.next_seed_update_at {
             return;
         }
-        self.tell_seeds_at = self.now + SEED_UPDATE_INTERVAL;
+        self.next_seed_update_at = self.now + SEED_UPDATE_INTERVAL;
         let told = MembershipRequest::Members {
             group: replica.group(),
             replicas: self.peers.all().collect(),
@@ -198,7 +198,7 @@
         let members = self.peers.addrs();
         for &to in self.seeds.iter().filter(|seed| !members.contains(seed)) {
             let told = told.clone();
-            self.actions.push(Action::SendMembershipRequest { to, told });
+            self.actions.push(Action::SendMembershipRequest { to, request: told });
         }
     }
 
@@ -206,7 +206,7 @@
     ///
     /// A replica that was added before its predecessor was removed makes the group one
     /// larger. If the predecessor stayed, it would permanently count as a failed voter.
-    pub(super) fn mend_group(&mut self) {
+    pub(super) fn remove_surplus_voter(&mut self) {
         if !self.leads() {
             return;
         }
@@ -229,7 +229,7 @@
         domain: DomainId,
     ) -> MembershipReply {
         let Some(replica) = self.replica.as_ref().filter(|_| self.leads()) else {
-            return self.group_reply();
+            return self.membership_reply();
         };
         if replica.members().get(node).is_some() {
             return MembershipReply::Joining;
@@ -241,15 +241,15 @@
             .find(|(_, m)| m.addr == addr)
             .map(|(&n, _)| n);
         let gone = same_place.or_else(|| self.silent_voter());
-        self.places.learn(replica.id(), self.cfg.domain.clone());
-        let placed = self.placed();
+        self.placement.learn(replica.id(), self.cfg.domain.clone());
+        let placed = self.voters_and_joining();
         let lacks_replicas = placed.len() < self.wanted();
         let is_free = gone.is_some() || lacks_replicas;
         let stay = placed.iter().filter(|&&node| Some(node) != gone);
-        if same_place.is_none() && !self.places.admits(self.now, &domain, is_free, stay) {
-            return self.group_reply();
+        if same_place.is_none() && !self.placement.admits(self.now, &domain, is_free, stay) {
+            return self.membership_reply();
         }
-        self.places.learn(node, domain);
+        self.placement.learn(node, domain);
         let change = match gone {
             Some(gone) => MemberChange::Replace {
                 gone,
@@ -263,23 +263,23 @@
                 addr,
                 promote: true,
             },
-            None => return self.group_reply(),
+            None => return self.membership_reply(),
         };
         self.change(change, Some(node), gone);
         MembershipReply::Joining
     }
 
     fn change(&mut self, change: MemberChange, joins: Option<NodeId>, leaves: Option<NodeId>) {
-        let ticket = self.own_ticket();
-        self.note(LogEvent::Membership {
+        let ticket = self.internal_ticket();
+        self.log(LogEvent::Membership {
             joins,
             leaves,
-            domains: self.places.domains().clone(),
+            domains: self.placement.domains().clone(),
         });
-        self.step(ReplicaEvent::Change { ticket, change });
+        self.step_replica(ReplicaEvent::Change { ticket, change });
     }
 
-    fn group_reply(&self) -> MembershipReply {
+    fn membership_reply(&self) -> MembershipReply {
         let Some(replica) = &self.replica else {
             return MembershipReply::None;
         };
@@ -309,7 +309,7 @@
     }
 
     /// Returns the voters and the replicas that are joining.
-    fn placed(&self) -> Vec<NodeId> {
+    fn voters_and_joining(&self) -> Vec<NodeId> {
         let progress = self.replica.as_ref().map(|r| r.progress(self.now));
         let placed = progress.into_iter().flatten();
         let placed = placed.filter(|s| s.voter || s.silent <= SILENCE_TIMEOUT);
@@ -318,7 +318,7 @@
 
     /// Returns the intended number of voters.
     fn wanted(&self) -> usize {
-        2 * self.cfg.tolerated + 1
+        2 * self.cfg.tolerated_failures + 1
     }
 
     fn set_peers(&mut self, peers: Peers) {
@@ -327,6 +327,6 @@
         }
         self.peers = peers.clone();
         self.actions.push(Action::Peers(peers));
-        self.tell_fleet();
+        self.publish_fleet();
     }
 }
--- a/sesamebeam_core/src/gateway/coordinator/places.rs
+++ b/sesamebeam_core/src/gateway/coordinator/placement.rs
@@ -25,7 +25,7 @@
     /// When a process of each failure domain last asked to join.
     asked: BTreeMap<DomainId, MonoTime>,
     /// Since when the group has had a vacancy.
-    free_since: Option<MonoTime>,
+    vacant_since: Option<MonoTime>,
 }
 
 impl VoterPlacement {
@@ -56,10 +56,10 @@
         self.asked.insert(domain.clone(), now);
         self.asked.retain(|_, at| now < *at + JOIN_REQUEST_WINDOW);
         if !is_free {
-            self.free_since = None;
+            self.vacant_since = None;
             return false;
         }
-        let since = *self.free_since.get_or_insert(now);
+        let since = *self.vacant_since.get_or_insert(now);
         let mut voters: BTreeMap<&DomainId, usize> = BTreeMap::new();
         for domain in stay.filter_map(|node| self.domains.get(node)) {
             *voters.entry(domain).or_default() += 1;
@@ -69,7 +69,7 @@
         let own = count(domain);
         let admitted = own == 0 || own == fewest && now >= since + JOIN_REQUEST_WINDOW;
         if admitted {
-            self.free_since = None;
+            self.vacant_since = None;
         }
         admitted
     }
--- a/sesamebeam_core/src/gateway/coordinator/telling.rs
+++ b/sesamebeam_core/src/gateway/coordinator/publisher.rs
@@ -78,32 +78,32 @@
     /// Connected entries.
     entries: BTreeSet<EntryId>,
     /// Estimate of the number of entries.
-    counted: EntryCounter,
+    entry_counter: EntryCounter,
     /// Entries that subscribe to all updates from this replica.
     followers: BTreeSet<EntryId>,
     /// Entries that have requested missing data, with their state.
-    lacking: BTreeMap<EntryId, SyncState>,
+    update_requests: BTreeMap<EntryId, SyncState>,
     /// Announcements to send to followers.
-    fresh: BTreeMap<ServerId, Announcement>,
+    pending_announcements: BTreeMap<ServerId, Announcement>,
     /// When the last batch was sent.
-    packed_at: MonoTime,
+    last_batch_at: MonoTime,
     /// When each bucket of the directory may be requested again.
-    want_at: BTreeMap<usize, MonoTime>,
+    next_pull_at: BTreeMap<usize, MonoTime>,
     /// When to repeat the directory comparison with replicas that were skipped while others
     /// were being asked.
-    pub(super) compare_at: BTreeMap<NodeId, MonoTime>,
+    pub(super) next_comparison_at: BTreeMap<NodeId, MonoTime>,
     /// Report to forward to the other replicas.
     report: Report,
     /// Unreachable backend servers reported by followers, to be sent to the other
     /// followers. Most followers are in the same failure domain as this replica.
-    unreached: BTreeSet<UnreachableServer>,
+    unreachable: BTreeSet<UnreachableServer>,
     /// Whether a change of the replicated state is to be published, and if so, whether it
     /// includes the configuration.
-    news: Option<bool>,
+    state_update: Option<bool>,
     /// Log position of the latest change.
     changed_at: LogIndex,
     /// Whether entries have been told that the state is current.
-    told_current: bool,
+    published_current: bool,
     /// Last published summary.
     summary: StateSummary,
     /// Last published shares.
@@ -116,18 +116,18 @@
 
 impl Publisher {
     /// Returns whether anything waits for the next batch.
-    fn waits(&self) -> bool {
-        !self.lacking.is_empty() || !self.fresh.is_empty()
+    fn has_pending(&self) -> bool {
+        !self.update_requests.is_empty() || !self.pending_announcements.is_empty()
     }
 
     /// Returns when the next batch is due, if anything waits for it.
     pub(super) fn next_wake(&self) -> Option<MonoTime> {
-        self.waits().then_some(self.packed_at + BATCH_INTERVAL)
+        self.has_pending().then_some(self.last_batch_at + BATCH_INTERVAL)
     }
 
     /// Resets the record that entries know the state to be current.
     pub(super) fn restart(&mut self) {
-        self.told_current = false;
+        self.published_current = false;
     }
 
     fn followers(&self) -> Recipients {
@@ -137,18 +137,18 @@
 
 impl Coordinator {
     /// Handles a newly connected entry.
-    pub(super) fn subscribe(&mut self, life: EntryId) {
-        self.telling.entries.insert(life);
-        let entries = self.telling.entries.len() as u32;
-        self.telling.counted.connected(self.now, entries);
-        let fleet = self.fleet();
+    pub(super) fn add_entry(&mut self, life: EntryId) {
+        self.publisher.entries.insert(life);
+        let entries = self.publisher.entries.len() as u32;
+        self.publisher.entry_counter.record_connected(self.now, entries);
+        let fleet = self.fleet_message();
         self.push(Recipients::Only(vec![life]), fleet);
     }
 
     /// Removes an entry whose connection has closed.
-    pub(super) fn unsubscribe(&mut self, life: EntryId) {
-        self.telling.entries.remove(&life);
-        self.telling.lacking.remove(&life);
+    pub(super) fn remove_entry(&mut self, life: EntryId) {
+        self.publisher.entries.remove(&life);
+        self.publisher.update_requests.remove(&life);
         self.unfollow(life);
     }
 
@@ -158,9 +158,9 @@
     /// partition. If the replica used its own count, entries that start there would claim
     /// too large a portion of the shared budgets.
     pub(super) fn follow(&mut self, life: EntryId, held: SyncState) {
-        self.telling.followers.insert(life);
-        self.telling.counted.confirmed(held.entries);
-        self.lacks(life, held);
+        self.publisher.followers.insert(life);
+        self.publisher.entry_counter.confirmed(held.entries);
+        self.request_update(life, held);
         let this = Recipients::Only(vec![life]);
         let quarantined = self.crashes.quarantined();
         if !quarantined.is_empty() {
@@ -172,123 +172,123 @@
             let limits = self.limits.tell(self.now);
             self.push(this.clone(), ToEntry::Limits(limits));
         }
-        for (kept, all) in self.trials.kept(self.now) {
+        for (kept, all) in self.rollout_monitor.kept(self.now) {
             self.push(this.clone(), ToEntry::RetainedSessions(kept, all));
         }
     }
 
     /// Ends an entry's subscription.
     pub(super) fn unfollow(&mut self, life: EntryId) {
-        self.telling.followers.remove(&life);
+        self.publisher.followers.remove(&life);
     }
 
     /// Records that an entry requests the data that it is missing.
-    pub(super) fn lacks(&mut self, life: EntryId, held: SyncState) {
-        self.telling.lacking.insert(life, held);
+    pub(super) fn request_update(&mut self, life: EntryId, held: SyncState) {
+        self.publisher.update_requests.insert(life, held);
     }
 
     /// Handles the report of an entry connected to this replica.
-    pub(super) fn reported(&mut self, report: Report) {
+    pub(super) fn handle_entry_report(&mut self, report: Report) {
         let mut report = report;
-        self.take_report(&report);
-        let unreached = std::mem::take(&mut report.unreached);
-        self.telling.unreached.extend(unreached);
-        self.telling.report.add(report);
+        self.process_report(&report);
+        let unreached = std::mem::take(&mut report.unreachable);
+        self.publisher.unreachable.extend(unreached);
+        self.publisher.report.add(report);
     }
 
     /// Processes the observations of entries.
-    pub(super) fn take_report(&mut self, report: &Report) {
-        self.trials.have_run(self.now, &self.store, &report.ages);
-        self.trials.take(self.now, &self.store, &report.evidence);
+    pub(super) fn process_report(&mut self, report: &Report) {
+        self.rollout_monitor.record_ages(self.now, &self.store, &report.rollout_ages);
+        self.rollout_monitor.take(self.now, &self.store, &report.evidence);
         self.loads.take(self.now, report.loads.iter().copied());
         self.limits.take(self.now, report.limits.iter().copied());
         self.pool.take(report.outcomes.iter().copied());
         self.waits.take(self.now, report.waits.iter().copied());
         self.shortages.take(self.now, report.work.iter().copied());
         self.count_crashes(&report.crashes);
-        for kept in &report.kept {
-            self.keep_sessions(kept);
+        for kept in &report.retained_sessions {
+            self.retain_sessions(kept);
         }
     }
 
     /// Queues announcements for the followers.
-    pub(super) fn tell_servers_soon(&mut self, servers: impl IntoIterator<Item = Announcement>) {
-        let fresh = &mut self.telling.fresh;
+    pub(super) fn queue_announcements(&mut self, servers: impl IntoIterator<Item = Announcement>) {
+        let fresh = &mut self.publisher.pending_announcements;
         fresh.extend(servers.into_iter().map(|said| (said.id.clone(), said)));
     }
 
     /// Records that the replicated state has changed.
-    pub(super) fn note_news(&mut self, index: LogIndex, with_config: bool) {
-        let news = &mut self.telling.news;
+    pub(super) fn mark_state_changed(&mut self, index: LogIndex, with_config: bool) {
+        let news = &mut self.publisher.state_update;
         *news = Some(with_config || news.unwrap_or_default());
-        self.telling.changed_at = index;
+        self.publisher.changed_at = index;
     }
 
     /// Publishes the changes caused by an event.
     pub(super) fn tell(&mut self) {
-        self.tell_state();
-        if self.telling.waits() && self.now >= self.telling.packed_at + BATCH_INTERVAL {
-            self.telling.packed_at = self.now;
-            self.tell_lacking();
-            self.tell_fresh();
+        self.publish_state();
+        if self.publisher.has_pending() && self.now >= self.publisher.last_batch_at + BATCH_INTERVAL {
+            self.publisher.last_batch_at = self.now;
+            self.send_requested_updates();
+            self.publish_announcements();
         }
     }
 
     /// Publishes what is due in each periodic run.
-    pub(super) fn tell_due(&mut self) {
-        self.compare_due();
-        if self.telling.counted.has_news(self.now) {
-            let fleet = self.fleet();
-            self.push(self.telling.followers(), fleet);
+    pub(super) fn publish_due(&mut self) {
+        self.repeat_comparisons();
+        if self.publisher.entry_counter.take_changed(self.now) {
+            let fleet = self.fleet_message();
+            self.push(self.publisher.followers(), fleet);
         }
-        let report = self.telling.report.take();
+        let report = self.publisher.report.take();
         if !report.is_empty() {
-            self.tell_peers(&CoordinatorMessage::Report(Box::new(report)));
+            self.broadcast(&CoordinatorMessage::Report(Box::new(report)));
         }
-        let unreached = std::mem::take(&mut self.telling.unreached);
+        let unreached = std::mem::take(&mut self.publisher.unreachable);
         if !unreached.is_empty() {
             let unreached = ToEntry::Unreachable(unreached.into_iter().collect());
-            self.push(self.telling.followers(), unreached);
+            self.push(self.publisher.followers(), unreached);
         }
         if let Some(loads) = self.loads.due(self.now, self.directory.count()) {
             let waits = self.waits.means(self.now);
             let shares = self.shortages.shares(self.now);
-            self.note_shares(&shares);
+            self.log_shares(&shares);
             let loads = ToEntry::Loads {
                 loads,
                 waits,
                 shares,
             };
-            self.push(self.telling.followers(), loads);
+            self.push(self.publisher.followers(), loads);
         }
         if self.pool.judge(self.now, &self.directory) {
             let doubts = self.pool.doubts().to_vec();
-            self.note(LogEvent::Doubts(doubts.clone()));
-            self.push(self.telling.followers(), ToEntry::Doubts(doubts));
+            self.log(LogEvent::Doubts(doubts.clone()));
+            self.push(self.publisher.followers(), ToEntry::Doubts(doubts));
         }
-        self.tell_limits();
+        self.publish_limits();
         let summary = self.summary();
-        if summary != self.telling.summary {
-            self.telling.summary = summary;
+        if summary != self.publisher.summary {
+            self.publisher.summary = summary;
             self.actions.push(Action::SetSummary(summary));
         }
-        self.keep_servers(summary.servers);
+        self.save_servers(summary.servers);
     }
 
     /// Saves the backend servers to disk if they have changed.
-    fn keep_servers(&mut self, digest: u32) {
-        let (kept, at) = self.telling.kept;
+    fn save_servers(&mut self, digest: u32) {
+        let (kept, at) = self.publisher.kept;
         if digest == kept || self.now < at + SAVE_INTERVAL {
             return;
         }
-        self.telling.kept = (digest, self.now);
-        let all = self.directory.tell(self.now);
+        self.publisher.kept = (digest, self.now);
+        let all = self.directory.announcements(self.now);
         let servers = all.filter(|said| said.state != ServerState::Gone).collect();
         self.actions.push(Action::SaveServers(servers));
     }
 
     /// Publishes the limits of backend servers if any was added, changed or ended.
-    fn tell_limits(&mut self) {
+    fn publish_limits(&mut self) {
         if self.limits.is_empty() {
             return;
         }
@@ -296,24 +296,24 @@
         self.limits
             .retain(|server| directory.with_key(server).next().is_some());
         let limits = self.limits.tell(self.now);
-        if self.telling.limits != limits {
-            self.telling.limits = limits.clone();
-            self.note(LogEvent::Limits(limits.clone()));
-            self.push(self.telling.followers(), ToEntry::Limits(limits));
+        if self.publisher.limits != limits {
+            self.publisher.limits = limits.clone();
+            self.log(LogEvent::Limits(limits.clone()));
+            self.push(self.publisher.followers(), ToEntry::Limits(limits));
         }
     }
 
     /// Logs the admitted shares if they have changed.
-    fn note_shares(&mut self, shares: &[ShareOf]) {
-        if self.telling.shares != shares {
-            self.telling.shares = shares.to_vec();
-            self.note(LogEvent::Shares(shares.to_vec()));
+    fn log_shares(&mut self, shares: &[ShareOf]) {
+        if self.publisher.shares != shares {
+            self.publisher.shares = shares.to_vec();
+            self.log(LogEvent::Shares(shares.to_vec()));
         }
     }
 
     /// Sends the group's membership to all entries.
-    pub(super) fn tell_fleet(&mut self) {
-        let fleet = self.fleet();
+    pub(super) fn publish_fleet(&mut self) {
+        let fleet = self.fleet_message();
         self.push(Recipients::All, fleet);
     }
 
@@ -323,65 +323,65 @@
     /// published separately, entries that had also just started activated 25 configurations
     /// one after the other within 30 ms, and rejected 23 callers whose keys were only added
     /// by one of the later ones.
-    fn tell_state(&mut self) {
+    fn publish_state(&mut self) {
         let current = self.replica.as_ref().is_some_and(Replica::is_current);
-        if current && !self.telling.told_current {
-            self.telling.told_current = true;
-            self.note_news(self.store.index(), true);
+        if current && !self.publisher.published_current {
+            self.publisher.published_current = true;
+            self.mark_state_changed(self.store.index(), true);
         }
-        let Some(with_config) = self.telling.news.take() else {
+        let Some(with_config) = self.publisher.state_update.take() else {
             return;
         };
-        let state = self.state(with_config);
-        self.push(self.telling.followers(), state);
+        let state = self.state_message(with_config);
+        self.push(self.publisher.followers(), state);
         // Lets entries that follow another replica detect that it lags behind.
         let summary = self.summary();
-        self.telling.summary = summary;
+        self.publisher.summary = summary;
         self.actions.push(Action::SetSummary(summary));
-        self.push(Recipients::All, ToEntry::Alive(summary));
+        self.push(Recipients::All, ToEntry::Heartbeat(summary));
     }
 
     /// Sends entries what they are missing, grouped by identical content.
-    fn tell_lacking(&mut self) {
+    fn send_requested_updates(&mut self) {
         let config = self.store.config().map(|c| c.version);
         let own = self.directory.digests().clone();
         let mut of_state: BTreeMap<bool, Vec<EntryId>> = BTreeMap::new();
         let mut of_servers: BTreeMap<BucketSet, Vec<EntryId>> = BTreeMap::new();
         let mut of_details: BTreeMap<BucketSet, Vec<EntryId>> = BTreeMap::new();
-        for (life, held) in std::mem::take(&mut self.telling.lacking) {
+        for (life, held) in std::mem::take(&mut self.publisher.update_requests) {
             of_state.entry(config > held.config).or_default().push(life);
             let differing = own.differing(&held.servers);
-            let filled = held.servers.filled();
-            let detailed = self.detailed(differing, filled);
+            let filled = held.servers.non_empty();
+            let detailed = self.buckets_by_section(differing, filled);
             of_details.entry(detailed).or_default().push(life);
-            let whole = differing.without(detailed);
+            let whole = differing.difference(detailed);
             of_servers.entry(whole).or_default().push(life);
-            self.want(life, differing, filled);
+            self.request_buckets(life, differing, filled);
         }
         for (with_config, lives) in of_state {
-            let state = self.state(with_config);
+            let state = self.state_message(with_config);
             self.push(Recipients::Only(lives), state);
         }
         for (parts, lives) in of_servers {
-            let servers = self.directory.tell_parts(self.now, parts).collect();
+            let servers = self.directory.announcements_in_buckets(self.now, parts).collect();
             self.push_servers(&Recipients::Only(lives), servers);
         }
         for (parts, lives) in of_details.into_iter().filter(|(p, _)| !p.is_empty()) {
-            let details = ToEntry::SectionDigests(self.directory.details(parts));
+            let details = ToEntry::SectionDigests(self.directory.section_digests(parts));
             self.push(Recipients::Only(lives), details);
         }
     }
 
     /// Returns which of the differing buckets are compared section by section first: those
     /// in which the entry has data and which hold many backend servers.
-    fn detailed(&self, differing: BucketSet, filled: BucketSet) -> BucketSet {
-        let large = |&n: &usize| self.directory.count_part(n) > MAX_UNSECTIONED_SERVERS;
-        BucketSet::these(differing.and(filled).numbers().filter(large))
+    fn buckets_by_section(&self, differing: BucketSet, filled: BucketSet) -> BucketSet {
+        let large = |&n: &usize| self.directory.count_in_bucket(n) > MAX_UNSECTIONED_SERVERS;
+        BucketSet::from_numbers(differing.intersection(filled).iter().filter(large))
     }
 
     /// Sends an entry the backend servers in some sections of the directory.
-    pub(super) fn lacks_sections(&mut self, life: EntryId, sections: &[Section]) {
-        let servers = self.directory.tell_sections(self.now, sections).collect();
+    pub(super) fn send_sections(&mut self, life: EntryId, sections: &[Section]) {
+        let servers = self.directory.announcements_in_sections(self.now, sections).collect();
         self.push_servers(&Recipients::Only(vec![life]), servers);
     }
 
@@ -393,29 +393,29 @@
     }
 
     /// Requests differing buckets from an entry, asking one entry at a time.
-    fn want(&mut self, life: EntryId, differing: BucketSet, filled: BucketSet) {
-        let (parts, _) = self.claim_parts(differing, filled);
+    fn request_buckets(&mut self, life: EntryId, differing: BucketSet, filled: BucketSet) {
+        let (parts, _) = self.claim_buckets(differing, filled);
         if !parts.is_empty() {
-            self.push(Recipients::Only(vec![life]), ToEntry::Wants(parts));
+            self.push(Recipients::Only(vec![life]), ToEntry::RequestBuckets(parts));
         }
     }
 
     /// Returns the buckets to request from a process now, among those that differ and that
     /// are not empty there, and whether others were left out because another process has
     /// just been asked for them.
-    pub(super) fn claim_parts(&mut self, differing: BucketSet, filled: BucketSet) -> (BucketSet, bool) {
-        let want_at = &mut self.telling.want_at;
+    pub(super) fn claim_buckets(&mut self, differing: BucketSet, filled: BucketSet) -> (BucketSet, bool) {
+        let want_at = &mut self.publisher.next_pull_at;
         let now = self.now;
         let is_due = |n: &usize| want_at.get(n).is_none_or(|at| now >= *at);
-        let of_both = differing.and(filled).numbers();
+        let of_both = differing.intersection(filled).iter();
         let (wanted, later): (Vec<usize>, Vec<usize>) = of_both.partition(is_due);
         want_at.extend(wanted.iter().map(|&n| (n, now + PULL_RETRY_DELAY)));
-        (BucketSet::these(wanted.into_iter()), !later.is_empty())
+        (BucketSet::from_numbers(wanted.into_iter()), !later.is_empty())
     }
 
-    fn tell_fresh(&mut self) {
-        let fresh = std::mem::take(&mut self.telling.fresh);
-        self.push_servers(&self.telling.followers(), fresh.into_values().collect());
+    fn publish_announcements(&mut self) {
+        let fresh = std::mem::take(&mut self.publisher.pending_announcements);
+        self.push_servers(&self.publisher.followers(), fresh.into_values().collect());
     }
 
     /// Counts crashes and publishes the requests that have caused several.
@@ -426,18 +426,18 @@
         }
         if found {
             let push = ToEntry::Quarantined(self.crashes.quarantined());
-            self.push(self.telling.followers(), push);
+            self.push(self.publisher.followers(), push);
         }
     }
 
     /// Records retained sessions and forwards them to followers.
-    fn keep_sessions(&mut self, kept: &RetainedSessions) {
-        self.trials.keep(kept);
-        self.push(self.telling.followers(), ToEntry::RetainedSessions(kept.clone(), false));
+    fn retain_sessions(&mut self, kept: &RetainedSessions) {
+        self.rollout_monitor.retain_sessions(kept);
+        self.push(self.publisher.followers(), ToEntry::RetainedSessions(kept.clone(), false));
     }
 
     /// Builds the message with the replicated state.
-    fn state(&self, with_config: bool) -> ToEntry {
+    fn state_message(&self, with_config: bool) -> ToEntry {
         let config = self.store.config().filter(|_| with_config).cloned();
         ToEntry::State {
             index: self.store.index(),
@@ -447,19 +447,19 @@
         }
     }
 
-    fn fleet(&self) -> ToEntry {
+    fn fleet_message(&self) -> ToEntry {
         ToEntry::Fleet {
             domain: self.cfg.domain.clone(),
             replicas: self.peers.addrs(),
-            entries: self.telling.counted.known(self.now),
+            entries: self.publisher.entry_counter.known(self.now),
         }
     }
 
     fn summary(&mut self) -> StateSummary {
         StateSummary {
             config: self.store.config().map(|c| c.version),
-            index: self.telling.changed_at,
-            servers: self.directory.digests().whole(),
+            index: self.publisher.changed_at,
+            servers: self.directory.digests().combined(),
             settled: self.is_member() && self.knows_leader(),
         }
     }
--- a/sesamebeam_core/src/gateway/coordinator/calls.rs
+++ b/sesamebeam_core/src/gateway/coordinator/requests.rs
@@ -90,24 +90,24 @@
 /// A request that is waiting for the group.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
-    call: ApiRequest,
-    until: MonoTime,
+    request: ApiRequest,
+    deadline: MonoTime,
 }
 
 impl Coordinator {
     /// Handles a request.
-    pub(super) fn called(&mut self, ticket: Ticket, call: ApiRequest) {
+    pub(super) fn handle_request(&mut self, ticket: Ticket, call: ApiRequest) {
         match call {
-            ApiRequest::Announce(said) => self.announced(ticket, said),
-            ApiRequest::Leave { id, born } => self.left(ticket, &id, born),
-            ApiRequest::Apply(ref document) if self.holds(document.version) => {
-                self.answer(ticket, ApiResponse::Done);
+            ApiRequest::Announce(said) => self.handle_announcement(ticket, said),
+            ApiRequest::Leave { id, born } => self.handle_leave(ticket, &id, born),
+            ApiRequest::Apply(ref document) if self.has_config(document.version) => {
+                self.respond(ticket, ApiResponse::Done);
             }
             ApiRequest::StartRollout {
                 ref service,
                 ref target,
                 ..
-            } if self.store.has_started(service, target) => self.answer(ticket, ApiResponse::Done),
+            } if self.store.has_started(service, target) => self.respond(ticket, ApiResponse::Done),
             ApiRequest::Apply(ref document) => {
                 let command = Command::Apply(document.clone());
                 self.propose(ticket, call, &command);
@@ -128,7 +128,7 @@
             // order: the opposite order may have been acknowledged in between, which a
             // lagging replica does not know.
             ApiRequest::Evacuate(ref domain) if !self.store.may_evacuate(domain) => {
-                self.answer(ticket, ApiResponse::Unavailable);
+                self.respond(ticket, ApiResponse::Unavailable);
             }
             ApiRequest::Evacuate(ref domain) => {
                 let command = Command::Evacuate(domain.clone());
@@ -139,27 +139,27 @@
                 self.propose(ticket, call, &command);
             }
             ApiRequest::ReadConfig | ApiRequest::ReadRollout(_) => {
-                if self.may_lead(ticket) {
-                    self.wait(ticket, call);
-                    self.step(ReplicaEvent::Read { ticket });
+                if self.ensure_leader(ticket) {
+                    self.add_pending(ticket, call);
+                    self.step_replica(ReplicaEvent::Read { ticket });
                 }
             }
         }
     }
 
     /// Responds to a request whose log entry is committed.
-    pub(super) fn done(&mut self, ticket: Ticket) {
-        if self.waiting.remove(&ticket).is_some() {
-            self.answer(ticket, ApiResponse::Done);
+    pub(super) fn complete_request(&mut self, ticket: Ticket) {
+        if self.pending_requests.remove(&ticket).is_some() {
+            self.respond(ticket, ApiResponse::Done);
         }
     }
 
     /// Responds to a read once it is linearizable.
     pub(super) fn read_ready(&mut self, ticket: Ticket) {
-        let Some(waiting) = self.waiting.remove(&ticket) else {
+        let Some(waiting) = self.pending_requests.remove(&ticket) else {
             return;
         };
-        let answer = match waiting.call {
+        let answer = match waiting.request {
             ApiRequest::ReadConfig => match self.store.config() {
                 Some(document) => ApiResponse::Config(document.bytes.clone()),
                 None => ApiResponse::Missing,
@@ -170,95 +170,95 @@
             },
             _ => ApiResponse::Done,
         };
-        self.answer(ticket, answer);
+        self.respond(ticket, answer);
     }
 
     /// Responds to a request that the replica has rejected.
-    pub(super) fn rejected(&mut self, ticket: Ticket, reason: Rejection) {
-        if self.waiting.remove(&ticket).is_none() {
+    pub(super) fn handle_rejection(&mut self, ticket: Ticket, reason: Rejection) {
+        if self.pending_requests.remove(&ticket).is_none() {
             return;
         }
         let answer = match reason {
-            Rejection::NotLeader(_) => self.elsewhere(),
+            Rejection::NotLeader(_) => self.redirect(),
             Rejection::Full | Rejection::Busy | Rejection::Unsure | Rejection::Change(_) => {
                 ApiResponse::Unavailable
             }
         };
-        self.answer(ticket, answer);
+        self.respond(ticket, answer);
     }
 
     /// Responds to requests that the group did not complete in time.
-    pub(super) fn give_up_late(&mut self) {
-        self.give_up_confirming();
+    pub(super) fn expire_requests(&mut self) {
+        self.expire_confirmations();
         let now = self.now;
         let late: Vec<Ticket> = self
-            .waiting
+            .pending_requests
             .iter()
-            .filter(|(_, w)| now >= w.until)
+            .filter(|(_, w)| now >= w.deadline)
             .map(|(&ticket, _)| ticket)
             .collect();
         for ticket in late {
-            self.waiting.remove(&ticket);
-            self.answer(ticket, ApiResponse::Unavailable);
+            self.pending_requests.remove(&ticket);
+            self.respond(ticket, ApiResponse::Unavailable);
         }
     }
 
     /// Proposes a change on behalf of this replica.
-    pub(super) fn propose_own(&mut self, command: &Command) {
-        let ticket = self.own_ticket();
+    pub(super) fn propose_internal(&mut self, command: &Command) {
+        let ticket = self.internal_ticket();
         if let Ok(data) = postcard::to_stdvec(command) {
-            self.step(ReplicaEvent::Propose { ticket, data });
+            self.step_replica(ReplicaEvent::Propose { ticket, data });
         }
     }
 
     /// Returns a ticket for which no caller waits for a response.
-    pub(super) fn own_ticket(&mut self) -> Ticket {
+    pub(super) fn internal_ticket(&mut self) -> Ticket {
         self.next_ticket += 1;
         // Tickets of callers come from a counter that starts at 0.
         Ticket::MAX - self.next_ticket
     }
 
-    fn holds(&self, version: u64) -> bool {
+    fn has_config(&self, version: u64) -> bool {
         self.store.config().is_some_and(|c| c.version >= version)
     }
 
     fn propose(&mut self, ticket: Ticket, call: ApiRequest, command: &Command) {
-        if !self.may_lead(ticket) {
+        if !self.ensure_leader(ticket) {
             return;
         }
         match postcard::to_stdvec(command) {
             Ok(data) => {
-                self.wait(ticket, call);
-                self.step(ReplicaEvent::Propose { ticket, data });
+                self.add_pending(ticket, call);
+                self.step_replica(ReplicaEvent::Propose { ticket, data });
             }
-            Err(_) => self.answer(ticket, ApiResponse::Unavailable),
+            Err(_) => self.respond(ticket, ApiResponse::Unavailable),
         }
     }
 
     /// Returns whether this replica leads; if not, redirects the caller to the leader.
-    fn may_lead(&mut self, ticket: Ticket) -> bool {
+    fn ensure_leader(&mut self, ticket: Ticket) -> bool {
         if self.leads() {
             return true;
         }
-        let answer = self.elsewhere();
-        self.answer(ticket, answer);
+        let answer = self.redirect();
+        self.respond(ticket, answer);
         false
     }
 
     /// Returns the response to a request that only the leader can handle.
-    pub(super) fn elsewhere(&self) -> ApiResponse {
+    pub(super) fn redirect(&self) -> ApiResponse {
         match self.leader_addr() {
             Some(addr) if addr != self.cfg.addr => ApiResponse::Leader(addr),
             _ => ApiResponse::Unavailable,
         }
     }
 
-    fn wait(&mut self, ticket: Ticket, call: ApiRequest) {
-        let until = self.now + self.cfg.patience;
-        self.waiting.insert(ticket, PendingRequest { call, until });
+    fn add_pending(&mut self, ticket: Ticket, call: ApiRequest) {
+        let until = self.now + self.cfg.request_timeout;
+        self.pending_requests.insert(ticket, PendingRequest { request: call, deadline: until });
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: ApiResponse) {
+    fn respond(&mut self, ticket: Ticket, answer: ApiResponse) {
         self.actions.push(Action::Respond(ticket, answer));
     }
 }
--- a/sesamebeam_core/src/gateway/coordinator/trial.rs
+++ b/sesamebeam_core/src/gateway/coordinator/rollout_monitor.rs
@@ -37,7 +37,7 @@
 pub(super) struct RolloutMonitor {
     watched: BTreeMap<(ServiceId, SmolStr), Watch>,
     /// Start times of rollouts whose start command is not applied here yet.
-    heard: BTreeMap<(ServiceId, SmolStr), MonoTime>,
+    start_times: BTreeMap<(ServiceId, SmolStr), MonoTime>,
     /// Sessions that must stay on the previous versions.
     kept: BTreeMap<(ServiceId, SmolStr), BTreeSet<u64>>,
 }
@@ -53,7 +53,7 @@
         for (service, rollout) in rollouts {
             let key = (service.clone(), rollout.target.clone());
             if !self.watched.contains_key(&key) {
-                let started = self.heard.remove(&key).unwrap_or(now);
+                let started = self.start_times.remove(&key).unwrap_or(now);
                 self.watched.insert(key, Watch::new(started));
             }
         }
@@ -61,7 +61,7 @@
 
     /// Records how long rollouts have been running, including those not applied here yet: a
     /// replica that has just started learns of them from reports first.
-    pub(super) fn have_run(&mut self, now: MonoTime, store: &Store, ages: &[RolloutAge]) {
+    pub(super) fn record_ages(&mut self, now: MonoTime, store: &Store, ages: &[RolloutAge]) {
         self.follow(now, store.rollouts());
         for RolloutAge {
             service,
@@ -74,7 +74,7 @@
                 Some(watch) => watch.has_run(now, *age),
                 None => {
                     let started = now.saturating_sub(*age);
-                    let heard = self.heard.entry(key).or_insert(started);
+                    let heard = self.start_times.entry(key).or_insert(started);
                     *heard = started.min(*heard);
                 }
             }
@@ -82,7 +82,7 @@
     }
 
     /// Records sessions that must stay on the versions before a rollout.
-    pub(super) fn keep(&mut self, kept: &RetainedSessions) {
+    pub(super) fn retain_sessions(&mut self, kept: &RetainedSessions) {
         let key = (kept.service.clone(), kept.target.clone());
         let sessions = self.kept.entry(key).or_default();
         sessions.extend(&kept.sessions);
@@ -120,28 +120,28 @@
 
 impl Coordinator {
     /// Proposes the next phase for rollouts that are due or whose new version is bad.
-    pub(super) fn move_rollouts(&mut self) {
+    pub(super) fn advance_rollouts(&mut self) {
         if !self.leads() {
             return;
         }
         for (service, rollout) in self.store.rollouts().clone() {
             let key = (service.clone(), rollout.target.clone());
-            let Some(watch) = self.trials.watched.get(&key) else {
+            let Some(watch) = self.rollout_monitor.watched.get(&key) else {
                 continue;
             };
-            let phase = watch.phase(self.now, &rollout, self.cfg.exposure);
+            let phase = watch.phase(self.now, &rollout, self.cfg.max_exposure);
             if phase == rollout.phase {
                 continue;
             }
             let counts = watch.summary();
             let target = rollout.target.clone();
-            self.note(LogEvent::Rollout {
+            self.log(LogEvent::Rollout {
                 service: service.clone(),
                 target: target.clone(),
                 phase,
                 counts,
             });
-            self.propose_own(&Command::Move {
+            self.propose_internal(&Command::Move {
                 service,
                 target,
                 phase,
--- a/sesamebeam_core/src/gateway/digests.rs
+++ b/sesamebeam_core/src/gateway/digests.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SectionDigests {
     /// Number of the bucket.
-    part: u8,
+    bucket: u8,
     sections: Vec<u32>,
 }
 
@@ -60,20 +60,20 @@
             sections[at] ^= digest(&server);
         }
         Self {
-            part: part as u8,
+            bucket: part as u8,
             sections,
         }
     }
 
     /// Returns the number of the bucket, or none if the sender uses another layout.
-    pub(super) fn part(&self) -> Option<usize> {
-        let part = usize::from(self.part);
+    pub(super) fn bucket(&self) -> Option<usize> {
+        let part = usize::from(self.bucket);
         (part < BUCKETS && self.sections.len() == SECTIONS).then_some(part)
     }
 
     /// Iterates over the sections that differ.
     pub(super) fn differing(&self, other: &Self) -> impl Iterator<Item = Section> {
-        let first = usize::from(self.part) * SECTIONS;
+        let first = usize::from(self.bucket) * SECTIONS;
         let pairs = self.sections.iter().zip(&other.sections).enumerate();
         let differing = pairs.filter(|(_, (own, other))| own != other);
         differing.map(move |(at, _)| (first + at) as Section)
@@ -81,13 +81,13 @@
 }
 
 /// Returns the first and last key of a bucket.
-pub(super) fn keys_of_part(part: usize) -> (ServerKey, ServerKey) {
+pub(super) fn bucket_keys(part: usize) -> (ServerKey, ServerKey) {
     let first = (part as ServerKey) << BUCKET_SHIFT;
     (first, first | (ServerKey::MAX >> BUCKET_BITS))
 }
 
 /// Returns the first and last key of a section.
-pub(super) fn keys_of_section(section: Section) -> (ServerKey, ServerKey) {
+pub(super) fn section_keys(section: Section) -> (ServerKey, ServerKey) {
     let first = ServerKey::from(section) << SECTION_SHIFT;
     (
         first,
@@ -106,7 +106,7 @@
         return 0;
     }
     let (life, state) = (&server.life, server.state as u8);
-    let held = format!("{} {} {state} {}", life.id, life.born, server.version);
+    let held = format!("{} {} {state} {}", life.id, life.started_at, server.version);
     hash::name(held.as_bytes()) as u32
 }
 
@@ -124,32 +124,32 @@
     }
 
     /// Returns the buckets that are in both sets.
-    pub(super) fn and(self, others: Self) -> Self {
+    pub(super) fn intersection(self, others: Self) -> Self {
         Self(self.0 & others.0)
     }
 
     /// Returns the buckets that are not in the other set.
-    pub(super) fn without(self, others: Self) -> Self {
+    pub(super) fn difference(self, others: Self) -> Self {
         Self(self.0 & !others.0)
     }
 
     /// Returns whether a backend server belongs to one of the buckets.
-    pub fn has(self, id: &ServerId) -> bool {
-        self.has_part(part(loads::key(id)))
+    pub fn contains_server(self, id: &ServerId) -> bool {
+        self.contains(bucket(loads::key(id)))
     }
 
     /// Returns whether the set contains a bucket.
-    pub(super) fn has_part(self, number: usize) -> bool {
+    pub(super) fn contains(self, number: usize) -> bool {
         self.0 & (1 << number) != 0
     }
 
     /// Iterates over the numbers of the buckets.
-    pub(super) fn numbers(self) -> impl Iterator<Item = usize> {
-        (0..BUCKETS).filter(move |&n| self.has_part(n))
+    pub(super) fn iter(self) -> impl Iterator<Item = usize> {
+        (0..BUCKETS).filter(move |&n| self.contains(n))
     }
 
     /// Creates a set from bucket numbers.
-    pub(super) fn these(numbers: impl Iterator<Item = usize>) -> Self {
+    pub(super) fn from_numbers(numbers: impl Iterator<Item = usize>) -> Self {
         Self(numbers.fold(0, |parts, n| parts | (1 << n)))
     }
 }
@@ -167,11 +167,11 @@
 impl Digests {
     /// Adds a backend server, or removes it if it was added before.
     pub(super) fn toggle(&mut self, server: &IndexedServer) {
-        self.0[part(server.key())] ^= digest(server);
+        self.0[bucket(server.key())] ^= digest(server);
     }
 
     /// Returns one digest of the whole directory.
-    pub fn whole(&self) -> u32 {
+    pub fn combined(&self) -> u32 {
         let bytes: Vec<u8> = self.0.iter().flat_map(|d| d.to_le_bytes()).collect();
         hash::name(&bytes) as u32
     }
@@ -180,15 +180,15 @@
     /// side uses another number of buckets.
     pub fn differing(&self, other: &Self) -> BucketSet {
         let differs = |n: &usize| self.0.get(*n) != other.0.get(*n);
-        BucketSet::these((0..BUCKETS).filter(differs))
+        BucketSet::from_numbers((0..BUCKETS).filter(differs))
     }
 
     /// Returns the buckets that are not empty.
-    pub fn filled(&self) -> BucketSet {
+    pub fn non_empty(&self) -> BucketSet {
         self.differing(&Self::default())
     }
 }
 
-fn part(key: ServerKey) -> usize {
+fn bucket(key: ServerKey) -> usize {
     (key >> BUCKET_SHIFT) as usize
 }
--- a/sesamebeam_core/src/gateway/directory.rs
+++ b/sesamebeam_core/src/gateway/directory.rs
@@ -58,7 +58,7 @@
     /// Id of the backend server.
     pub id: ServerId,
     /// Start time.
-    pub born: StartTime,
+    pub started_at: StartTime,
 }
 
 /// Number of ended incarnations that are remembered, so that a late announcement does not
@@ -88,7 +88,7 @@
     /// Id of the backend server.
     pub id: ServerId,
     /// Start time of this incarnation.
-    pub born: StartTime,
+    pub started_at: StartTime,
     /// Service that it belongs to.
     pub service: ServiceId,
     /// Address for requests.
@@ -114,9 +114,9 @@
 #[derive(Clone, Debug)]
 pub struct ServerRecord {
     /// The newest announcement.
-    pub said: Announcement,
+    pub announcement: Announcement,
     /// When it was last heard of, directly or through others.
-    pub heard_at: MonoTime,
+    pub last_heard_at: MonoTime,
     /// When its cold phase ends, according to its announcement.
     pub cold_until: MonoTime,
 }
@@ -146,28 +146,28 @@
     /// third party for a service that nobody provides must not end a working incarnation.
     pub fn take(&mut self, now: MonoTime, said: Announcement, is_named: bool) -> bool {
         self.examined += 1;
-        let born = self.servers.get(&said.id).map(|known| known.said.born);
+        let born = self.servers.get(&said.id).map(|known| known.announcement.started_at);
         match born {
-            Some(born) if said.born < born => return false,
-            Some(born) if said.born == born => {
+            Some(born) if said.started_at < born => return false,
+            Some(born) if said.started_at == born => {
                 let id = said.id.clone();
-                return self.change(&id, |known| known.update(now, said)) == Some(true);
+                return self.modify(&id, |known| known.update(now, said)) == Some(true);
             }
             Some(_) | None => {}
         }
         let mut said = said;
-        if said.state != ServerState::Gone && self.is_outlived(&said) {
+        if said.state != ServerState::Gone && self.is_superseded(&said) {
             said.state = ServerState::Gone;
         }
         if said.state != ServerState::Gone && is_named {
-            self.end_at(now, &said);
+            self.end_older_at_address(now, &said);
         }
-        self.put(ServerRecord {
+        self.insert(ServerRecord {
             cold_until: now + said.cold,
-            heard_at: now,
-            said,
+            last_heard_at: now,
+            announcement: said,
         });
-        self.forget_ended();
+        self.evict_oldest_gone();
         true
     }
 
@@ -177,22 +177,22 @@
     }
 
     /// Returns whether the announced service has any other backend server.
-    pub fn has_other(&self, said: &Announcement) -> bool {
+    pub fn has_other_server(&self, said: &Announcement) -> bool {
         let this = self.servers.get(&said.id);
-        let is_of_it = this.is_some_and(|k| k.said.service == said.service);
-        self.index.known(&said.service) > usize::from(is_of_it)
+        let is_of_it = this.is_some_and(|k| k.announcement.service == said.service);
+        self.index.count_of_service(&said.service) > usize::from(is_of_it)
     }
 
     /// Marks a backend server as gone, identified by its id and optionally its start time.
-    pub fn leave(&mut self, now: MonoTime, id: &str, born: Option<StartTime>) -> Option<Announcement> {
+    pub fn mark_gone(&mut self, now: MonoTime, id: &str, born: Option<StartTime>) -> Option<Announcement> {
         let known = self.servers.get(id)?;
-        if born.is_some_and(|born| born != known.said.born) {
+        if born.is_some_and(|born| born != known.announcement.started_at) {
             return None;
         }
-        let mut said = known.said.clone();
+        let mut said = known.announcement.clone();
         said.state = ServerState::Gone;
         said.sequence += 1;
-        self.change(id, |known| known.update(now, said.clone()));
+        self.modify(id, |known| known.update(now, said.clone()));
         Some(said)
     }
 
@@ -213,51 +213,51 @@
 
     /// Iterates over current announcements of the backend servers in some buckets,
     /// including those that are gone.
-    pub fn tell_parts(&self, now: MonoTime, parts: BucketSet) -> impl Iterator<Item = Announcement> {
-        let keys = parts.numbers().map(digests::keys_of_part);
+    pub fn announcements_in_buckets(&self, now: MonoTime, parts: BucketSet) -> impl Iterator<Item = Announcement> {
+        let keys = parts.iter().map(digests::bucket_keys);
         let known = keys.flat_map(|keys| self.with_keys(keys));
         known.map(move |known| known.tell(now))
     }
 
     /// Iterates over current announcements of the backend servers in some sections,
     /// including those that are gone.
-    pub fn tell_sections<'a>(
+    pub fn announcements_in_sections<'a>(
         &'a self,
         now: MonoTime,
         sections: &'a [Section],
     ) -> impl Iterator<Item = Announcement> + 'a {
-        let keys = sections.iter().map(|&s| digests::keys_of_section(s));
+        let keys = sections.iter().map(|&s| digests::section_keys(s));
         let known = keys.flat_map(|keys| self.with_keys(keys));
         known.map(move |known| known.tell(now))
     }
 
     /// Returns the number of backend servers in a bucket, including those that are gone.
-    pub fn count_part(&self, part: usize) -> usize {
-        self.with_keys(digests::keys_of_part(part)).count()
+    pub fn count_in_bucket(&self, part: usize) -> usize {
+        self.with_keys(digests::bucket_keys(part)).count()
     }
 
     /// Returns the section digests of some buckets.
-    pub fn details(&self, parts: BucketSet) -> Vec<SectionDigests> {
-        parts.numbers().map(|part| self.detail(part)).collect()
+    pub fn section_digests(&self, parts: BucketSet) -> Vec<SectionDigests> {
+        parts.iter().map(|part| self.digests_of_bucket(part)).collect()
     }
 
     /// Returns the sections that differ from those of another directory.
     pub fn differing_sections(&self, details: &[SectionDigests]) -> Vec<Section> {
         let pairs = details.iter().filter_map(|theirs| {
-            let own = self.detail(theirs.part()?);
+            let own = self.digests_of_bucket(theirs.bucket()?);
             Some(own.differing(theirs).collect::<Vec<_>>())
         });
         pairs.flatten().collect()
     }
 
-    fn detail(&self, part: usize) -> SectionDigests {
-        let known = self.with_keys(digests::keys_of_part(part));
+    fn digests_of_bucket(&self, part: usize) -> SectionDigests {
+        let known = self.with_keys(digests::bucket_keys(part));
         SectionDigests::of(part, known.map(IndexedServer::of))
     }
 
     /// Iterates over current announcements of all backend servers, including those that are
     /// gone.
-    pub fn tell(&self, now: MonoTime) -> impl Iterator<Item = Announcement> + '_ {
+    pub fn announcements(&self, now: MonoTime) -> impl Iterator<Item = Announcement> + '_ {
         self.servers.values().map(move |known| known.tell(now))
     }
 
@@ -282,7 +282,7 @@
         group: &ServerGroup<'a>,
         window: Window,
     ) -> impl Iterator<Item = &'a ServerRecord> + use<'a> {
-        let ids = group.within(window);
+        let ids = group.in_window(window);
         ids.filter_map(|id| self.servers.get(id))
     }
 
@@ -298,28 +298,28 @@
     }
 
     /// Returns whether an incarnation that started later is at the same address.
-    fn is_outlived(&mut self, said: &Announcement) -> bool {
-        let there = self.index.at(said.addr);
+    fn is_superseded(&mut self, said: &Announcement) -> bool {
+        let there = self.index.by_address(said.addr);
         self.examined += there.len() as u64;
         let mut lives = there.iter().filter_map(|id| self.servers.get(id));
-        lives.any(|k| k.said.born > said.born)
+        lives.any(|k| k.announcement.started_at > said.started_at)
     }
 
-    fn end_at(&mut self, now: MonoTime, newer: &Announcement) {
-        let there = self.index.at(newer.addr).to_vec();
+    fn end_older_at_address(&mut self, now: MonoTime, newer: &Announcement) {
+        let there = self.index.by_address(newer.addr).to_vec();
         self.examined += there.len() as u64;
         for id in there.into_iter().filter(|id| *id != newer.id) {
-            self.change(&id, |known| {
-                if known.said.born <= newer.born {
-                    known.said.state = ServerState::Gone;
-                    known.heard_at = now;
+            self.modify(&id, |known| {
+                if known.announcement.started_at <= newer.started_at {
+                    known.announcement.state = ServerState::Gone;
+                    known.last_heard_at = now;
                 }
             });
         }
     }
 
-    fn forget_ended(&mut self) {
-        let (ended, oldest) = self.index.ended();
+    fn evict_oldest_gone(&mut self) {
+        let (ended, oldest) = self.index.gone();
         let oldest = oldest.filter(|_| ended > MAX_GONE).cloned();
         if let Some(id) = oldest {
             self.remove(&id);
@@ -327,7 +327,7 @@
     }
 
     /// Modifies a record and keeps the index and digests in sync.
-    fn change<T>(&mut self, id: &str, change: impl FnOnce(&mut ServerRecord) -> T) -> Option<T> {
+    fn modify<T>(&mut self, id: &str, change: impl FnOnce(&mut ServerRecord) -> T) -> Option<T> {
         let known = self.servers.get_mut(id)?;
         let before = IndexedServer::of(known);
         let result = change(known);
@@ -342,12 +342,12 @@
     }
 
     /// Inserts a record in place of any previous incarnation with the same id.
-    fn put(&mut self, known: ServerRecord) {
-        self.remove(&known.said.id);
+    fn insert(&mut self, known: ServerRecord) {
+        self.remove(&known.announcement.id);
         let indexed = IndexedServer::of(&known);
         self.index.insert(&indexed);
         self.digests.toggle(&indexed);
-        self.servers.insert(known.said.id.clone(), known);
+        self.servers.insert(known.announcement.id.clone(), known);
     }
 
     fn remove(&mut self, id: &str) {
@@ -363,8 +363,8 @@
     /// Returns the incarnation.
     pub fn life(&self) -> ServerIncarnation {
         ServerIncarnation {
-            id: self.said.id.clone(),
-            born: self.said.born,
+            id: self.announcement.id.clone(),
+            started_at: self.announcement.started_at,
         }
     }
 
@@ -373,7 +373,7 @@
     pub fn tell(&self, now: MonoTime) -> Announcement {
         Announcement {
             cold: self.cold_until.saturating_sub(now),
-            ..self.said.clone()
+            ..self.announcement.clone()
         }
     }
 
@@ -382,8 +382,8 @@
     ///
     /// Announcements repeat the same remaining time, so an end that is later by less than
     /// [`COLD_MARGIN`] only shows that the announcement was delayed for longer.
-    fn cools(&mut self, now: MonoTime, said: &Announcement) -> bool {
-        if said.sequence <= self.said.sequence {
+    fn update_cold(&mut self, now: MonoTime, said: &Announcement) -> bool {
+        if said.sequence <= self.announcement.sequence {
             return false;
         }
         let before = std::mem::replace(&mut self.cold_until, now + said.cold);
@@ -394,22 +394,22 @@
     /// anything new. The service and address of an incarnation never change; an
     /// announcement that differs in them was not made by the server itself.
     fn update(&mut self, now: MonoTime, said: Announcement) -> bool {
-        let older = said.sequence <= self.said.sequence && said.state <= self.said.state;
+        let older = said.sequence <= self.announcement.sequence && said.state <= self.announcement.state;
         let moved = said.state != ServerState::Gone
-            && (&said.service, said.addr) != (&self.said.service, self.said.addr);
-        if self.said.state == ServerState::Gone || older || moved {
+            && (&said.service, said.addr) != (&self.announcement.service, self.announcement.addr);
+        if self.announcement.state == ServerState::Gone || older || moved {
             return false;
         }
-        self.heard_at = now;
-        let cools = self.cools(now, &said);
-        let sequence = self.said.sequence.max(said.sequence);
-        let state = self.said.state.max(said.state);
+        self.last_heard_at = now;
+        let cools = self.update_cold(now, &said);
+        let sequence = self.announcement.sequence.max(said.sequence);
+        let state = self.announcement.state.max(said.state);
         let same = Announcement {
-            sequence: self.said.sequence,
-            cold: self.said.cold,
+            sequence: self.announcement.sequence,
+            cold: self.announcement.cold,
             ..said.clone()
-        } == self.said;
-        self.said = Announcement {
+        } == self.announcement;
+        self.announcement = Announcement {
             sequence,
             state,
             ..said
--- a/sesamebeam_core/src/gateway/directory/index.rs
+++ b/sesamebeam_core/src/gateway/directory/index.rs
@@ -47,13 +47,13 @@
     domain: DomainId,
     addr: SocketAddr,
     /// When it was last heard of, once it is gone.
-    ended_at: Option<MonoTime>,
+    gone_at: Option<MonoTime>,
 }
 
 impl IndexedServer {
     /// Extracts the indexed properties of a record.
     pub(super) fn of(known: &ServerRecord) -> Self {
-        let said = &known.said;
+        let said = &known.announcement;
         Self {
             key: loads::key(&said.id),
             life: known.life(),
@@ -62,7 +62,7 @@
             service: said.service.clone(),
             domain: said.domain.clone(),
             addr: said.addr,
-            ended_at: (said.state == ServerState::Gone).then_some(known.heard_at),
+            gone_at: (said.state == ServerState::Gone).then_some(known.last_heard_at),
         }
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Iterates over the backend servers with a key in a window.
-    pub(super) fn within(&self, window: Window) -> impl Iterator<Item = &'a ServerId> + use<'a> {
+    pub(super) fn in_window(&self, window: Window) -> impl Iterator<Item = &'a ServerId> + use<'a> {
         let at = |point| (point, ServerId::default());
         let from = u64::from(window.from);
         let end = from + window.width;
@@ -154,23 +154,23 @@
     /// Ready backend servers.
     ready: BTreeMap<ServiceId, BTreeMap<(DomainId, SmolStr), ServerSet>>,
     /// Number of known backend servers of each service, including those that are gone.
-    services: BTreeMap<ServiceId, usize>,
+    server_counts: BTreeMap<ServiceId, usize>,
     /// Backend servers at an address that are not gone.
-    at: HashMap<SocketAddr, Vec<ServerId>>,
-    keys: ServerSet,
+    by_address: HashMap<SocketAddr, Vec<ServerId>>,
+    by_key: ServerSet,
     /// Backend servers that are gone, oldest first.
-    ended: BTreeSet<(MonoTime, ServerId)>,
+    gone: BTreeSet<(MonoTime, ServerId)>,
 }
 
 impl Index {
     pub(super) fn insert(&mut self, indexed: &IndexedServer) {
-        self.keys.insert(indexed.member());
-        *self.services.entry(indexed.service.clone()).or_default() += 1;
-        if let Some(at) = indexed.ended_at {
-            self.ended.insert((at, indexed.life.id.clone()));
+        self.by_key.insert(indexed.member());
+        *self.server_counts.entry(indexed.service.clone()).or_default() += 1;
+        if let Some(at) = indexed.gone_at {
+            self.gone.insert((at, indexed.life.id.clone()));
             return;
         }
-        let at = self.at.entry(indexed.addr).or_default();
+        let at = self.by_address.entry(indexed.addr).or_default();
         at.push(indexed.life.id.clone());
         if indexed.state == ServerState::Ready {
             let groups = self.ready.entry(indexed.service.clone()).or_default();
@@ -181,19 +181,19 @@
 
     pub(super) fn remove(&mut self, indexed: &IndexedServer) {
         let id = &indexed.life.id;
-        self.keys.remove(&indexed.member());
-        if let Some(count) = self.services.get_mut(&indexed.service) {
+        self.by_key.remove(&indexed.member());
+        if let Some(count) = self.server_counts.get_mut(&indexed.service) {
             *count -= 1;
         }
-        self.services.retain(|_, count| *count > 0);
-        if let Some(at) = indexed.ended_at {
-            self.ended.remove(&(at, id.clone()));
+        self.server_counts.retain(|_, count| *count > 0);
+        if let Some(at) = indexed.gone_at {
+            self.gone.remove(&(at, id.clone()));
             return;
         }
-        if let Some(at) = self.at.get_mut(&indexed.addr) {
+        if let Some(at) = self.by_address.get_mut(&indexed.addr) {
             at.retain(|there| there != id);
             if at.is_empty() {
-                self.at.remove(&indexed.addr);
+                self.by_address.remove(&indexed.addr);
             }
         }
         if let Some(groups) = self.ready.get_mut(&indexed.service) {
@@ -207,13 +207,13 @@
 
     /// Returns the number of known backend servers of a service, including those that are
     /// gone.
-    pub(super) fn known(&self, service: &str) -> usize {
-        self.services.get(service).copied().unwrap_or_default()
+    pub(super) fn count_of_service(&self, service: &str) -> usize {
+        self.server_counts.get(service).copied().unwrap_or_default()
     }
 
     /// Returns the backend servers at an address that are not gone.
-    pub(super) fn at(&self, addr: SocketAddr) -> &[ServerId] {
-        self.at.get(&addr).map_or(&[], Vec::as_slice)
+    pub(super) fn by_address(&self, addr: SocketAddr) -> &[ServerId] {
+        self.by_address.get(&addr).map_or(&[], Vec::as_slice)
     }
 
     /// Iterates over the backend servers in an inclusive range of keys.
@@ -221,7 +221,7 @@
         &self,
         (first, last): (ServerKey, ServerKey),
     ) -> impl Iterator<Item = &ServerId> {
-        let from = self.keys.range((first, ServerId::default())..);
+        let from = self.by_key.range((first, ServerId::default())..);
         from.take_while(move |(k, _)| *k <= last).map(|(_, id)| id)
     }
 
@@ -236,8 +236,8 @@
     }
 
     /// Returns the number of backend servers that are gone, and the one that went first.
-    pub(super) fn ended(&self) -> (usize, Option<&ServerId>) {
-        let oldest = self.ended.first().map(|(_, id)| id);
-        (self.ended.len(), oldest)
+    pub(super) fn gone(&self) -> (usize, Option<&ServerId>) {
+        let oldest = self.gone.first().map(|(_, id)| id);
+        (self.gone.len(), oldest)
     }
 }
--- a/sesamebeam_core/src/gateway/enquiry.rs
+++ b/sesamebeam_core/src/gateway/enquiry.rs
@@ -22,7 +22,7 @@
     }
 
     /// Records whether a process leads the group; `None` if it did not reply.
-    pub fn answered(&mut self, addr: ProcessAddr, leads: Option<bool>) {
+    pub fn record_reply(&mut self, addr: ProcessAddr, leads: Option<bool>) {
         if leads == Some(true) {
             self.leader = Some(addr);
         } else {
--- a/sesamebeam_core/src/gateway/entries.rs
+++ b/sesamebeam_core/src/gateway/entries.rs
@@ -22,7 +22,7 @@
 /// Count of the entries connected to a control replica.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EntryCounter {
-    most: u32,
+    max: u32,
     /// When the first entry connected.
     since: Option<MonoTime>,
     /// Whether an entry has reported a number.
@@ -33,15 +33,15 @@
 
 impl EntryCounter {
     /// Records the number of connected entries.
-    pub fn connected(&mut self, now: MonoTime, entries: u32) {
+    pub fn record_connected(&mut self, now: MonoTime, entries: u32) {
         self.since.get_or_insert(now);
-        self.most = self.most.max(entries);
+        self.max = self.max.max(entries);
     }
 
     /// Records the number that an entry knows; 0 if it knows none.
     pub fn confirmed(&mut self, entries: u32) {
         self.confirmed |= entries > 0;
-        self.most = self.most.max(entries);
+        self.max = self.max.max(entries);
     }
 
     /// Returns the largest number of simultaneously connected entries; 0 while it is not
@@ -49,13 +49,13 @@
     pub fn known(&self, now: MonoTime) -> u32 {
         let settled = self.since.is_some_and(|since| now >= since + SETTLE_TIME);
         match settled || self.confirmed {
-            true => self.most,
+            true => self.max,
             false => 0,
         }
     }
 
     /// Returns whether the number has changed since the last call.
-    pub fn has_news(&mut self, now: MonoTime) -> bool {
+    pub fn take_changed(&mut self, now: MonoTime) -> bool {
         let known = self.known(now);
         std::mem::replace(&mut self.told, known) != known
     }
@@ -65,29 +65,29 @@
 /// during a network partition each side sees only its own entries.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KnownEntryCount {
-    most: u32,
+    max: u32,
     /// When the first number was received.
     since: MonoTime,
 }
 
 impl KnownEntryCount {
     /// Records a number of entries and returns whether it is a new maximum.
-    pub fn hear(&mut self, now: MonoTime, entries: u32) -> bool {
-        if self.most == 0 {
+    pub fn record(&mut self, now: MonoTime, entries: u32) -> bool {
+        if self.max == 0 {
             self.since = now;
         }
-        let grew = entries > self.most;
-        self.most = self.most.max(entries);
+        let grew = entries > self.max;
+        self.max = self.max.max(entries);
         grew
     }
 
     /// Returns the largest number received; 0 if there is none.
-    pub fn most(&self) -> u32 {
-        self.most
+    pub fn max(&self) -> u32 {
+        self.max
     }
 
     /// Returns when the first number was received.
     pub fn since(&self) -> Option<MonoTime> {
-        (self.most > 0).then_some(self.since)
+        (self.max > 0).then_some(self.since)
     }
 }
--- a/sesamebeam_core/src/gateway/feed.rs
+++ b/sesamebeam_core/src/gateway/feed.rs
@@ -74,7 +74,7 @@
     /// An entry that wants updates.
     Entry {
         /// Random number drawn at startup.
-        life: u64,
+        id: u64,
         /// Name for logs.
         name: SmolStr,
     },
@@ -104,7 +104,7 @@
     /// Observations since the last report.
     Report(Report),
     /// Keeps the connection alive.
-    Alive,
+    Heartbeat,
 }
 
 impl FromEntry {
@@ -117,7 +117,7 @@
             Self::RequestSections(_) => "lacks_sections",
             Self::Servers(_) => "servers",
             Self::Report(_) => "report",
-            Self::Alive => "alive",
+            Self::Heartbeat => "alive",
         }
     }
 }
@@ -147,7 +147,7 @@
     /// Backend servers that could not be reached from a failure domain. They are only
     /// passed on within that domain, because a server that is cut off from one domain may
     /// be reachable from another.
-    pub unreached: Vec<UnreachableServer>,
+    pub unreachable: Vec<UnreachableServer>,
     /// Waiting times until the first event.
     pub waits: Vec<WaitsOf>,
     /// Outcomes of requests to plain services.
@@ -155,9 +155,9 @@
     /// Requests that were running when backend servers crashed.
     pub crashes: Vec<Crash>,
     /// Sessions that must stay on the versions before a rollout.
-    pub kept: Vec<RetainedSessions>,
+    pub retained_sessions: Vec<RetainedSessions>,
     /// How long rollouts have been running, for a replica that has started since.
-    pub ages: Vec<RolloutAge>,
+    pub rollout_ages: Vec<RolloutAge>,
 }
 
 impl Report {
@@ -168,12 +168,12 @@
             loads,
             limits,
             outcomes,
-            unreached,
+            unreachable: unreached,
             waits,
             work,
             crashes,
-            kept,
-            ages,
+            retained_sessions: kept,
+            rollout_ages: ages,
         } = self;
         evidence.is_empty()
             && loads.is_empty()
@@ -190,7 +190,7 @@
     /// Adds the report of another entry.
     pub fn add(&mut self, other: Self) {
         for evidence in other.evidence {
-            let same = self.evidence.iter_mut().find(|e| e.counts_same(&evidence));
+            let same = self.evidence.iter_mut().find(|e| e.matches(&evidence));
             match same {
                 Some(same) => same.add(&evidence),
                 None => self.evidence.push(evidence),
@@ -199,12 +199,12 @@
         self.loads.extend(other.loads);
         self.limits.extend(other.limits);
         self.outcomes.extend(other.outcomes);
-        self.unreached.extend(other.unreached);
+        self.unreachable.extend(other.unreachable);
         self.waits.extend(other.waits);
         self.work.extend(other.work);
         self.crashes.extend(other.crashes);
-        self.kept.extend(other.kept);
-        self.ages.extend(other.ages);
+        self.retained_sessions.extend(other.retained_sessions);
+        self.rollout_ages.extend(other.rollout_ages);
     }
 
     /// Takes the aggregated report to be forwarded. If there are several loads of one
@@ -212,17 +212,17 @@
     pub fn take(&mut self) -> Self {
         let mut taken = std::mem::take(self);
         taken.loads.sort_by_key(|l| (l.server, Reverse(l.total())));
-        merge(
+        merge_adjacent(
             &mut taken.loads,
             |l| l.server,
             |highest, other| highest.reading = highest.reading.max(other.reading),
         );
         taken.waits.sort_by_key(|w| w.service);
-        merge(&mut taken.waits, |w| w.service, |sum, other| sum.add(other));
+        merge_adjacent(&mut taken.waits, |w| w.service, |sum, other| sum.add(other));
         taken.work.sort_by_key(|w| w.service);
-        merge(&mut taken.work, |w| w.service, |sum, other| sum.add(other));
+        merge_adjacent(&mut taken.work, |w| w.service, |sum, other| sum.add(other));
         taken.outcomes.sort_by_key(|o| o.server);
-        merge(
+        merge_adjacent(
             &mut taken.outcomes,
             |o| o.server,
             |sum, other| sum.add(other),
@@ -232,7 +232,7 @@
 }
 
 /// Merges adjacent items with the same key into the first of them.
-fn merge<T, K: PartialEq>(sorted: &mut Vec<T>, key: impl Fn(&T) -> K, add: impl Fn(&mut T, &T)) {
+fn merge_adjacent<T, K: PartialEq>(sorted: &mut Vec<T>, key: impl Fn(&T) -> K, add: impl Fn(&mut T, &T)) {
     sorted.dedup_by(|later, first| {
         let same = key(later) == key(first);
         if same {
@@ -282,7 +282,7 @@
     /// Section digests of buckets that differ from the receiver's.
     SectionDigests(Vec<SectionDigests>),
     /// Request for the receiver's backend servers in these buckets.
-    Wants(BucketSet),
+    RequestBuckets(BucketSet),
     /// Recent observations of all entries.
     Loads {
         /// Loads reported by backend servers.
@@ -304,7 +304,7 @@
     /// whether all sessions active at its start have been reported.
     RetainedSessions(RetainedSessions, bool),
     /// Heartbeat with a summary of the sender's state.
-    Alive(StateSummary),
+    Heartbeat(StateSummary),
 }
 
 impl ToEntry {
@@ -315,14 +315,14 @@
             Self::State { .. } => "state",
             Self::Servers(_) => "servers",
             Self::SectionDigests(_) => "details",
-            Self::Wants(_) => "wants",
+            Self::RequestBuckets(_) => "wants",
             Self::Loads { .. } => "loads",
             Self::Doubts(_) => "doubts",
             Self::Limits(_) => "limits",
             Self::Unreachable(_) => "unreached",
             Self::Quarantined(_) => "quarantined",
             Self::RetainedSessions(..) => "kept",
-            Self::Alive(_) => "alive",
+            Self::Heartbeat(_) => "alive",
         }
     }
 }
@@ -350,14 +350,14 @@
     /// Digests of the sender's directory, for comparison.
     Digests {
         /// Digest of each bucket.
-        held: Digests,
+        digests: Digests,
         /// Failure domain of the sender.
         domain: DomainId,
         /// Whether the receiver should send its own digests if they differ.
-        ask: bool,
+        reply_requested: bool,
     },
     /// Request for the receiver's backend servers in these buckets.
-    Wants(BucketSet),
+    RequestBuckets(BucketSet),
     /// Announcements that the receiver must confirm.
     Confirm {
         /// Id of the confirmation request.
@@ -462,19 +462,19 @@
     /// Number of failed responses.
     pub bad: u32,
     /// Number of measured times to first byte, including those of cancelled responses.
-    pub timed: u32,
+    pub timed_responses: u32,
     /// Sum of the times to first byte, each divided by the mean of its route and model on
     /// other versions.
-    pub slowness: f64,
+    pub latency_ratio_sum: f64,
     /// Number of streams whose event interval was measured.
-    pub paced: u32,
+    pub timed_streams: u32,
     /// Sum of the event intervals, divided in the same way.
-    pub pace: f64,
+    pub interval_ratio_sum: f64,
 }
 
 impl Evidence {
     /// Returns whether both are for the same version on the same route.
-    fn counts_same(&self, other: &Self) -> bool {
+    fn matches(&self, other: &Self) -> bool {
         let of = (&other.service, &other.version, &other.route);
         (&self.service, &self.version, &self.route) == of
     }
@@ -482,9 +482,9 @@
     fn add(&mut self, other: &Self) {
         self.good += other.good;
         self.bad += other.bad;
-        self.timed += other.timed;
-        self.slowness += other.slowness;
-        self.paced += other.paced;
-        self.pace += other.pace;
+        self.timed_responses += other.timed_responses;
+        self.latency_ratio_sum += other.latency_ratio_sum;
+        self.timed_streams += other.timed_streams;
+        self.interval_ratio_sum += other.interval_ratio_sum;
     }
 }
--- a/sesamebeam_core/src/gateway/limits.rs
+++ b/sesamebeam_core/src/gateway/limits.rs
@@ -82,9 +82,9 @@
 
     /// Notes how many entries there are.
     pub fn set_entries(&mut self, now: MonoTime, entries: u32) {
-        if self.entries.hear(now, entries) {
+        if self.entries.record(now, entries) {
             for limited in self.of.values_mut() {
-                limited.pace = Pace::of(limited.limit, self.entries.most());
+                limited.pace = Pace::of(limited.limit, self.entries.max());
             }
         }
     }
@@ -184,7 +184,7 @@
         let before = self.of.get(id).copied();
         let pace = match before {
             Some(before) if before.limit == limit => before.pace,
-            _ => Pace::of(limit, self.entries.most()),
+            _ => Pace::of(limit, self.entries.max()),
         };
         let limited = Limited {
             limit,
--- a/sesamebeam_core/src/gateway/pool.rs
+++ b/sesamebeam_core/src/gateway/pool.rs
@@ -231,7 +231,7 @@
 
 /// Returns the backend server of a key that has not left.
 fn living(directory: &Directory, key: ServerKey) -> Option<&Announcement> {
-    let mut of_key = directory.with_key(key).map(|k| &k.said);
+    let mut of_key = directory.with_key(key).map(|k| &k.announcement);
     of_key.find(|said| said.state != ServerState::Gone)
 }
 
--- a/sesamebeam_core/src/gateway/rollout.rs
+++ b/sesamebeam_core/src/gateway/rollout.rs
@@ -189,10 +189,10 @@
         let counts = side.entry(evidence.route.clone()).or_default();
         counts.good += evidence.good;
         counts.bad += evidence.bad;
-        counts.timed += evidence.timed;
-        counts.slowness += evidence.slowness;
-        counts.paced += evidence.paced;
-        counts.pace += evidence.pace;
+        counts.timed += evidence.timed_responses;
+        counts.slowness += evidence.latency_ratio_sum;
+        counts.paced += evidence.timed_streams;
+        counts.pace += evidence.interval_ratio_sum;
     }
 
     /// Returns the phase that the roll-out should be in now. `exposure` is the
--- a/sesamebeam_core/src/gateway/router.rs
+++ b/sesamebeam_core/src/gateway/router.rs
@@ -210,7 +210,7 @@
     pub fn life(&self) -> ServerIncarnation {
         ServerIncarnation {
             id: self.id.clone(),
-            born: self.born,
+            started_at: self.born,
         }
     }
 }
@@ -527,13 +527,13 @@
 
     /// Notes that another life answers at the address of a backend server.
     pub fn displaced(&mut self, now: MonoTime, choice: &Choice) {
-        self.directory.leave(now, &choice.id, Some(choice.born));
+        self.directory.mark_gone(now, &choice.id, Some(choice.born));
     }
 
     /// Returns whether the life that was chosen is still the one of its name.
     fn lives(&self, choice: &Choice) -> bool {
         let known = self.directory.get(&choice.id);
-        known.is_none_or(|k| k.said.born == choice.born)
+        known.is_none_or(|k| k.announcement.started_at == choice.born)
     }
 
     /// Takes sessions that must stay on the versions before a roll-out.
--- a/sesamebeam_core/src/gateway/router/choosing.rs
+++ b/sesamebeam_core/src/gateway/router/choosing.rs
@@ -80,11 +80,11 @@
             .flat_map(|g| self.directory.members(&g, window))
             .collect();
         let candidates = fit.len();
-        fit.retain(|k| !self.backoffs.is_leaving(&k.said.id));
+        fit.retain(|k| !self.backoffs.is_leaving(&k.announcement.id));
         let staying = fit.len();
-        fit.retain(|k| self.takes(now, &k.said.id));
+        fit.retain(|k| self.takes(now, &k.announcement.id));
         let limited = fit.len() < staying;
-        if limited && fit.iter().all(|k| tried.contains(&k.said.id)) {
+        if limited && fit.iter().all(|k| tried.contains(&k.announcement.id)) {
             return Err(Unserved::Limited);
         }
         if plan.on_trial && self.is_canary(&plan.service) {
@@ -111,14 +111,14 @@
         let chosen = self.balance.choose(now, &fit, &need);
         let chosen = chosen.ok_or(Unserved::NoneLeft)?;
         if let Some(cold) = cold.filter(|cold| self.cold.is_cold(now, chosen, Some(cold))) {
-            self.cold.use_turn(now, &chosen.said.id, cold);
+            self.cold.use_turn(now, &chosen.announcement.id, cold);
         }
-        self.limits.sent(now, &chosen.said.id);
+        self.limits.sent(now, &chosen.announcement.id);
         let choice = Choice {
-            id: chosen.said.id.clone(),
-            born: chosen.said.born,
-            addr: chosen.said.addr,
-            version: chosen.said.version.clone(),
+            id: chosen.announcement.id.clone(),
+            born: chosen.announcement.started_at,
+            addr: chosen.announcement.addr,
+            version: chosen.announcement.version.clone(),
             reading,
             candidates,
         };
@@ -136,7 +136,7 @@
         now_at: &ServerId,
     ) -> bool {
         let mut left = self.left(now, plan, tried);
-        left.any(|k| &k.said.id != now_at)
+        left.any(|k| &k.announcement.id != now_at)
     }
 
     /// Returns whether any backend server takes a request now, of those that had not
@@ -156,8 +156,8 @@
         let allowed = self.allowed(plan);
         let open = self.open(&plan.service);
         open.filter(move |k| {
-            let id = &k.said.id;
-            !tried.contains(id) && allowed.has(&k.said.version) && self.takes(now, id)
+            let id = &k.announcement.id;
+            !tried.contains(id) && allowed.has(&k.announcement.version) && self.takes(now, id)
         })
     }
 
@@ -224,13 +224,13 @@
         };
         let is_cold = |k: &ServerRecord| self.cold.is_cold(now, k, Some(limits));
         let has_turn = |k: &&ServerRecord| {
-            is_cold(k) && !tried.contains(&k.said.id) && self.cold.has_turn(now, &k.said.id, limits)
+            is_cold(k) && !tried.contains(&k.announcement.id) && self.cold.has_turn(now, &k.announcement.id, limits)
         };
         if !fit.iter().any(|k| is_cold(k)) {
             return;
         }
         let serves = |k: &&&ServerRecord| {
-            !is_cold(k) && !tried.contains(&k.said.id) && self.balance.reaches(now, k)
+            !is_cold(k) && !tried.contains(&k.announcement.id) && self.balance.reaches(now, k)
         };
         let warm: Vec<&ServerRecord> = fit.iter().filter(serves).copied().collect();
         let is_pressed = warm.is_empty() || self.balance.taken(now, &warm) >= cold::PRESSED;
--- a/sesamebeam_core/src/gateway/router/exchange.rs
+++ b/sesamebeam_core/src/gateway/router/exchange.rs
@@ -36,7 +36,7 @@
         Holding {
             config: self.version(),
             index: self.index,
-            servers: self.directory.digests().whole(),
+            servers: self.directory.digests().combined(),
         }
     }
 
@@ -45,7 +45,7 @@
         self.cascade.told(now, waits);
         for load in told {
             for known in self.directory.with_key(load.server) {
-                self.balance.told(now, &known.said.id, load);
+                self.balance.told(now, &known.announcement.id, load);
             }
         }
     }
@@ -55,7 +55,7 @@
     pub fn told_limits(&mut self, now: MonoTime, told: &[LimitOf]) -> Vec<ServerId> {
         let mut news = Vec::new();
         for LimitOf { server, limit } in told {
-            for id in self.directory.with_key(*server).map(|k| &k.said.id) {
+            for id in self.directory.with_key(*server).map(|k| &k.announcement.id) {
                 if self.limits.told(now, id, *limit) {
                     news.push(id.clone());
                 }
@@ -77,7 +77,7 @@
     /// Notes backend servers that other entries could not reach just now.
     pub fn told_unreached(&mut self, now: MonoTime, told: &[UnreachableServer]) {
         for unreached in told.iter().filter(|u| u.from == self.cfg.domain) {
-            for said in self.directory.with_key(unreached.server).map(|k| &k.said) {
+            for said in self.directory.with_key(unreached.server).map(|k| &k.announcement) {
                 self.balance
                     .told_unreached(now, &said.id, &said.domain, unreached.is_down);
             }
@@ -97,12 +97,12 @@
             loads: self.balance.take_heard(now).unwrap_or_default(),
             limits: self.limits.take_fresh(),
             outcomes: self.balance.take_outcomes(),
-            unreached: self.take_unreached(),
+            unreachable: self.take_unreached(),
             waits: self.cascade.take_fresh(),
             work: self.admission.take_fresh(),
             crashes: self.suspects.take_crashes(),
-            kept: self.sessions.take_fresh(),
-            ages: Vec::new(),
+            retained_sessions: self.sessions.take_fresh(),
+            rollout_ages: Vec::new(),
         }
     }
 
--- a/sesamebeam_core/src/gateway/router/retry_after.rs
+++ b/sesamebeam_core/src/gateway/router/retry_after.rs
@@ -42,8 +42,8 @@
         let allowed = self.allowed(plan);
         let may_run = self.open(&plan.service);
         let may_run = may_run
-            .filter(|k| allowed.has(&k.said.version))
-            .map(|k| &k.said.id);
+            .filter(|k| allowed.has(&k.announcement.version))
+            .map(|k| &k.announcement.id);
         let mut stays = may_run
             .filter(|id| !self.backoffs.is_leaving(id))
             .peekable();
--- a/sesamebeam_core/src/gateway/router/trial.rs
+++ b/sesamebeam_core/src/gateway/router/trial.rs
@@ -41,9 +41,9 @@
     /// it. Every entry leaves the same ones.
     pub(super) fn keep_few(&self, fit: &mut Vec<&ServerRecord>, plan: &Plan, tried: &[ServerId]) {
         let few = self.few_on_trial(self.count_before(&plan.service));
-        fit.retain(|k| !tried.contains(&k.said.id));
+        fit.retain(|k| !tried.contains(&k.announcement.id));
         fit.sort_by_key(|k| {
-            std::cmp::Reverse(hash::rendezvous(&k.said.version, k.said.id.as_bytes()))
+            std::cmp::Reverse(hash::rendezvous(&k.announcement.version, k.announcement.id.as_bytes()))
         });
         fit.truncate(few);
     }
--- a/sesamebeam_core/src/gateway/tallies.rs
+++ b/sesamebeam_core/src/gateway/tallies.rs
@@ -68,8 +68,8 @@
     ) {
         let slowness = compare(&mut self.times, sender, model, took, on_trial);
         let counts = self.of(sender);
-        counts.timed += 1;
-        counts.slowness += slowness;
+        counts.timed_responses += 1;
+        counts.latency_ratio_sum += slowness;
     }
 
     /// Counts the mean time between the events of a stream.
@@ -82,8 +82,8 @@
     ) {
         let slowness = compare(&mut self.paces, sender, model, pace, on_trial);
         let counts = self.of(sender);
-        counts.paced += 1;
-        counts.pace += slowness;
+        counts.timed_streams += 1;
+        counts.interval_ratio_sum += slowness;
     }
 
     /// Takes what was counted since the last call.
--- a/sesamebeam_core/tests/gateway/backoff.rs
+++ b/sesamebeam_core/tests/gateway/backoff.rs
@@ -170,7 +170,7 @@
     let mut router = entry(1);
     router.backoff_heard(ms(START), &choice(0), &leaving());
     let mut reborn = announcement(0);
-    (reborn.born, reborn.sequence) = (5, 1);
+    (reborn.started_at, reborn.sequence) = (5, 1);
     router.announced(ms(START + 10), reborn);
     assert!(send(&mut router, ms(START + 20), "caller").is_ok());
     assert!(!pause(&mut router, START + 30, 0, PAUSE), "the older life");
--- a/sesamebeam_core/tests/gateway/balance.rs
+++ b/sesamebeam_core/tests/gateway/balance.rs
@@ -45,8 +45,8 @@
 
 fn known(said: Announcement) -> ServerRecord {
     ServerRecord {
-        said,
-        heard_at: ms(0),
+        announcement: said,
+        last_heard_at: ms(0),
         cold_until: ms(0),
     }
 }
@@ -58,7 +58,7 @@
 fn choose(balance: &mut Balance, now: u64, servers: &[ServerRecord], need: &Need<'_>) -> String {
     let all: Vec<&ServerRecord> = servers.iter().collect();
     let chosen = balance.choose(ms(now), &all, need);
-    chosen.expect("there is one").said.id.to_string()
+    chosen.expect("there is one").announcement.id.to_string()
 }
 
 #[test]
@@ -99,8 +99,8 @@
 #[test]
 fn near_first() {
     let mut servers = servers(4);
-    servers[3].said.domain = "hall-2".into();
-    servers[0].said.domain = "hall-2".into();
+    servers[3].announcement.domain = "hall-2".into();
+    servers[0].announcement.domain = "hall-2".into();
     let mut balance = Balance::default();
     for _ in 0..4 {
         let chosen = choose(&mut balance, 0, &servers, &NEED);
@@ -111,7 +111,7 @@
 #[test]
 fn far_when_near_is_full() {
     let mut servers = servers(2);
-    servers[1].said.domain = "hall-2".into();
+    servers[1].announcement.domain = "hall-2".into();
     let mut balance = Balance::default();
     let full = Load {
         running: 10,
@@ -147,13 +147,13 @@
     let mut balance = Balance::default();
     for n in 0..40 {
         for server in &servers {
-            let bad = server.said.id == "server-2";
+            let bad = server.announcement.id == "server-2";
             let outcome = match n % 10 {
                 0 => Outcome::Failed,
                 k if bad && k % 2 == 0 => Outcome::Failed,
                 _ => Outcome::Good,
             };
-            balance.finished(ms(n), &server.said.id, outcome);
+            balance.finished(ms(n), &server.announcement.id, outcome);
         }
     }
     let chosen: Vec<String> = (0..20)
@@ -240,8 +240,8 @@
             ..NEED
         };
         let chosen = choose(balance, now, servers, &need);
-        let chosen = servers.iter().find(|k| k.said.id == chosen);
-        chosen.expect("one of them").said.domain.to_string()
+        let chosen = servers.iter().find(|k| k.announcement.id == chosen);
+        chosen.expect("one of them").announcement.domain.to_string()
     };
     times.iter().map(domain).collect()
 }
@@ -253,7 +253,7 @@
     // found out is enough for all of them.
     let mut servers = servers(20);
     for known in &mut servers[2..] {
-        known.said.domain = "hall-2".into();
+        known.announcement.domain = "hall-2".into();
     }
     let mut balance = Balance::default();
     for id in ["server-5", "server-9"] {
@@ -270,7 +270,7 @@
     // and the others get requests.
     let mut servers = servers(20);
     for known in &mut servers[2..] {
-        known.said.domain = "hall-2".into();
+        known.announcement.domain = "hall-2".into();
     }
     let mut balance = Balance::default();
     for id in ["server-5", "server-9", "server-11"] {
@@ -304,13 +304,13 @@
     // at a time tries the way, until one is heard.
     let mut servers = servers(20);
     for known in &mut servers[2..] {
-        known.said.domain = "hall-2".into();
+        known.announcement.domain = "hall-2".into();
     }
     let mut balance = Balance::default();
     let far: Vec<&ServerRecord> = servers[2..].iter().collect();
     for _ in 0..2 {
         let chosen = balance.choose(ms(0), &far, &NEED).expect("there is one");
-        balance.finished(ms(0), &chosen.said.id, Outcome::Unreachable);
+        balance.finished(ms(0), &chosen.announcement.id, Outcome::Unreachable);
     }
     let soon: Vec<u64> = (1..240).collect();
     let soon = domains(&mut balance, &soon, &servers);
@@ -319,9 +319,9 @@
     let later = domains(&mut balance, &later, &servers);
     let tries = later.iter().filter(|d| *d == "hall-2").count();
     assert_eq!(tries, 1, "{later:?}");
-    let tried = servers.iter().find(|k| k.said.domain == "hall-2");
-    let tried = tried.expect("there is one").said.id.clone();
-    let only: Vec<&ServerRecord> = servers.iter().filter(|k| k.said.id == tried).collect();
+    let tried = servers.iter().find(|k| k.announcement.domain == "hall-2");
+    let tried = tried.expect("there is one").announcement.id.clone();
+    let only: Vec<&ServerRecord> = servers.iter().filter(|k| k.announcement.id == tried).collect();
     balance.choose(ms(801), &only, &NEED).expect("there is one");
     balance.heard(ms(802), &tried, None);
     let healed: Vec<u64> = (803..900).collect();
@@ -335,19 +335,19 @@
     // tells nothing of the way to them.
     let mut servers = servers(8);
     for known in &mut servers[2..] {
-        known.said.domain = "hall-2".into();
+        known.announcement.domain = "hall-2".into();
     }
     let mut balance = Balance::default();
     let far: Vec<&ServerRecord> = servers[2..].iter().collect();
     for _ in 0..4 {
         let chosen = balance.choose(ms(0), &far, &NEED).expect("there is one");
-        let id = chosen.said.id.clone();
+        let id = chosen.announcement.id.clone();
         balance.finished(ms(0), &id, Outcome::Unreachable);
-        let other = far.iter().find(|k| k.said.id != id).expect("another");
+        let other = far.iter().find(|k| k.announcement.id != id).expect("another");
         balance
             .choose(ms(0), &[other], &NEED)
             .expect("there is one");
-        balance.heard(ms(1), &other.said.id, None);
+        balance.heard(ms(1), &other.announcement.id, None);
     }
     let soon: Vec<u64> = (2..100).collect();
     let soon = domains(&mut balance, &soon, &servers);
@@ -404,7 +404,7 @@
     // kept elsewhere takes an engine a few milliseconds to read.
     let mut servers = servers(8);
     for known in &mut servers[..6] {
-        known.said.domain = "hall-2".into();
+        known.announcement.domain = "hall-2".into();
     }
     let far = |tokens| {
         let mut balance = Balance::default();
--- a/sesamebeam_core/tests/gateway/budget.rs
+++ b/sesamebeam_core/tests/gateway/budget.rs
@@ -84,7 +84,7 @@
     let mut spent = 0;
     for now in (0..8000).step_by(50) {
         let connected = (now / 50 + 1).min(15);
-        counted.connected(ms(now), connected as u32);
+        counted.record_connected(ms(now), connected as u32);
         for budget in entries.iter_mut().take(connected as usize) {
             budget.set_entries(ms(now), counted.known(ms(now)));
             spent += usize::from(budget.try_repeat(ms(now), &"pool".into()));
@@ -99,7 +99,7 @@
     // One entry is killed and starts again. The replica has counted all before, so that
     // the entry has its part of the slack with its first request.
     let mut counted = EntryCounter::default();
-    counted.connected(ms(0), 10);
+    counted.record_connected(ms(0), 10);
     let mut budget = budget(0);
     budget.set_entries(ms(20_000), counted.known(ms(20_000)));
     assert!(budget.try_repeat(ms(20_000), &"pool".into()));
--- a/sesamebeam_core/tests/gateway/crashes.rs
+++ b/sesamebeam_core/tests/gateway/crashes.rs
@@ -11,7 +11,7 @@
         fingerprint,
         server: ServerIncarnation {
             id: server.into(),
-            born: 1,
+            started_at: 1,
         },
     }
 }
--- a/sesamebeam_core/tests/gateway/digests.rs
+++ b/sesamebeam_core/tests/gateway/digests.rs
@@ -27,7 +27,7 @@
     let one = directory((0..200).map(announcement));
     let other = directory((0..200).rev().map(announcement));
     assert_eq!(one.digests(), other.digests());
-    assert_eq!(one.digests().whole(), other.digests().whole());
+    assert_eq!(one.digests().combined(), other.digests().combined());
 }
 
 #[test]
@@ -41,8 +41,8 @@
     let mut after = directory((0..200).map(announcement));
     assert!(after.take(ms(1), leaving, true));
     let differing = after.digests().differing(before.digests());
-    assert!(differing.has(&"server-7".into()));
-    let told = before.all().filter(|k| differing.has(&k.said.id));
+    assert!(differing.contains_server(&"server-7".into()));
+    let told = before.all().filter(|k| differing.contains_server(&k.announcement.id));
     assert!(told.count() < 12);
 }
 
@@ -61,6 +61,6 @@
     // A process that remembers that a backend server is gone has the same digests as one
     // that has forgotten it.
     let mut left = directory([announcement(7)]);
-    assert!(left.leave(ms(1), "server-7", None).is_some());
+    assert!(left.mark_gone(ms(1), "server-7", None).is_some());
     assert_eq!(left.digests(), &Digests::default());
 }
--- a/sesamebeam_core/tests/gateway/directory.rs
+++ b/sesamebeam_core/tests/gateway/directory.rs
@@ -17,7 +17,7 @@
 
 fn ready(directory: &Directory) -> Vec<String> {
     let ready = directory.ready("pool");
-    ready.map(|k| k.said.id.to_string()).collect()
+    ready.map(|k| k.announcement.id.to_string()).collect()
 }
 
 #[test]
@@ -41,7 +41,7 @@
     // with a higher sequence number than any before. The server stays gone.
     let mut directory = Directory::default();
     directory.take(ms(0), announcement(1), true);
-    assert!(directory.leave(ms(5), "server-1", None).is_some());
+    assert!(directory.mark_gone(ms(5), "server-1", None).is_some());
     let mut late = announcement(1);
     late.sequence = 99;
     assert!(!directory.take(ms(10), late, true));
@@ -71,7 +71,7 @@
     let mut again = announcement(1);
     again.sequence = 2;
     assert!(!directory.take(ms(9), again, true));
-    assert_eq!(directory.get("server-1").map(|k| k.heard_at), Some(ms(9)));
+    assert_eq!(directory.get("server-1").map(|k| k.last_heard_at), Some(ms(9)));
 }
 
 /// Returns an announcement of one of many backend servers, each at its own address.
@@ -101,7 +101,7 @@
     let mut directory = Directory::default();
     for number in 0..20_000 {
         directory.take(ms(u64::from(number)), one_of_many(number), true);
-        directory.leave(ms(u64::from(number)), &format!("server-{number}"), None);
+        directory.mark_gone(ms(u64::from(number)), &format!("server-{number}"), None);
     }
     assert!(directory.count() <= 8200);
     assert!(directory.get("server-19999").is_some());
@@ -123,7 +123,7 @@
 /// Returns an announcement of an incarnation with the given start time.
 fn said_by(born: u64, sequence: u64) -> Announcement {
     Announcement {
-        born,
+        started_at: born,
         sequence,
         ..announcement(1)
     }
@@ -135,7 +135,7 @@
     // start again. It must accept requests again although the id was marked as gone.
     let mut directory = Directory::default();
     directory.take(ms(0), said_by(100, 40), true);
-    directory.leave(ms(1), "server-1", Some(100));
+    directory.mark_gone(ms(1), "server-1", Some(100));
     assert!(ready(&directory).is_empty());
     assert!(directory.take(ms(2), said_by(200, 1), true));
     assert_eq!(ready(&directory), ["server-1"]);
@@ -151,7 +151,7 @@
     let mut draining = said_by(100, 41);
     draining.state = ServerState::Draining;
     assert!(!directory.take(ms(1), draining, true));
-    assert!(directory.leave(ms(2), "server-1", Some(100)).is_none());
+    assert!(directory.mark_gone(ms(2), "server-1", Some(100)).is_none());
     assert_eq!(ready(&directory), ["server-1"]);
 }
 
@@ -232,19 +232,19 @@
         for (at, (number, born, place, state, sequence)) in said.into_iter().enumerate() {
             let mut said = announcement(number);
             said.addr = announcement(place).addr;
-            said.born = born;
+            said.started_at = born;
             said.sequence = sequence;
             said.state = [ServerState::Ready, ServerState::Draining, ServerState::Gone][usize::from(state)];
             directory.take(ms(at as u64), said, true);
         }
         let mut ids = ready(&directory);
         ids.sort();
-        let working = directory.all().filter(|k| k.said.state == ServerState::Ready);
-        let expected: Vec<String> = working.map(|k| k.said.id.to_string()).collect();
+        let working = directory.all().filter(|k| k.announcement.state == ServerState::Ready);
+        let expected: Vec<String> = working.map(|k| k.announcement.id.to_string()).collect();
         prop_assert_eq!(ids, expected);
         let mut anew = Directory::default();
-        for known in directory.all().filter(|k| k.said.state != ServerState::Gone) {
-            anew.take(ms(99), known.said.clone(), true);
+        for known in directory.all().filter(|k| k.announcement.state != ServerState::Gone) {
+            anew.take(ms(99), known.announcement.clone(), true);
         }
         prop_assert_eq!(directory.digests(), anew.digests());
     }
--- a/sesamebeam_core/tests/gateway/group.rs
+++ b/sesamebeam_core/tests/gateway/group.rs
@@ -167,10 +167,10 @@
         CoordinatorConfig {
             addr: listens(node),
             domain: format!("hall-{node}").into(),
-            tolerated: self.tolerated,
-            exposure: 0.15,
-            patience: ms(800),
-            disk_patience: ms(400),
+            tolerated_failures: self.tolerated,
+            max_exposure: 0.15,
+            request_timeout: ms(800),
+            disk_stall_timeout: ms(400),
         }
     }
 
@@ -326,7 +326,7 @@
                         process.writes.push_back((at, write, ops));
                     }
                 }
-                Action::SendMembershipRequest { to, told } => self.told.push_back((to, told)),
+                Action::SendMembershipRequest { to, request: told } => self.told.push_back((to, told)),
                 Action::ReplyMembership(ticket, reply) => {
                     self.replies.insert(ticket, reply);
                 }
--- a/sesamebeam_core/tests/gateway/joining.rs
+++ b/sesamebeam_core/tests/gateway/joining.rs
@@ -253,7 +253,7 @@
                 asked += 1;
                 let is_up = leader != Some(1) || addr != listens(2);
                 let leads = leader.map(|node| addr == listens(node));
-                enquiry.answered(addr, leads.filter(|_| is_up));
+                enquiry.record_reply(addr, leads.filter(|_| is_up));
             }
         }
         asked
--- a/sesamebeam_core/tests/gateway/limits.rs
+++ b/sesamebeam_core/tests/gateway/limits.rs
@@ -394,7 +394,7 @@
     let mut router = entry(1, 300, 1);
     answer(&mut router, ms(AHEAD), 0, Some(0.1));
     let mut reborn = announcement(0);
-    (reborn.born, reborn.sequence) = (5, 2);
+    (reborn.started_at, reborn.sequence) = (5, 2);
     router.announced(ms(AHEAD + 10), reborn);
     assert_eq!(router.limited(), 0);
 }
--- a/sesamebeam_core/tests/gateway/make.rs
+++ b/sesamebeam_core/tests/gateway/make.rs
@@ -65,7 +65,7 @@
 pub(crate) fn announcement(number: u8) -> Announcement {
     Announcement {
         id: format!("server-{number}").into(),
-        born: 0,
+        started_at: 0,
         service: "pool".into(),
         addr: addr(number),
         domain: "hall-1".into(),
@@ -179,10 +179,10 @@
     let cfg = CoordinatorConfig {
         addr: listens(1),
         domain: "hall-1".into(),
-        tolerated: 2,
-        exposure: 0.1,
-        patience: ms(800),
-        disk_patience: ms(400),
+        tolerated_failures: 2,
+        max_exposure: 0.1,
+        request_timeout: ms(800),
+        disk_stall_timeout: ms(400),
     };
     Coordinator::new(cfg, ms(0))
 }
@@ -221,7 +221,7 @@
     let said = announcement(number);
     Choice {
         id: said.id,
-        born: said.born,
+        born: said.started_at,
         addr: said.addr,
         version: said.version,
         reading: ms(0),
--- a/sesamebeam_core/tests/gateway/orders.rs
+++ b/sesamebeam_core/tests/gateway/orders.rs
@@ -188,7 +188,7 @@
     assert_eq!(group.ask(1, ApiRequest::Announce(leaving)), ApiResponse::Done);
     let knows = |node| {
         let known = group.processes[&node].core.directory().get("server-1");
-        known.map(|k| k.said.state)
+        known.map(|k| k.announcement.state)
     };
     assert_eq!(knows(1), Some(ServerState::Draining));
     assert!(
@@ -272,7 +272,7 @@
             age: ms(12_000),
         };
         let report = Report {
-            ages: vec![age],
+            rollout_ages: vec![age],
             ..Report::default()
         };
         group.event(node, Event::EntryReported(report));
--- a/sesamebeam_core/tests/gateway/rollouts.rs
+++ b/sesamebeam_core/tests/gateway/rollouts.rs
@@ -36,8 +36,8 @@
         route: "notes".into(),
         good,
         bad,
-        timed: good,
-        slowness: slowness * f64::from(good),
+        timed_responses: good,
+        latency_ratio_sum: slowness * f64::from(good),
         ..Evidence::default()
     }
 }
@@ -118,8 +118,8 @@
     // times as slowly.
     let mut watch = Watch::new(ms(0));
     let paced = |version, count, pace| Evidence {
-        paced: count,
-        pace: pace * f64::from(count),
+        timed_streams: count,
+        interval_ratio_sum: pace * f64::from(count),
         ..evidence(version, count, 0, 1.0)
     };
     watch.take(ms(0), "v2", &paced("v1", 200, 1.0));
--- a/sesamebeam_core/tests/gateway/router.rs
+++ b/sesamebeam_core/tests/gateway/router.rs
@@ -207,7 +207,7 @@
     }
     roll_out(&mut first, Phase::Canary, 1);
     roll_out(&mut second, Phase::Canary, 1);
-    for kept in first.take_report(ms(300)).kept {
+    for kept in first.take_report(ms(300)).retained_sessions {
         second.keep_sessions(ms(300), &kept, false);
     }
     for n in 0..400 {
@@ -282,9 +282,9 @@
         .directory()
         .get(&choice.id)
         .expect("it is known")
-        .said
+        .announcement
         .clone();
-    again.born += 5000;
+    again.started_at += 5000;
     again.sequence = 1;
     router.announced(ms(3), again);
     router.finished(ms(4), &plan, &choice, balance::Outcome::Unreachable);
--- a/sesamebeam_core/tests/gateway/telling.rs
+++ b/sesamebeam_core/tests/gateway/telling.rs
@@ -243,7 +243,7 @@
         wants.extend(
             asked
                 .iter()
-                .filter(|(_, m)| matches!(m, ToEntry::Wants(_)))
+                .filter(|(_, m)| matches!(m, ToEntry::RequestBuckets(_)))
                 .map(|_| life),
         );
     }
@@ -268,7 +268,7 @@
         .any(|(_, m)| matches!(m, ToEntry::Servers(_)));
     assert!(told, "{actions:?}");
     assert_eq!(
-        core.directory().get("server-1").map(|k| k.said.addr),
+        core.directory().get("server-1").map(|k| k.announcement.addr),
         Some(addr(1))
     );
 }
