--- a/sesamebeam_bench/benches/directory.rs
+++ b/sesamebeam_bench/benches/directory.rs
@@ -151,7 +151,7 @@
         bench.bench_with_input(BenchmarkId::new("take all", servers), &all, |b, all| {
             let take_all = |(mut directory, all): (Directory, Vec<Announcement>)| {
                 for said in all {
-                    directory.take(NOW, said, true);
+                    directory.merge(NOW, said, true);
                 }
                 directory
             };
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -355,7 +355,7 @@
         self.replica = Some(replica);
         self.publisher.restart();
         self.execute(actions);
-        self.tell();
+        self.publish();
         std::mem::take(&mut self.actions)
     }
 
@@ -395,7 +395,7 @@
             }
         }
         self.run_periodic();
-        self.tell();
+        self.publish();
         std::mem::take(&mut self.actions)
     }
 
@@ -437,7 +437,7 @@
             }
             CoordinatorMessage::Servers(servers) => self.merge_announcements(servers),
             CoordinatorMessage::Digests { digests: digests, domain, reply_requested: ask } => {
-                self.placement.learn(from, domain);
+                self.placement.set_domain(from, domain);
                 self.handle_digests(from, &digests, ask);
             }
             CoordinatorMessage::RequestBuckets(parts) => self.send_buckets(from, parts),
@@ -506,7 +506,7 @@
         if let Some(note) = note {
             self.log(note);
         }
-        self.rollout_monitor.follow(self.now, self.store.rollouts());
+        self.rollout_monitor.sync(self.now, self.store.rollouts());
         self.mark_state_changed(index, is_config);
     }
 
@@ -544,7 +544,7 @@
             Ok(store) => self.store = store,
             Err(_) => self.log(LogEvent::Unreadable(index)),
         }
-        self.rollout_monitor.follow(self.now, self.store.rollouts());
+        self.rollout_monitor.sync(self.now, self.store.rollouts());
         self.mark_state_changed(index, true);
     }
 
--- a/sesamebeam_core/src/gateway/coordinator/announce.rs
+++ b/sesamebeam_core/src/gateway/coordinator/announce.rs
@@ -65,7 +65,7 @@
     /// counts as existing if the directory knows another backend server of it.
     fn merge_announcement(&mut self, said: Announcement) -> bool {
         let is_named = self.directory.has_other_server(&said);
-        self.directory.take(self.now, said, is_named)
+        self.directory.merge(self.now, said, is_named)
     }
 
     /// Compares directories with a replica that has just become reachable.
@@ -148,7 +148,7 @@
         let news = self.merge_announcement(said.clone());
         let leaves = said.state != ServerState::Ready;
         let known = self.directory.get(&said.id);
-        let told = known.map_or(said, |k| k.tell(self.now));
+        let told = known.map_or(said, |k| k.to_announcement(self.now));
         if news {
             self.log_server(&told);
             self.queue_announcements([told.clone()]);
@@ -174,7 +174,7 @@
         let said = match self.directory.mark_gone(self.now, id, born) {
             Some(said) => said,
             None => {
-                let said = gone(id, born.unwrap_or(START_TIME_UNKNOWN));
+                let said = gone_announcement(id, born.unwrap_or(START_TIME_UNKNOWN));
                 if !self.merge_announcement(said.clone()) {
                     self.actions.push(Action::Respond(ticket, ApiResponse::Done));
                     return;
@@ -258,7 +258,7 @@
 
 /// Returns the announcement of a backend server that has left and about which nothing else
 /// is known.
-fn gone(id: &str, born: StartTime) -> Announcement {
+fn gone_announcement(id: &str, born: StartTime) -> Announcement {
     Announcement {
         id: id.into(),
         started_at: born,
--- a/sesamebeam_core/src/gateway/coordinator/group.rs
+++ b/sesamebeam_core/src/gateway/coordinator/group.rs
@@ -161,7 +161,7 @@
         self.log(LogEvent::Role(role));
         if role == Role::Leader {
             self.next_seed_update_at = self.now;
-            self.rollout_monitor.follow(self.now, self.store.rollouts());
+            self.rollout_monitor.sync(self.now, self.store.rollouts());
         }
     }
 
@@ -211,7 +211,7 @@
             return;
         }
         let voters = self.voters();
-        if voters.len() <= self.wanted() {
+        if voters.len() <= self.target_voters() {
             return;
         }
         if let Some(gone) = self.silent_voter() {
@@ -241,15 +241,15 @@
             .find(|(_, m)| m.addr == addr)
             .map(|(&n, _)| n);
         let gone = same_place.or_else(|| self.silent_voter());
-        self.placement.learn(replica.id(), self.cfg.domain.clone());
+        self.placement.set_domain(replica.id(), self.cfg.domain.clone());
         let placed = self.voters_and_joining();
-        let lacks_replicas = placed.len() < self.wanted();
+        let lacks_replicas = placed.len() < self.target_voters();
         let is_free = gone.is_some() || lacks_replicas;
         let stay = placed.iter().filter(|&&node| Some(node) != gone);
         if same_place.is_none() && !self.placement.admits(self.now, &domain, is_free, stay) {
             return self.membership_reply();
         }
-        self.placement.learn(node, domain);
+        self.placement.set_domain(node, domain);
         let change = match gone {
             Some(gone) => MemberChange::Replace {
                 gone,
@@ -317,7 +317,7 @@
     }
 
     /// Returns the intended number of voters.
-    fn wanted(&self) -> usize {
+    fn target_voters(&self) -> usize {
         2 * self.cfg.tolerated_failures + 1
     }
 
--- a/sesamebeam_core/src/gateway/coordinator/placement.rs
+++ b/sesamebeam_core/src/gateway/coordinator/placement.rs
@@ -23,14 +23,14 @@
 pub(super) struct VoterPlacement {
     domains: BTreeMap<NodeId, DomainId>,
     /// When a process of each failure domain last asked to join.
-    asked: BTreeMap<DomainId, MonoTime>,
+    last_asked: BTreeMap<DomainId, MonoTime>,
     /// Since when the group has had a vacancy.
     vacant_since: Option<MonoTime>,
 }
 
 impl VoterPlacement {
     /// Records the failure domain of a replica.
-    pub(super) fn learn(&mut self, node: NodeId, domain: DomainId) {
+    pub(super) fn set_domain(&mut self, node: NodeId, domain: DomainId) {
         self.domains.insert(node, domain);
     }
 
@@ -53,8 +53,8 @@
         is_free: bool,
         stay: impl Iterator<Item = &'a NodeId>,
     ) -> bool {
-        self.asked.insert(domain.clone(), now);
-        self.asked.retain(|_, at| now < *at + JOIN_REQUEST_WINDOW);
+        self.last_asked.insert(domain.clone(), now);
+        self.last_asked.retain(|_, at| now < *at + JOIN_REQUEST_WINDOW);
         if !is_free {
             self.vacant_since = None;
             return false;
@@ -65,7 +65,7 @@
             *voters.entry(domain).or_default() += 1;
         }
         let count = |domain| voters.get(domain).copied().unwrap_or_default();
-        let fewest = self.asked.keys().map(count).min().unwrap_or_default();
+        let fewest = self.last_asked.keys().map(count).min().unwrap_or_default();
         let own = count(domain);
         let admitted = own == 0 || own == fewest && now >= since + JOIN_REQUEST_WINDOW;
         if admitted {
--- a/sesamebeam_core/src/gateway/coordinator/publisher.rs
+++ b/sesamebeam_core/src/gateway/coordinator/publisher.rs
@@ -111,7 +111,7 @@
     /// Last published limits.
     limits: Vec<LimitOf>,
     /// Digest of the backend servers that were last saved, and when.
-    kept: (u32, MonoTime),
+    saved: (u32, MonoTime),
 }
 
 impl Publisher {
@@ -159,7 +159,7 @@
     /// too large a portion of the shared budgets.
     pub(super) fn follow(&mut self, life: EntryId, held: SyncState) {
         self.publisher.followers.insert(life);
-        self.publisher.entry_counter.confirmed(held.entries);
+        self.publisher.entry_counter.record_reported(held.entries);
         self.request_update(life, held);
         let this = Recipients::Only(vec![life]);
         let quarantined = self.crashes.quarantined();
@@ -172,7 +172,7 @@
             let limits = self.limits.tell(self.now);
             self.push(this.clone(), ToEntry::Limits(limits));
         }
-        for (kept, all) in self.rollout_monitor.kept(self.now) {
+        for (kept, all) in self.rollout_monitor.retained_sessions(self.now) {
             self.push(this.clone(), ToEntry::RetainedSessions(kept, all));
         }
     }
@@ -199,7 +199,7 @@
     /// Processes the observations of entries.
     pub(super) fn process_report(&mut self, report: &Report) {
         self.rollout_monitor.record_ages(self.now, &self.store, &report.rollout_ages);
-        self.rollout_monitor.take(self.now, &self.store, &report.evidence);
+        self.rollout_monitor.add_evidence(self.now, &self.store, &report.evidence);
         self.loads.take(self.now, report.loads.iter().copied());
         self.limits.take(self.now, report.limits.iter().copied());
         self.pool.take(report.outcomes.iter().copied());
@@ -225,7 +225,7 @@
     }
 
     /// Publishes the changes caused by an event.
-    pub(super) fn tell(&mut self) {
+    pub(super) fn publish(&mut self) {
         self.publish_state();
         if self.publisher.has_pending() && self.now >= self.publisher.last_batch_at + BATCH_INTERVAL {
             self.publisher.last_batch_at = self.now;
@@ -277,11 +277,11 @@
 
     /// Saves the backend servers to disk if they have changed.
     fn save_servers(&mut self, digest: u32) {
-        let (kept, at) = self.publisher.kept;
+        let (kept, at) = self.publisher.saved;
         if digest == kept || self.now < at + SAVE_INTERVAL {
             return;
         }
-        self.publisher.kept = (digest, self.now);
+        self.publisher.saved = (digest, self.now);
         let all = self.directory.announcements(self.now);
         let servers = all.filter(|said| said.state != ServerState::Gone).collect();
         self.actions.push(Action::SaveServers(servers));
@@ -451,7 +451,7 @@
         ToEntry::Fleet {
             domain: self.cfg.domain.clone(),
             replicas: self.peers.addrs(),
-            entries: self.publisher.entry_counter.known(self.now),
+            entries: self.publisher.entry_counter.count(self.now),
         }
     }
 
--- a/sesamebeam_core/src/gateway/coordinator/rollout_monitor.rs
+++ b/sesamebeam_core/src/gateway/coordinator/rollout_monitor.rs
@@ -39,17 +39,17 @@
     /// Start times of rollouts whose start command is not applied here yet.
     start_times: BTreeMap<(ServiceId, SmolStr), MonoTime>,
     /// Sessions that must stay on the previous versions.
-    kept: BTreeMap<(ServiceId, SmolStr), BTreeSet<u64>>,
+    retained_sessions: BTreeMap<(ServiceId, SmolStr), BTreeSet<u64>>,
 }
 
 impl RolloutMonitor {
     /// Starts monitoring new rollouts and drops replaced ones.
-    pub(super) fn follow(&mut self, now: MonoTime, rollouts: &Rollouts) {
+    pub(super) fn sync(&mut self, now: MonoTime, rollouts: &Rollouts) {
         self.watched.retain(|(service, target), _| {
             rollouts.get(service).is_some_and(|r| r.target == *target)
         });
         let watched = &self.watched;
-        self.kept.retain(|key, _| watched.contains_key(key));
+        self.retained_sessions.retain(|key, _| watched.contains_key(key));
         for (service, rollout) in rollouts {
             let key = (service.clone(), rollout.target.clone());
             if !self.watched.contains_key(&key) {
@@ -62,7 +62,7 @@
     /// Records how long rollouts have been running, including those not applied here yet: a
     /// replica that has just started learns of them from reports first.
     pub(super) fn record_ages(&mut self, now: MonoTime, store: &Store, ages: &[RolloutAge]) {
-        self.follow(now, store.rollouts());
+        self.sync(now, store.rollouts());
         for RolloutAge {
             service,
             target,
@@ -84,15 +84,15 @@
     /// Records sessions that must stay on the versions before a rollout.
     pub(super) fn retain_sessions(&mut self, kept: &RetainedSessions) {
         let key = (kept.service.clone(), kept.target.clone());
-        let sessions = self.kept.entry(key).or_default();
+        let sessions = self.retained_sessions.entry(key).or_default();
         sessions.extend(&kept.sessions);
     }
 
     /// Returns the retained sessions of each rollout, and whether all sessions that were
     /// active when it started have been reported.
-    pub(super) fn kept(&self, now: MonoTime) -> Vec<(RetainedSessions, bool)> {
+    pub(super) fn retained_sessions(&self, now: MonoTime) -> Vec<(RetainedSessions, bool)> {
         let report = |(key, watch): (&(ServiceId, SmolStr), &Watch)| {
-            let sessions = self.kept.get(key).into_iter().flatten().copied();
+            let sessions = self.retained_sessions.get(key).into_iter().flatten().copied();
             let kept = RetainedSessions {
                 service: key.0.clone(),
                 target: key.1.clone(),
@@ -104,8 +104,8 @@
     }
 
     /// Adds evidence from an entry.
-    pub(super) fn take(&mut self, now: MonoTime, store: &Store, evidence: &[Evidence]) {
-        self.follow(now, store.rollouts());
+    pub(super) fn add_evidence(&mut self, now: MonoTime, store: &Store, evidence: &[Evidence]) {
+        self.sync(now, store.rollouts());
         for counts in evidence {
             let Some(rollout) = store.rollouts().get(&counts.service) else {
                 continue;
--- a/sesamebeam_core/src/gateway/digests.rs
+++ b/sesamebeam_core/src/gateway/digests.rs
@@ -53,7 +53,7 @@
 
 impl SectionDigests {
     /// Computes the digests of the backend servers in a bucket.
-    pub(super) fn of(part: usize, servers: impl Iterator<Item = IndexedServer>) -> Self {
+    pub(super) fn compute(part: usize, servers: impl Iterator<Item = IndexedServer>) -> Self {
         let mut sections = vec![0; SECTIONS];
         for server in servers {
             let at = usize::from(section(server.key())) % SECTIONS;
@@ -105,7 +105,7 @@
     if server.state == ServerState::Gone {
         return 0;
     }
-    let (life, state) = (&server.life, server.state as u8);
+    let (life, state) = (&server.incarnation, server.state as u8);
     let held = format!("{} {} {state} {}", life.id, life.started_at, server.version);
     hash::name(held.as_bytes()) as u32
 }
--- a/sesamebeam_core/src/gateway/directory.rs
+++ b/sesamebeam_core/src/gateway/directory.rs
@@ -144,7 +144,7 @@
     ///
     /// `service_exists` tells whether the service is a known one. An announcement by a
     /// third party for a service that nobody provides must not end a working incarnation.
-    pub fn take(&mut self, now: MonoTime, said: Announcement, is_named: bool) -> bool {
+    pub fn merge(&mut self, now: MonoTime, said: Announcement, is_named: bool) -> bool {
         self.examined += 1;
         let born = self.servers.get(&said.id).map(|known| known.announcement.started_at);
         match born {
@@ -216,7 +216,7 @@
     pub fn announcements_in_buckets(&self, now: MonoTime, parts: BucketSet) -> impl Iterator<Item = Announcement> {
         let keys = parts.iter().map(digests::bucket_keys);
         let known = keys.flat_map(|keys| self.with_keys(keys));
-        known.map(move |known| known.tell(now))
+        known.map(move |known| known.to_announcement(now))
     }
 
     /// Iterates over current announcements of the backend servers in some sections,
@@ -228,7 +228,7 @@
     ) -> impl Iterator<Item = Announcement> + 'a {
         let keys = sections.iter().map(|&s| digests::section_keys(s));
         let known = keys.flat_map(|keys| self.with_keys(keys));
-        known.map(move |known| known.tell(now))
+        known.map(move |known| known.to_announcement(now))
     }
 
     /// Returns the number of backend servers in a bucket, including those that are gone.
@@ -252,13 +252,13 @@
 
     fn digests_of_bucket(&self, part: usize) -> SectionDigests {
         let known = self.with_keys(digests::bucket_keys(part));
-        SectionDigests::of(part, known.map(IndexedServer::of))
+        SectionDigests::compute(part, known.map(IndexedServer::from_record))
     }
 
     /// Iterates over current announcements of all backend servers, including those that are
     /// gone.
     pub fn announcements(&self, now: MonoTime) -> impl Iterator<Item = Announcement> + '_ {
-        self.servers.values().map(move |known| known.tell(now))
+        self.servers.values().map(move |known| known.to_announcement(now))
     }
 
     /// Iterates over all known backend servers, including those that are gone.
@@ -329,9 +329,9 @@
     /// Modifies a record and keeps the index and digests in sync.
     fn modify<T>(&mut self, id: &str, change: impl FnOnce(&mut ServerRecord) -> T) -> Option<T> {
         let known = self.servers.get_mut(id)?;
-        let before = IndexedServer::of(known);
+        let before = IndexedServer::from_record(known);
         let result = change(known);
-        let after = IndexedServer::of(known);
+        let after = IndexedServer::from_record(known);
         if before != after {
             self.index.remove(&before);
             self.index.insert(&after);
@@ -344,7 +344,7 @@
     /// Inserts a record in place of any previous incarnation with the same id.
     fn insert(&mut self, known: ServerRecord) {
         self.remove(&known.announcement.id);
-        let indexed = IndexedServer::of(&known);
+        let indexed = IndexedServer::from_record(&known);
         self.index.insert(&indexed);
         self.digests.toggle(&indexed);
         self.servers.insert(known.announcement.id.clone(), known);
@@ -352,7 +352,7 @@
 
     fn remove(&mut self, id: &str) {
         if let Some(known) = self.servers.remove(id) {
-            let indexed = IndexedServer::of(&known);
+            let indexed = IndexedServer::from_record(&known);
             self.index.remove(&indexed);
             self.digests.toggle(&indexed);
         }
@@ -361,7 +361,7 @@
 
 impl ServerRecord {
     /// Returns the incarnation.
-    pub fn life(&self) -> ServerIncarnation {
+    pub fn incarnation(&self) -> ServerIncarnation {
         ServerIncarnation {
             id: self.announcement.id.clone(),
             started_at: self.announcement.started_at,
@@ -370,7 +370,7 @@
 
     /// Returns the announcement to pass on now, with the cold time reduced by the time that
     /// has passed since it was received.
-    pub fn tell(&self, now: MonoTime) -> Announcement {
+    pub fn to_announcement(&self, now: MonoTime) -> Announcement {
         Announcement {
             cold: self.cold_until.saturating_sub(now),
             ..self.announcement.clone()
--- a/sesamebeam_core/src/gateway/directory/index.rs
+++ b/sesamebeam_core/src/gateway/directory/index.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::gateway) struct IndexedServer {
     key: ServerKey,
-    pub(in crate::gateway) life: ServerIncarnation,
+    pub(in crate::gateway) incarnation: ServerIncarnation,
     pub(in crate::gateway) state: ServerState,
     pub(in crate::gateway) version: SmolStr,
     service: ServiceId,
@@ -52,11 +52,11 @@
 
 impl IndexedServer {
     /// Extracts the indexed properties of a record.
-    pub(super) fn of(known: &ServerRecord) -> Self {
+    pub(super) fn from_record(known: &ServerRecord) -> Self {
         let said = &known.announcement;
         Self {
             key: loads::key(&said.id),
-            life: known.life(),
+            incarnation: known.incarnation(),
             state: said.state,
             version: said.version.clone(),
             service: said.service.clone(),
@@ -71,7 +71,7 @@
     }
 
     fn member(&self) -> (ServerKey, ServerId) {
-        (self.key, self.life.id.clone())
+        (self.key, self.incarnation.id.clone())
     }
 }
 
@@ -167,11 +167,11 @@
         self.by_key.insert(indexed.member());
         *self.server_counts.entry(indexed.service.clone()).or_default() += 1;
         if let Some(at) = indexed.gone_at {
-            self.gone.insert((at, indexed.life.id.clone()));
+            self.gone.insert((at, indexed.incarnation.id.clone()));
             return;
         }
         let at = self.by_address.entry(indexed.addr).or_default();
-        at.push(indexed.life.id.clone());
+        at.push(indexed.incarnation.id.clone());
         if indexed.state == ServerState::Ready {
             let groups = self.ready.entry(indexed.service.clone()).or_default();
             let group = (indexed.domain.clone(), indexed.version.clone());
@@ -180,7 +180,7 @@
     }
 
     pub(super) fn remove(&mut self, indexed: &IndexedServer) {
-        let id = &indexed.life.id;
+        let id = &indexed.incarnation.id;
         self.by_key.remove(&indexed.member());
         if let Some(count) = self.server_counts.get_mut(&indexed.service) {
             *count -= 1;
--- a/sesamebeam_core/src/gateway/entries.rs
+++ b/sesamebeam_core/src/gateway/entries.rs
@@ -26,9 +26,9 @@
     /// When the first entry connected.
     since: Option<MonoTime>,
     /// Whether an entry has reported a number.
-    confirmed: bool,
+    reported: bool,
     /// Number last returned by `take_changed`.
-    told: u32,
+    last_returned: u32,
 }
 
 impl EntryCounter {
@@ -39,16 +39,16 @@
     }
 
     /// Records the number that an entry knows; 0 if it knows none.
-    pub fn confirmed(&mut self, entries: u32) {
-        self.confirmed |= entries > 0;
+    pub fn record_reported(&mut self, entries: u32) {
+        self.reported |= entries > 0;
         self.max = self.max.max(entries);
     }
 
     /// Returns the largest number of simultaneously connected entries; 0 while it is not
     /// known.
-    pub fn known(&self, now: MonoTime) -> u32 {
+    pub fn count(&self, now: MonoTime) -> u32 {
         let settled = self.since.is_some_and(|since| now >= since + SETTLE_TIME);
-        match settled || self.confirmed {
+        match settled || self.reported {
             true => self.max,
             false => 0,
         }
@@ -56,8 +56,8 @@
 
     /// Returns whether the number has changed since the last call.
     pub fn take_changed(&mut self, now: MonoTime) -> bool {
-        let known = self.known(now);
-        std::mem::replace(&mut self.told, known) != known
+        let known = self.count(now);
+        std::mem::replace(&mut self.last_returned, known) != known
     }
 }
 
--- a/sesamebeam_core/src/gateway/router.rs
+++ b/sesamebeam_core/src/gateway/router.rs
@@ -328,10 +328,10 @@
     pub fn announced(&mut self, now: MonoTime, said: Announcement) -> bool {
         let table = self.table.as_ref();
         let is_named = table.is_some_and(|t| t.config().service(&said.service).is_some());
-        let before = self.directory.get(&said.id).map(ServerRecord::life);
+        let before = self.directory.get(&said.id).map(ServerRecord::incarnation);
         let id = said.id.clone();
-        let news = self.directory.take(now, said, is_named);
-        let after = self.directory.get(&id).map(ServerRecord::life);
+        let news = self.directory.merge(now, said, is_named);
+        let after = self.directory.get(&id).map(ServerRecord::incarnation);
         if before.is_some() && before != after {
             self.balance.reborn(&id);
             self.limits.forget(&id);
--- a/sesamebeam_core/tests/gateway/backoff.rs
+++ b/sesamebeam_core/tests/gateway/backoff.rs
@@ -24,7 +24,7 @@
 use crate::make::{
     announcement,
     choice,
-    entry_of,
+    router_of_entry,
     ms,
     plan,
     send, //
@@ -37,7 +37,7 @@
 const START: u64 = 50_000;
 
 fn entry(servers: u8) -> Router {
-    entry_of("entry-1", 3, servers)
+    router_of_entry("entry-1", 3, servers)
 }
 
 fn turned_away(pause: u64) -> AnswerHead {
--- a/sesamebeam_core/tests/gateway/budget.rs
+++ b/sesamebeam_core/tests/gateway/budget.rs
@@ -86,7 +86,7 @@
         let connected = (now / 50 + 1).min(15);
         counted.record_connected(ms(now), connected as u32);
         for budget in entries.iter_mut().take(connected as usize) {
-            budget.set_entries(ms(now), counted.known(ms(now)));
+            budget.set_entries(ms(now), counted.count(ms(now)));
             spent += usize::from(budget.try_repeat(ms(now), &"pool".into()));
         }
     }
@@ -101,6 +101,6 @@
     let mut counted = EntryCounter::default();
     counted.record_connected(ms(0), 10);
     let mut budget = budget(0);
-    budget.set_entries(ms(20_000), counted.known(ms(20_000)));
+    budget.set_entries(ms(20_000), counted.count(ms(20_000)));
     assert!(budget.try_repeat(ms(20_000), &"pool".into()));
 }
--- a/sesamebeam_core/tests/gateway/cold.rs
+++ b/sesamebeam_core/tests/gateway/cold.rs
@@ -227,11 +227,11 @@
         cold: ms(cold),
         ..announcement(1)
     };
-    assert!(directory.take(ms(0), say(1, 0), true));
-    assert!(!directory.take(ms(1200), say(2, 0), true));
-    assert!(directory.take(ms(2400), say(3, 2600), true));
-    assert!(!directory.take(ms(3700), say(4, 1400), true));
-    assert!(!directory.take(ms(4800), say(5, 200), true));
+    assert!(directory.merge(ms(0), say(1, 0), true));
+    assert!(!directory.merge(ms(1200), say(2, 0), true));
+    assert!(directory.merge(ms(2400), say(3, 2600), true));
+    assert!(!directory.merge(ms(3700), say(4, 1400), true));
+    assert!(!directory.merge(ms(4800), say(5, 200), true));
     let told: Vec<_> = directory.announcements(ms(4900)).map(|said| said.cold).collect();
     assert_eq!(told, [ms(100)]);
 }
--- a/sesamebeam_core/tests/gateway/digests.rs
+++ b/sesamebeam_core/tests/gateway/digests.rs
@@ -17,7 +17,7 @@
 fn directory(servers: impl IntoIterator<Item = Announcement>) -> Directory {
     let mut directory = Directory::default();
     for said in servers {
-        directory.take(ms(0), said, true);
+        directory.merge(ms(0), said, true);
     }
     directory
 }
@@ -39,7 +39,7 @@
     leaving.state = ServerState::Draining;
     leaving.sequence = 2;
     let mut after = directory((0..200).map(announcement));
-    assert!(after.take(ms(1), leaving, true));
+    assert!(after.merge(ms(1), leaving, true));
     let differing = after.digests().differing(before.digests());
     assert!(differing.contains_server(&"server-7".into()));
     let told = before.all().filter(|k| differing.contains_server(&k.announcement.id));
@@ -52,7 +52,7 @@
     let before = directory.digests().clone();
     let mut again = announcement(7);
     again.sequence = 2;
-    assert!(!directory.take(ms(1), again, true));
+    assert!(!directory.merge(ms(1), again, true));
     assert_eq!(directory.digests(), &before);
 }
 
--- a/sesamebeam_core/tests/gateway/directory.rs
+++ b/sesamebeam_core/tests/gateway/directory.rs
@@ -28,10 +28,10 @@
     let mut draining = announcement(1);
     draining.state = ServerState::Draining;
     draining.sequence = 5;
-    assert!(directory.take(ms(0), draining, true));
+    assert!(directory.merge(ms(0), draining, true));
     let mut late = announcement(1);
     late.sequence = 4;
-    assert!(!directory.take(ms(10), late, true));
+    assert!(!directory.merge(ms(10), late, true));
     assert!(ready(&directory).is_empty());
 }
 
@@ -40,11 +40,11 @@
     // A backend server leaves. A heartbeat delayed by a network partition arrives later,
     // with a higher sequence number than any before. The server stays gone.
     let mut directory = Directory::default();
-    directory.take(ms(0), announcement(1), true);
+    directory.merge(ms(0), announcement(1), true);
     assert!(directory.mark_gone(ms(5), "server-1", None).is_some());
     let mut late = announcement(1);
     late.sequence = 99;
-    assert!(!directory.take(ms(10), late, true));
+    assert!(!directory.merge(ms(10), late, true));
     assert!(ready(&directory).is_empty());
 }
 
@@ -53,24 +53,24 @@
     // A backend server crashes and another one starts at its address. The old one is never
     // heard from again, and must not receive requests.
     let mut directory = Directory::default();
-    directory.take(ms(0), announcement(1), true);
+    directory.merge(ms(0), announcement(1), true);
     let mut next = announcement(2);
     next.addr = announcement(1).addr;
-    assert!(directory.take(ms(5), next, true));
+    assert!(directory.merge(ms(5), next, true));
     assert_eq!(ready(&directory), ["server-2"]);
     let mut late = announcement(1);
     late.sequence = 7;
-    directory.take(ms(9), late, true);
+    directory.merge(ms(9), late, true);
     assert_eq!(ready(&directory), ["server-2"]);
 }
 
 #[test]
 fn refreshes_are_no_news() {
     let mut directory = Directory::default();
-    assert!(directory.take(ms(0), announcement(1), true));
+    assert!(directory.merge(ms(0), announcement(1), true));
     let mut again = announcement(1);
     again.sequence = 2;
-    assert!(!directory.take(ms(9), again, true));
+    assert!(!directory.merge(ms(9), again, true));
     assert_eq!(directory.get("server-1").map(|k| k.last_heard_at), Some(ms(9)));
 }
 
@@ -88,7 +88,7 @@
     let examined = |count: u32| {
         let mut directory = Directory::default();
         for number in 0..count {
-            directory.take(ms(0), one_of_many(number), true);
+            directory.merge(ms(0), one_of_many(number), true);
         }
         directory.examined() / u64::from(count)
     };
@@ -100,7 +100,7 @@
     // Forgetting an ended incarnation beyond the limit must not search all of them.
     let mut directory = Directory::default();
     for number in 0..20_000 {
-        directory.take(ms(u64::from(number)), one_of_many(number), true);
+        directory.merge(ms(u64::from(number)), one_of_many(number), true);
         directory.mark_gone(ms(u64::from(number)), &format!("server-{number}"), None);
     }
     assert!(directory.count() <= 8200);
@@ -115,7 +115,7 @@
     for number in 0..20_000u32 {
         let mut said = announcement(1);
         said.id = format!("life-{number}").into();
-        directory.take(ms(u64::from(number)), said, true);
+        directory.merge(ms(u64::from(number)), said, true);
     }
     assert!(directory.all().count() <= 8200);
 }
@@ -134,10 +134,10 @@
     // A backend server crashes and restarts under the same id, and its sequence numbers
     // start again. It must accept requests again although the id was marked as gone.
     let mut directory = Directory::default();
-    directory.take(ms(0), said_by(100, 40), true);
+    directory.merge(ms(0), said_by(100, 40), true);
     directory.mark_gone(ms(1), "server-1", Some(100));
     assert!(ready(&directory).is_empty());
-    assert!(directory.take(ms(2), said_by(200, 1), true));
+    assert!(directory.merge(ms(2), said_by(200, 1), true));
     assert_eq!(ready(&directory), ["server-1"]);
 }
 
@@ -147,10 +147,10 @@
     // by a network partition and arrive after the new one has announced itself. The new one
     // stays ready.
     let mut directory = Directory::default();
-    directory.take(ms(0), said_by(200, 1), true);
+    directory.merge(ms(0), said_by(200, 1), true);
     let mut draining = said_by(100, 41);
     draining.state = ServerState::Draining;
-    assert!(!directory.take(ms(1), draining, true));
+    assert!(!directory.merge(ms(1), draining, true));
     assert!(directory.mark_gone(ms(2), "server-1", Some(100)).is_none());
     assert_eq!(ready(&directory), ["server-1"]);
 }
@@ -160,10 +160,10 @@
     // Of two ids at one address, the announcement of the older incarnation arrives last. It
     // must not replace the newer one.
     let mut directory = Directory::default();
-    directory.take(ms(0), said_by(200, 1), true);
+    directory.merge(ms(0), said_by(200, 1), true);
     let mut older = said_by(100, 7);
     older.id = "server-0".into();
-    directory.take(ms(1), older, true);
+    directory.merge(ms(1), older, true);
     assert_eq!(ready(&directory), ["server-1"]);
 }
 
@@ -172,11 +172,11 @@
     // A third party announces an unknown service at the address of a working backend
     // server. The server stays ready.
     let mut directory = Directory::default();
-    directory.take(ms(0), announcement(1), true);
+    directory.merge(ms(0), announcement(1), true);
     let mut forged = announcement(2);
     forged.addr = announcement(1).addr;
     forged.service = "nowhere".into();
-    directory.take(ms(1), forged, false);
+    directory.merge(ms(1), forged, false);
     assert_eq!(ready(&directory), ["server-1"]);
 }
 
@@ -185,11 +185,11 @@
     // A third party copies an announcement but changes the service. If the change were
     // accepted, callers would be rejected although the server works.
     let mut directory = Directory::default();
-    directory.take(ms(0), announcement(1), true);
+    directory.merge(ms(0), announcement(1), true);
     let mut forged = announcement(1);
     forged.sequence = 9;
     forged.service = "nowhere".into();
-    assert!(!directory.take(ms(1), forged, false));
+    assert!(!directory.merge(ms(1), forged, false));
     assert_eq!(ready(&directory), ["server-1"]);
 }
 
@@ -213,11 +213,11 @@
         let mut directory = Directory::default();
         let leaving = said[at.index(said.len())].clone();
         for (n, said) in said.into_iter().enumerate() {
-            directory.take(ms(n as u64), said, true);
+            directory.merge(ms(n as u64), said, true);
         }
         let mut draining = leaving.clone();
         draining.state = ServerState::Draining;
-        directory.take(ms(100), draining, true);
+        directory.merge(ms(100), draining, true);
         let ready = ready(&directory);
         prop_assert!(!ready.contains(&leaving.id.to_string()));
     }
@@ -235,7 +235,7 @@
             said.started_at = born;
             said.sequence = sequence;
             said.state = [ServerState::Ready, ServerState::Draining, ServerState::Gone][usize::from(state)];
-            directory.take(ms(at as u64), said, true);
+            directory.merge(ms(at as u64), said, true);
         }
         let mut ids = ready(&directory);
         ids.sort();
@@ -244,7 +244,7 @@
         prop_assert_eq!(ids, expected);
         let mut anew = Directory::default();
         for known in directory.all().filter(|k| k.announcement.state != ServerState::Gone) {
-            anew.take(ms(99), known.announcement.clone(), true);
+            anew.merge(ms(99), known.announcement.clone(), true);
         }
         prop_assert_eq!(directory.digests(), anew.digests());
     }
--- a/sesamebeam_core/tests/gateway/evacuations.rs
+++ b/sesamebeam_core/tests/gateway/evacuations.rs
@@ -73,7 +73,7 @@
     while group.now < since + ms(30_000) {
         let nodes: Vec<NodeId> = group.processes.keys().copied().collect();
         for node in nodes {
-            let ticket = group.call(node, call.clone());
+            let ticket = group.send_request(node, call.clone());
             let until = group.now + ms(900);
             while group.now < until && !group.answers.contains_key(&ticket) {
                 group.run(1);
@@ -108,12 +108,12 @@
         version: 5,
         bytes: "five".into(),
     });
-    assert_eq!(group.ask(leader, config), ApiResponse::Done);
+    assert_eq!(group.request(leader, config), ApiResponse::Done);
     group.event(other, Event::EntryConnected(9));
     group.event(other, Event::EntryFollows(9, SyncState::default()));
     group.run(100);
     group.pushed.clear();
-    assert_eq!(group.ask(leader, evacuate("hall-1")), ApiResponse::Done);
+    assert_eq!(group.request(leader, evacuate("hall-1")), ApiResponse::Done);
     group.run(200);
     let hears = |group: &Group, node: NodeId, with_config: bool| {
         group.pushed.iter().any(|(from, push)| match push {
@@ -137,8 +137,8 @@
     // enough is ordered that the state comes from a snapshot, and power is lost again.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, evacuate("hall-1")), ApiResponse::Done);
-    assert_eq!(group.ask(leader, evacuate("hall-2")), ApiResponse::Done);
+    assert_eq!(group.request(leader, evacuate("hall-1")), ApiResponse::Done);
+    assert_eq!(group.request(leader, evacuate("hall-2")), ApiResponse::Done);
     lose_power(&mut group);
     for version in 1..=50 {
         let config = ApiRequest::Apply(Document {
@@ -162,14 +162,14 @@
     // elsewhere, twice, and is told the same. Nothing else comes of it.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, evacuate("hall-1")), ApiResponse::Done);
+    assert_eq!(group.request(leader, evacuate("hall-1")), ApiResponse::Done);
     group.kill(leader);
     let next = group.new_leader(None);
-    assert_eq!(group.ask(next, evacuate("hall-1")), ApiResponse::Done);
-    assert_eq!(group.ask(next, evacuate("hall-1")), ApiResponse::Done);
+    assert_eq!(group.request(next, evacuate("hall-1")), ApiResponse::Done);
+    assert_eq!(group.request(next, evacuate("hall-1")), ApiResponse::Done);
     assert_eq!(evacuated(&group, next), ["hall-1"]);
-    assert_eq!(group.ask(next, readmit("hall-1")), ApiResponse::Done);
-    assert_eq!(group.ask(next, readmit("hall-1")), ApiResponse::Done);
+    assert_eq!(group.request(next, readmit("hall-1")), ApiResponse::Done);
+    assert_eq!(group.request(next, readmit("hall-1")), ApiResponse::Done);
     assert!(evacuated(&group, next).is_empty());
 }
 
@@ -179,8 +179,8 @@
     // backend server was heard of is evacuated like any: some may come there.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, readmit("hall-1")), ApiResponse::Done);
-    assert_eq!(group.ask(leader, evacuate("nowhere")), ApiResponse::Done);
+    assert_eq!(group.request(leader, readmit("hall-1")), ApiResponse::Done);
+    assert_eq!(group.request(leader, evacuate("nowhere")), ApiResponse::Done);
     assert_eq!(evacuated(&group, leader), ["nowhere"]);
 }
 
@@ -191,13 +191,13 @@
     // taken back.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, evacuate("hall-1")), ApiResponse::Done);
+    assert_eq!(group.request(leader, evacuate("hall-1")), ApiResponse::Done);
     group.run(300);
     let away = (1..=3).find(|&n| n != leader).expect("there are three");
     group.isolate(away);
-    assert_eq!(group.ask(leader, readmit("hall-1")), ApiResponse::Done);
+    assert_eq!(group.request(leader, readmit("hall-1")), ApiResponse::Done);
     assert_eq!(evacuated(&group, away), ["hall-1"]);
-    assert_ne!(group.ask(away, evacuate("hall-1")), ApiResponse::Done);
+    assert_ne!(group.request(away, evacuate("hall-1")), ApiResponse::Done);
 }
 
 /// What happens to the replica that leads while an order is given.
@@ -238,7 +238,7 @@
         Trouble::Storm => {
             for version in 1..=60 {
                 let bytes = vec![7; 20_000].into();
-                group.call(leader, ApiRequest::Apply(Document { version, bytes }));
+                group.send_request(leader, ApiRequest::Apply(Document { version, bytes }));
             }
         }
     }
--- a/sesamebeam_core/tests/gateway/group.rs
+++ b/sesamebeam_core/tests/gateway/group.rs
@@ -44,10 +44,10 @@
 use crate::make::ms;
 
 /// Duration of a message delivery or a disk sync.
-const HOP: Duration = Duration::from_millis(2);
+const DELIVERY_DELAY: Duration = Duration::from_millis(2);
 
 /// Maximum virtual time that a test waits for a condition.
-const PATIENCE: Duration = Duration::from_secs(30);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
 /// Identity of the group.
 const GROUP: u128 = 77;
@@ -68,35 +68,35 @@
 pub(crate) struct Group {
     pub(crate) now: MonoTime,
     pub(crate) processes: BTreeMap<NodeId, Process>,
-    mail: VecDeque<(MonoTime, NodeId, NodeId, CoordinatorMessage)>,
-    cut: BTreeSet<(NodeId, NodeId)>,
+    in_flight: VecDeque<(MonoTime, NodeId, NodeId, CoordinatorMessage)>,
+    partitioned: BTreeSet<(NodeId, NodeId)>,
     pub(crate) answers: BTreeMap<u64, ApiResponse>,
     pub(crate) replies: BTreeMap<u64, MembershipReply>,
     pub(crate) pushed: Vec<(NodeId, ToEntry)>,
     /// Requests sent to processes outside the group, with the recipient's address.
-    pub(crate) told: VecDeque<(SocketAddr, MembershipRequest)>,
+    pub(crate) membership_requests: VecDeque<(SocketAddr, MembershipRequest)>,
     /// Number of announcements that each replica has received from others, including
     /// repeated ones.
-    pub(crate) servers_told: BTreeMap<NodeId, usize>,
+    pub(crate) announcements_received: BTreeMap<NodeId, usize>,
     next_ticket: u64,
     tolerated: usize,
 }
 
 /// Returns the listen address of a replica.
-pub(crate) fn listens(node: NodeId) -> SocketAddr {
+pub(crate) fn listen_addr(node: NodeId) -> SocketAddr {
     SocketAddr::from(([10, 9, 0, node as u8], 7000))
 }
 
 fn members(count: u64) -> Members {
     let mut members = Members::default();
     for node in 1..=count {
-        let voter = Member::voter(u128::from(node), Some(listens(node)));
+        let voter = Member::voter(u128::from(node), Some(listen_addr(node)));
         members.members.insert(node, voter);
     }
     members
 }
 
-fn replica(node: NodeId, members: Members) -> ReplicaConfig {
+fn replica_config(node: NodeId, members: Members) -> ReplicaConfig {
     ReplicaConfig {
         id: node,
         group: GROUP,
@@ -121,13 +121,13 @@
         let mut group = Self {
             now: ms(0),
             processes: BTreeMap::new(),
-            mail: VecDeque::new(),
-            cut: BTreeSet::new(),
+            in_flight: VecDeque::new(),
+            partitioned: BTreeSet::new(),
             answers: BTreeMap::new(),
             replies: BTreeMap::new(),
             pushed: Vec::new(),
-            told: VecDeque::new(),
-            servers_told: BTreeMap::new(),
+            membership_requests: VecDeque::new(),
+            announcements_received: BTreeMap::new(),
             next_ticket: 1,
             tolerated,
         };
@@ -147,8 +147,8 @@
         process.disk = disk.clone();
         // Whichever process it asks to join tells it the members.
         process.core.learn_peers(known);
-        let actions = process.core.start(replica(node, members), disk, now);
-        self.carry(node, actions);
+        let actions = process.core.start(replica_config(node, members), disk, now);
+        self.execute(node, actions);
     }
 
     /// Starts a process with an empty disk, which is not a member yet.
@@ -165,7 +165,7 @@
 
     fn settings(&self, node: NodeId) -> CoordinatorConfig {
         CoordinatorConfig {
-            addr: listens(node),
+            addr: listen_addr(node),
             domain: format!("hall-{node}").into(),
             tolerated_failures: self.tolerated,
             max_exposure: 0.15,
@@ -188,14 +188,14 @@
     /// Partitions a replica from the others.
     pub(crate) fn isolate(&mut self, node: NodeId) {
         for other in 1..=9 {
-            self.cut.insert((node, other));
-            self.cut.insert((other, node));
+            self.partitioned.insert((node, other));
+            self.partitioned.insert((other, node));
         }
     }
 
     /// Heals all network partitions.
     pub(crate) fn heal(&mut self) {
-        self.cut.clear();
+        self.partitioned.clear();
     }
 
     /// Returns the leader.
@@ -217,21 +217,21 @@
     }
 
     /// Sends a request to a replica and returns its ticket.
-    pub(crate) fn call(&mut self, node: NodeId, call: ApiRequest) -> u64 {
+    pub(crate) fn send_request(&mut self, node: NodeId, call: ApiRequest) -> u64 {
         let ticket = self.ticket();
         self.event(node, Event::RequestReceived(ticket, call));
         ticket
     }
 
     /// Sends a request to a replica and waits for the response.
-    pub(crate) fn ask(&mut self, node: NodeId, call: ApiRequest) -> ApiResponse {
-        let ticket = self.call(node, call);
+    pub(crate) fn request(&mut self, node: NodeId, call: ApiRequest) -> ApiResponse {
+        let ticket = self.send_request(node, call);
         self.run_until(|g| g.answers.contains_key(&ticket));
         self.answers[&ticket].clone()
     }
 
     /// Sends a membership request to a replica and returns the reply.
-    pub(crate) fn question(&mut self, node: NodeId, question: MembershipRequest) -> MembershipReply {
+    pub(crate) fn request_membership(&mut self, node: NodeId, question: MembershipRequest) -> MembershipReply {
         let ticket = self.ticket();
         self.event(node, Event::MembershipRequested(ticket, question));
         self.replies[&ticket].clone()
@@ -243,7 +243,7 @@
             return;
         };
         let actions = process.core.handle(self.now, event);
-        self.carry(node, actions);
+        self.execute(node, actions);
     }
 
     /// Advances the clock.
@@ -256,9 +256,9 @@
 
     /// Advances the clock until a condition holds.
     pub(crate) fn run_until(&mut self, holds: impl Fn(&Group) -> bool) {
-        let until = self.now + PATIENCE;
+        let until = self.now + MAX_WAIT;
         while !holds(self) {
-            assert!(self.now < until, "waited for longer than {PATIENCE:?}");
+            assert!(self.now < until, "waited for longer than {MAX_WAIT:?}");
             self.step();
         }
     }
@@ -270,14 +270,14 @@
 
     fn step(&mut self) {
         self.now += ms(1);
-        let (now, mail) = (self.now, std::mem::take(&mut self.mail));
+        let (now, mail) = (self.now, std::mem::take(&mut self.in_flight));
         for (at, from, to, message) in mail {
             let asleep = self.processes.get(&to).is_some_and(|p| p.suspended);
             if at > now || asleep {
-                self.mail.push_back((at, from, to, message));
-            } else if !self.cut.contains(&(from, to)) {
+                self.in_flight.push_back((at, from, to, message));
+            } else if !self.partitioned.contains(&(from, to)) {
                 if let CoordinatorMessage::Servers(servers) = &message {
-                    *self.servers_told.entry(to).or_default() += servers.len();
+                    *self.announcements_received.entry(to).or_default() += servers.len();
                 }
                 self.event(to, Event::Peer { from, message });
             }
@@ -307,26 +307,26 @@
         }
     }
 
-    fn connects(&self, node: NodeId, to: NodeId) -> bool {
+    fn is_connected(&self, node: NodeId, to: NodeId) -> bool {
         let process = self.processes.get(&node);
         process.is_some_and(|p| p.core.peers().addr(to).is_some())
     }
 
-    fn carry(&mut self, node: NodeId, actions: Vec<Action>) {
+    fn execute(&mut self, node: NodeId, actions: Vec<Action>) {
         for action in actions {
             match action {
                 // Processes are only connected to members of the group.
-                Action::Send { to, .. } if !self.connects(node, to) => {}
+                Action::Send { to, .. } if !self.is_connected(node, to) => {}
                 Action::Send { to, message } => {
-                    self.mail.push_back((self.now + HOP, node, to, message));
+                    self.in_flight.push_back((self.now + DELIVERY_DELAY, node, to, message));
                 }
                 Action::Write { write, ops } => {
-                    let at = self.now + HOP;
+                    let at = self.now + DELIVERY_DELAY;
                     if let Some(process) = self.processes.get_mut(&node) {
                         process.writes.push_back((at, write, ops));
                     }
                 }
-                Action::SendMembershipRequest { to, request: told } => self.told.push_back((to, told)),
+                Action::SendMembershipRequest { to, request: told } => self.membership_requests.push_back((to, told)),
                 Action::ReplyMembership(ticket, reply) => {
                     self.replies.insert(ticket, reply);
                 }
--- a/sesamebeam_core/tests/gateway/joining.rs
+++ b/sesamebeam_core/tests/gateway/joining.rs
@@ -32,11 +32,11 @@
 use crate::{
     group::{
         Group,
-        listens, //
+        listen_addr, //
     },
     make::{
         announcement,
-        leave,
+        leave_request,
         ms, //
     },
 };
@@ -60,12 +60,12 @@
     group.boot(node, Members::default(), Saved::default());
     for _ in 0..40 {
         let leader = group.new_leader(None);
-        group.question(
+        group.request_membership(
             leader,
             MembershipRequest::Join {
                 node,
                 incarnation: u128::from(node),
-                addr: listens(at),
+                addr: listen_addr(at),
                 domain: format!("hall-{at}").into(),
             },
         );
@@ -84,7 +84,7 @@
     // replaces the silent replica, and the group survives one more failure.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(1)), ApiResponse::Done);
+    assert_eq!(group.request(leader, apply(1)), ApiResponse::Done);
     let gone = (1..=3).find(|&n| n != leader).expect("there are three");
     group.kill(gone);
     join(&mut group, 8, 8);
@@ -93,7 +93,7 @@
         .expect("one more");
     group.kill(other);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(2)), ApiResponse::Done);
+    assert_eq!(group.request(leader, apply(2)), ApiResponse::Done);
 }
 
 #[test]
@@ -103,13 +103,13 @@
     // nothing acknowledged is lost.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(1)), ApiResponse::Done);
+    assert_eq!(group.request(leader, apply(1)), ApiResponse::Done);
     group.kill(leader);
     join(&mut group, 7, leader);
     let other = (1..=3).find(|&n| n != leader && group.leader() != Some(n));
     group.kill(other.expect("one more"));
     let leader = group.new_leader(None);
-    let answer = group.ask(leader, ApiRequest::ReadConfig);
+    let answer = group.request(leader, ApiRequest::ReadConfig);
     assert_eq!(answer, ApiResponse::Config("text 1".into()));
 }
 
@@ -123,11 +123,11 @@
     let question = MembershipRequest::Join {
         node: 8,
         incarnation: 8,
-        addr: listens(8),
+        addr: listen_addr(8),
         domain: "hall-8".into(),
     };
     group.boot(8, Members::default(), Saved::default());
-    let reply = group.question(leader, question.clone());
+    let reply = group.request_membership(leader, question.clone());
     assert!(
         matches!(reply, MembershipReply::Group { leads: true, .. }),
         "{reply:?}"
@@ -136,7 +136,7 @@
     group.kill(gone);
     group.run(2500);
     let leader = group.new_leader(None);
-    assert_eq!(group.question(leader, question), MembershipReply::Joining);
+    assert_eq!(group.request_membership(leader, question), MembershipReply::Joining);
 }
 
 #[test]
@@ -151,7 +151,7 @@
     group.kill(1);
     group.kill(2);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(1)), ApiResponse::Done);
+    assert_eq!(group.request(leader, apply(1)), ApiResponse::Done);
     assert!(group.now > ms(0));
 }
 
@@ -169,10 +169,10 @@
             let question = MembershipRequest::Join {
                 node,
                 incarnation: u128::from(node),
-                addr: listens(node),
+                addr: listen_addr(node),
                 domain: domain.into(),
             };
-            group.question(leader, question);
+            group.request_membership(leader, question);
             if !at_once {
                 group.run(300 / asking.len() as u64);
             }
@@ -222,7 +222,7 @@
 #[parameterized(
     new_config = { apply(3) },
     config_read = { ApiRequest::ReadConfig },
-    leaves = { leave("server-7") },
+    leaves = { leave_request("server-7") },
     drains = { ApiRequest::Announce(draining()) },
 )]
 fn reserve_names_the_leader(call: ApiRequest) {
@@ -231,28 +231,28 @@
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     group.boot(8, Members::default(), Saved::default());
-    assert_eq!(group.ask(8, call.clone()), ApiResponse::Unavailable);
+    assert_eq!(group.request(8, call.clone()), ApiResponse::Unavailable);
     let now = group.now;
     let reserve = group.processes.get_mut(&8).expect("it runs");
-    reserve.core.learn_leader(now, listens(leader));
-    assert_eq!(group.ask(8, call.clone()), ApiResponse::Leader(listens(leader)));
+    reserve.core.learn_leader(now, listen_addr(leader));
+    assert_eq!(group.request(8, call.clone()), ApiResponse::Leader(listen_addr(leader)));
     // The leader may have changed by now.
     group.run(1_500);
-    assert_eq!(group.ask(8, call), ApiResponse::Unavailable);
+    assert_eq!(group.request(8, call), ApiResponse::Unavailable);
 }
 
 #[parameterized(two = { 2 }, fleet = { 20 }, two_fleets = { 45 })]
 fn reserves_ask_the_leader(reserves: usize) {
     // A standby process must not ask every replica and seed in every round.
-    let replicas: BTreeSet<_> = (1..=8).map(listens).collect();
+    let replicas: BTreeSet<_> = (1..=8).map(listen_addr).collect();
     let mut enquiries = vec![LeaderDiscovery::default(); reserves];
     let mut round = |leader: Option<NodeId>| {
         let mut asked = 0;
         for enquiry in &mut enquiries {
             for addr in enquiry.targets(replicas.clone()) {
                 asked += 1;
-                let is_up = leader != Some(1) || addr != listens(2);
-                let leads = leader.map(|node| addr == listens(node));
+                let is_up = leader != Some(1) || addr != listen_addr(2);
+                let leads = leader.map(|node| addr == listen_addr(node));
                 enquiry.record_reply(addr, leads.filter(|_| is_up));
             }
         }
@@ -279,10 +279,10 @@
     let question = MembershipRequest::Join {
         node: 20,
         incarnation: 20,
-        addr: listens(20),
+        addr: listen_addr(20),
         domain: "hall-4".into(),
     };
-    group.question(leader, question);
+    group.request_membership(leader, question);
     group.run(300);
     group.heal();
     ask(&mut group, &asking, true);
@@ -307,7 +307,7 @@
     // is told so, leaves the group, and becomes a standby itself under another id.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(1)), ApiResponse::Done);
+    assert_eq!(group.request(leader, apply(1)), ApiResponse::Done);
     let away = (1..=3).find(|&n| n != leader).expect("there are three");
     let disk = group.kill(away);
     join(&mut group, 8, 8);
@@ -316,7 +316,7 @@
     let leader = group.new_leader(None);
     let MembershipReply::Group {
         replicas, leads, ..
-    } = group.question(leader, MembershipRequest::Group)
+    } = group.request_membership(leader, MembershipRequest::Group)
     else {
         panic!("there is a group");
     };
@@ -330,6 +330,6 @@
     group.kill(other.expect("one more"));
     join(&mut group, 9, away);
     let leader = group.new_leader(None);
-    let answer = group.ask(leader, ApiRequest::ReadConfig);
+    let answer = group.request(leader, ApiRequest::ReadConfig);
     assert_eq!(answer, ApiResponse::Config("text 1".into()));
 }
--- a/sesamebeam_core/tests/gateway/limits.rs
+++ b/sesamebeam_core/tests/gateway/limits.rs
@@ -38,7 +38,7 @@
     announcement,
     choice,
     coordinator,
-    entry_of,
+    router_of_entry,
     ms,
     plan,
     send, //
@@ -51,7 +51,7 @@
 const AHEAD: u64 = 100_000;
 
 fn entry(number: u64, entries: u32, servers: u8) -> Router {
-    entry_of(&format!("entry-{number}"), entries, servers)
+    router_of_entry(&format!("entry-{number}"), entries, servers)
 }
 
 /// Makes the head of a backend server's own answer that names a limit, or none.
--- a/sesamebeam_core/tests/gateway/make.rs
+++ b/sesamebeam_core/tests/gateway/make.rs
@@ -41,7 +41,7 @@
     ids::MonoTime,
 };
 
-use crate::group::listens;
+use crate::group::listen_addr;
 
 /// Returns a point in time.
 pub(crate) fn ms(millis: u64) -> MonoTime {
@@ -54,7 +54,7 @@
 }
 
 /// Creates the request by which a backend server leaves.
-pub(crate) fn leave(id: &str) -> ApiRequest {
+pub(crate) fn leave_request(id: &str) -> ApiRequest {
     ApiRequest::Leave {
         id: id.into(),
         born: None,
@@ -177,7 +177,7 @@
 /// yet.
 pub(crate) fn coordinator() -> Coordinator {
     let cfg = CoordinatorConfig {
-        addr: listens(1),
+        addr: listen_addr(1),
         domain: "hall-1".into(),
         tolerated_failures: 2,
         max_exposure: 0.1,
@@ -188,7 +188,7 @@
 }
 
 /// Creates a router of a named entry with a number of entries and backend servers.
-pub(crate) fn entry_of(name: &str, entries: u32, servers: u8) -> Router {
+pub(crate) fn router_of_entry(name: &str, entries: u32, servers: u8) -> Router {
     let mut settings = router_config();
     settings.name = name.into();
     let mut router = Router::new(settings);
--- a/sesamebeam_core/tests/gateway/orders.rs
+++ b/sesamebeam_core/tests/gateway/orders.rs
@@ -36,11 +36,11 @@
     group::{
         Group,
         Process,
-        listens, //
+        listen_addr, //
     },
     make::{
         announcement,
-        leave,
+        leave_request,
         ms, //
     },
 };
@@ -61,16 +61,16 @@
 
 fn read(group: &mut Group) -> ApiResponse {
     let leader = group.new_leader(None);
-    group.ask(leader, ApiRequest::ReadConfig)
+    group.request(leader, ApiRequest::ReadConfig)
 }
 
 #[test]
 fn highest_wins() {
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(5, "five")), ApiResponse::Done);
-    assert_eq!(group.ask(leader, apply(4, "four")), ApiResponse::Done);
-    assert_eq!(group.ask(leader, apply(5, "other")), ApiResponse::Done);
+    assert_eq!(group.request(leader, apply(5, "five")), ApiResponse::Done);
+    assert_eq!(group.request(leader, apply(4, "four")), ApiResponse::Done);
+    assert_eq!(group.request(leader, apply(5, "other")), ApiResponse::Done);
     assert_eq!(read(&mut group), ApiResponse::Config("five".into()));
 }
 
@@ -80,10 +80,10 @@
     // is sent again to another replica, which must accept it.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, apply(5, "five")), ApiResponse::Done);
+    assert_eq!(group.request(leader, apply(5, "five")), ApiResponse::Done);
     group.kill(leader);
     let next = group.new_leader(None);
-    assert_eq!(group.ask(next, apply(5, "five")), ApiResponse::Done);
+    assert_eq!(group.request(next, apply(5, "five")), ApiResponse::Done);
     assert_eq!(read(&mut group), ApiResponse::Config("five".into()));
 }
 
@@ -93,8 +93,8 @@
     let leader = group.new_leader(None);
     group.run(200);
     let follower = (1..=3).find(|&n| n != leader).expect("there are three");
-    let answer = group.ask(follower, apply(5, "five"));
-    assert_eq!(answer, ApiResponse::Leader(listens(leader)));
+    let answer = group.request(follower, apply(5, "five"));
+    assert_eq!(answer, ApiResponse::Leader(listen_addr(leader)));
 }
 
 #[test]
@@ -104,11 +104,11 @@
     // old configuration as the newest one.
     let mut group = Group::start(3, 1);
     let old = group.new_leader(None);
-    assert_eq!(group.ask(old, apply(5, "five")), ApiResponse::Done);
+    assert_eq!(group.request(old, apply(5, "five")), ApiResponse::Done);
     group.isolate(old);
     let new = group.new_leader(Some(old));
-    assert_eq!(group.ask(new, apply(6, "six")), ApiResponse::Done);
-    let answer = group.ask(old, ApiRequest::ReadConfig);
+    assert_eq!(group.request(new, apply(6, "six")), ApiResponse::Done);
+    let answer = group.request(old, ApiRequest::ReadConfig);
     assert_eq!(answer, ApiResponse::Unavailable);
 }
 
@@ -119,12 +119,12 @@
     // elapsed time, and it must not return the old configuration.
     let mut group = Group::start(3, 1);
     let old = group.new_leader(None);
-    assert_eq!(group.ask(old, apply(5, "five")), ApiResponse::Done);
+    assert_eq!(group.request(old, apply(5, "five")), ApiResponse::Done);
     group.processes.get_mut(&old).expect("it runs").suspended = true;
     let new = group.new_leader(Some(old));
-    assert_eq!(group.ask(new, apply(6, "six")), ApiResponse::Done);
+    assert_eq!(group.request(new, apply(6, "six")), ApiResponse::Done);
     group.processes.get_mut(&old).expect("it runs").suspended = false;
-    let answer = group.ask(old, ApiRequest::ReadConfig);
+    let answer = group.request(old, ApiRequest::ReadConfig);
     assert_ne!(answer, ApiResponse::Config("five".into()));
 }
 
@@ -135,7 +135,7 @@
     let leader = group.new_leader(None);
     for version in 1..=50 {
         let order = apply(version, &format!("text {version}"));
-        assert_eq!(group.ask(leader, order), ApiResponse::Done);
+        assert_eq!(group.request(leader, order), ApiResponse::Done);
     }
     let disks: Vec<_> = (1..=3).map(|node| (node, group.kill(node))).collect();
     group.run(500);
@@ -152,9 +152,9 @@
     let mut group = Group::start(3, 1);
     let old = group.new_leader(None);
     group.processes.get_mut(&old).expect("it runs").stalled = true;
-    group.call(old, apply(5, "five"));
+    group.send_request(old, apply(5, "five"));
     let new = group.new_leader(Some(old));
-    assert_eq!(group.ask(new, apply(6, "six")), ApiResponse::Done);
+    assert_eq!(group.request(new, apply(6, "six")), ApiResponse::Done);
     group.processes.get_mut(&old).expect("it runs").stalled = false;
     group.run(2000);
     assert_eq!(read(&mut group), ApiResponse::Config("six".into()));
@@ -166,7 +166,7 @@
     let leader = group.new_leader(None);
     follow(&mut group, 2);
     group.pushed.clear();
-    assert_eq!(group.ask(leader, apply(5, "five")), ApiResponse::Done);
+    assert_eq!(group.request(leader, apply(5, "five")), ApiResponse::Done);
     group.run(200);
     let told = group.pushed.iter().any(|(node, push)| {
         *node == 2 && matches!(push, ToEntry::State { config: Some(c), .. } if c.version == 5)
@@ -180,12 +180,12 @@
     // another replica has forwarded the announcement to its entries as well.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
-    assert_eq!(group.ask(1, ApiRequest::Announce(announcement(1))), ApiResponse::Done);
+    assert_eq!(group.request(1, ApiRequest::Announce(announcement(1))), ApiResponse::Done);
     group.run(50);
     let mut leaving = announcement(1);
     leaving.state = ServerState::Draining;
     leaving.sequence = 2;
-    assert_eq!(group.ask(1, ApiRequest::Announce(leaving)), ApiResponse::Done);
+    assert_eq!(group.request(1, ApiRequest::Announce(leaving)), ApiResponse::Done);
     let knows = |node| {
         let known = group.processes[&node].core.directory().get("server-1");
         known.map(|k| k.announcement.state)
@@ -204,10 +204,10 @@
     // keep sending requests, so it must not acknowledge.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
-    assert_eq!(group.ask(1, ApiRequest::Announce(announcement(1))), ApiResponse::Done);
+    assert_eq!(group.request(1, ApiRequest::Announce(announcement(1))), ApiResponse::Done);
     group.run(50);
     group.isolate(1);
-    let answer = group.ask(1, leave("server-1"));
+    let answer = group.request(1, leave_request("server-1"));
     assert_eq!(answer, ApiResponse::Unavailable);
 }
 
@@ -220,11 +220,11 @@
         target: "v2".into(),
         duration: ms(10_000),
     };
-    assert_eq!(group.ask(leader, order.clone()), ApiResponse::Done);
+    assert_eq!(group.request(leader, order.clone()), ApiResponse::Done);
     group.kill(leader);
     let next = group.new_leader(None);
-    assert_eq!(group.ask(next, order), ApiResponse::Done);
-    let ApiResponse::Rollout(rollout) = group.ask(next, ApiRequest::ReadRollout("pool".into())) else {
+    assert_eq!(group.request(next, order), ApiResponse::Done);
+    let ApiResponse::Rollout(rollout) = group.request(next, ApiRequest::ReadRollout("pool".into())) else {
         panic!("there is a roll-out");
     };
     assert_eq!(rollout.target, "v2");
@@ -240,7 +240,7 @@
     group.isolate(away);
     for version in 1..=60 {
         let order = apply(version, &format!("text {version}"));
-        assert_eq!(group.ask(leader, order), ApiResponse::Done);
+        assert_eq!(group.request(leader, order), ApiResponse::Done);
     }
     group.heal();
     group.run(3000);
@@ -259,7 +259,7 @@
         target: "v2".into(),
         duration: ms(20_000),
     };
-    assert_eq!(group.ask(leader, order), ApiResponse::Done);
+    assert_eq!(group.request(leader, order), ApiResponse::Done);
     group.run(12_000);
     let disks: Vec<_> = (1..=3).map(|node| (node, group.kill(node))).collect();
     for (node, disk) in disks {
@@ -291,7 +291,7 @@
     }
     group.run(7000);
     let leader = group.new_leader(None);
-    let ApiResponse::Rollout(rollout) = group.ask(leader, ApiRequest::ReadRollout("pool".into())) else {
+    let ApiResponse::Rollout(rollout) = group.request(leader, ApiRequest::ReadRollout("pool".into())) else {
         panic!("there is a roll-out");
     };
     assert_eq!(rollout.phase, Phase::Completed);
@@ -344,7 +344,7 @@
     group.new_leader(None);
     group.isolate(2);
     let said = announcement(5);
-    assert_eq!(group.ask(2, ApiRequest::Announce(said)), ApiResponse::Done);
+    assert_eq!(group.request(2, ApiRequest::Announce(said)), ApiResponse::Done);
     group.run(100);
     group.heal();
     group.event(2, Event::PeerConnected(1));
@@ -369,7 +369,7 @@
         group.event(node, Event::Servers(all));
     }
     group.run(100);
-    group.servers_told.clear();
+    group.announcements_received.clear();
     for other in 2..=replicas {
         group.event(1, Event::PeerConnected(other));
         group.event(other, Event::PeerConnected(1));
@@ -377,7 +377,7 @@
     group.run(2_000);
     let known = group.processes[&1].core.directory().count();
     assert_eq!(known, usize::from(SERVERS));
-    let told = group.servers_told.values().sum::<usize>();
+    let told = group.announcements_received.values().sum::<usize>();
     assert!(told <= 2 * usize::from(SERVERS), "{told}");
 }
 
@@ -388,7 +388,7 @@
     group.new_leader(None);
     group.boot(8, Members::default(), Saved::default());
     group.isolate(8);
-    assert_eq!(group.ask(8, ApiRequest::Announce(announcement(5))), ApiResponse::Done);
+    assert_eq!(group.request(8, ApiRequest::Announce(announcement(5))), ApiResponse::Done);
     group.run(100);
     group.heal();
     group.event(8, Event::PeerConnected(2));
@@ -426,7 +426,7 @@
     group.event(2, Event::Servers(vec![announcement(1)]));
     group.run(50);
     group.pushed.clear();
-    assert_eq!(group.ask(1, leave("server-1")), ApiResponse::Done);
+    assert_eq!(group.request(1, leave_request("server-1")), ApiResponse::Done);
     group.run(50);
     let told = group.pushed.iter().any(|(node, push)| {
         let ToEntry::Servers(servers) = push else {
@@ -444,7 +444,7 @@
     let mut group = Group::start(3, 1);
     group.new_leader(None);
     group.boot(8, Members::default(), Saved::default());
-    let answer = group.ask(8, leave("server-1"));
+    let answer = group.request(8, leave_request("server-1"));
     assert_eq!(answer, ApiResponse::Unavailable);
 }
 
@@ -456,7 +456,7 @@
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     for version in 1..=6 {
-        assert_eq!(group.ask(leader, apply(version, "text")), ApiResponse::Done);
+        assert_eq!(group.request(leader, apply(version, "text")), ApiResponse::Done);
     }
     let disks: Vec<_> = (1..=3).map(|n| (n, group.kill(n))).collect();
     group.pushed.clear();
--- a/sesamebeam_core/tests/gateway/pool.rs
+++ b/sesamebeam_core/tests/gateway/pool.rs
@@ -40,7 +40,7 @@
     fn new(servers: u8, rate: f64, usual: f64, seed: u64) -> Self {
         let mut directory = Directory::default();
         for number in 0..servers {
-            directory.take(ms(0), announcement(number), true);
+            directory.merge(ms(0), announcement(number), true);
         }
         Self {
             directory,
--- a/sesamebeam_core/tests/gateway/seeds.rs
+++ b/sesamebeam_core/tests/gateway/seeds.rs
@@ -12,7 +12,7 @@
 
 use crate::group::{
     Group,
-    listens, //
+    listen_addr, //
 };
 
 /// Number of the entry in these tests.
@@ -20,16 +20,16 @@
 
 /// Hands what was told to those who listen, until nothing is left.
 fn deliver(group: &mut Group) {
-    while let Some((to, told)) = group.told.pop_front() {
-        let node = (1..=9).find(|&n| listens(n) == to).expect("it is known");
+    while let Some((to, told)) = group.membership_requests.pop_front() {
+        let node = (1..=9).find(|&n| listen_addr(n) == to).expect("it is known");
         if group.processes.contains_key(&node) {
-            group.question(node, told);
+            group.request_membership(node, told);
         }
     }
 }
 
 fn name_seeds(group: &mut Group, nodes: impl IntoIterator<Item = NodeId>) {
-    let seeds: BTreeSet<_> = nodes.into_iter().map(listens).collect();
+    let seeds: BTreeSet<_> = nodes.into_iter().map(listen_addr).collect();
     let processes: Vec<NodeId> = group.processes.keys().copied().collect();
     for node in processes {
         group.event(node, Event::Seeds(seeds.clone()));
@@ -54,7 +54,7 @@
     group.new_leader(None);
     group.run(700);
     deliver(&mut group);
-    let members: Vec<_> = (1..=3).map(listens).collect();
+    let members: Vec<_> = (1..=3).map(listen_addr).collect();
     let told = group.pushed.iter().filter(|(node, _)| *node == 8);
     let last = told.filter_map(|(_, push)| match push {
         ToEntry::Fleet { replicas, .. } => Some(replicas.clone()),
@@ -71,7 +71,7 @@
     name_seeds(&mut group, 1..=3);
     group.new_leader(None);
     group.run(2000);
-    assert!(group.told.is_empty(), "{:?}", group.told);
+    assert!(group.membership_requests.is_empty(), "{:?}", group.membership_requests);
 }
 
 #[test]
@@ -82,9 +82,9 @@
     let leader = group.new_leader(None);
     group.isolate(leader);
     group.run(600);
-    group.told.clear();
-    group.event(leader, Event::Seeds(BTreeSet::from([listens(9)])));
-    let before = group.told.len();
+    group.membership_requests.clear();
+    group.event(leader, Event::Seeds(BTreeSet::from([listen_addr(9)])));
+    let before = group.membership_requests.len();
     group.event(leader, Event::Tick);
-    assert_eq!(group.told.len(), before);
+    assert_eq!(group.membership_requests.len(), before);
 }
--- a/sesamebeam_core/tests/gateway/subscription.rs
+++ b/sesamebeam_core/tests/gateway/subscription.rs
@@ -13,7 +13,7 @@
 use yare::parameterized;
 
 use crate::{
-    group::listens,
+    group::listen_addr,
     make::ms, //
 };
 
@@ -46,7 +46,7 @@
     }
 
     fn connect(&mut self, number: u64) {
-        let addr = listens(number);
+        let addr = listen_addr(number);
         self.subscription.connected(ms(self.now), addr);
         self.subscription.met(addr, format!("hall-{number}").into());
     }
@@ -58,7 +58,7 @@
         while self.now < until {
             if self.now.is_multiple_of(500) {
                 for &(number, summary) in replicas {
-                    let addr = listens(number);
+                    let addr = listen_addr(number);
                     self.subscription.told(ms(self.now), addr, summary, own);
                 }
             }
@@ -71,7 +71,7 @@
     fn settle(&mut self) {
         (1..=3).for_each(|n| self.connect(n));
         self.run(3000, &[(1, SETTLED), (2, SETTLED), (3, SETTLED)], &HOLDING);
-        assert_eq!(self.subscription.teller(), Some(listens(1)));
+        assert_eq!(self.subscription.teller(), Some(listen_addr(1)));
     }
 }
 
@@ -91,10 +91,10 @@
     let mut entry = Entry::new();
     entry.connect(2);
     let orders = entry.run(100, &[(2, SETTLED)], &HOLDING);
-    assert_eq!(orders, [Order::Follow(listens(2))]);
+    assert_eq!(orders, [Order::Follow(listen_addr(2))]);
     entry.connect(1);
     let orders = entry.run(3000, &[(1, SETTLED), (2, SETTLED)], &HOLDING);
-    let (far, near) = (listens(2), listens(1));
+    let (far, near) = (listen_addr(2), listen_addr(1));
     assert_eq!(orders, [Order::Unfollow(far), Order::Follow(near)]);
 }
 
@@ -104,14 +104,14 @@
     let mut entry = Entry::new();
     entry.connect(2);
     let orders = entry.run(50, &[(2, SETTLED)], &HOLDING);
-    assert_eq!(orders, [Order::Follow(listens(2))]);
+    assert_eq!(orders, [Order::Follow(listen_addr(2))]);
 }
 
 #[test]
 fn lost_one_replaced() {
     let mut entry = Entry::new();
     entry.settle();
-    entry.subscription.lost(listens(1));
+    entry.subscription.lost(listen_addr(1));
     let orders = entry.run(50, &[], &HOLDING);
     assert!(matches!(orders[..], [Order::Follow(_)]), "{orders:?}");
     // It is back, and tells again once it has been for a while.
@@ -120,7 +120,7 @@
     assert_eq!(entry.run(1000, &told, &HOLDING), []);
     let orders = entry.run(1500, &told, &HOLDING);
     assert!(
-        matches!(orders[..], [Order::Unfollow(_), Order::Follow(addr)] if addr == listens(1)),
+        matches!(orders[..], [Order::Unfollow(_), Order::Follow(addr)] if addr == listen_addr(1)),
         "{orders:?}"
     );
 }
@@ -143,9 +143,9 @@
     let told = [(1, lost), (2, newer), (3, newer)];
     let orders = entry.run(500, &told, &HOLDING);
     assert!(!asked(&orders).is_empty(), "{orders:?}");
-    assert!(!asked(&orders).contains(&listens(1)), "{orders:?}");
+    assert!(!asked(&orders).contains(&listen_addr(1)), "{orders:?}");
     let orders = entry.run(1000, &told, &HOLDING);
-    assert!(orders.contains(&Order::Unfollow(listens(1))), "{orders:?}");
+    assert!(orders.contains(&Order::Unfollow(listen_addr(1))), "{orders:?}");
 }
 
 #[parameterized(
@@ -159,7 +159,7 @@
     entry.settle();
     let told = [(1, SETTLED), (2, SETTLED), (3, summary)];
     let orders = entry.run(1100, &told, &HOLDING);
-    let wanted: &[_] = if expected { &[listens(3)] } else { &[] };
+    let wanted: &[_] = if expected { &[listen_addr(3)] } else { &[] };
     let asked = asked(&orders);
     assert!(asked.iter().all(|a| wanted.contains(a)), "{asked:?}");
     assert_eq!(!asked.is_empty(), expected);
--- a/sesamebeam_core/tests/gateway/telling.rs
+++ b/sesamebeam_core/tests/gateway/telling.rs
@@ -130,7 +130,7 @@
     core.handle(ms(0), Event::Servers(all.clone()));
     let mut known = Directory::default();
     for said in &all[1..] {
-        known.take(ms(0), said.clone(), true);
+        known.merge(ms(0), said.clone(), true);
     }
     let held = SyncState {
         servers: known.digests().clone(),
@@ -199,7 +199,7 @@
     core.handle(ms(0), Event::Servers(servers.clone()));
     let mut known = Directory::default();
     for said in &servers[1..] {
-        known.take(ms(0), said.clone(), true);
+        known.merge(ms(0), said.clone(), true);
     }
     let held = SyncState {
         config: None,
@@ -227,7 +227,7 @@
     // answer.
     let mut core = coordinator();
     let mut known = Directory::default();
-    known.take(ms(0), announcement(1), true);
+    known.merge(ms(0), announcement(1), true);
     let held = SyncState {
         config: None,
         servers: known.digests().clone(),
