--- a/sesamebeam/src/gateway/feed.rs
+++ b/sesamebeam/src/gateway/feed.rs
@@ -23,7 +23,7 @@
 use sesamebeam_core::gateway::{
     digests::BucketSet,
     directory::Announcement,
-    feed::{
+    messages::{
         FromEntry,
         Hello,
         Report,
--- a/sesamebeam/src/group.rs
+++ b/sesamebeam/src/group.rs
@@ -40,7 +40,7 @@
             Peers, //
         },
         directory::Announcement,
-        feed::{
+        messages::{
             CoordinatorMessage,
             MembershipRequest,
             MembershipReply,
--- a/sesamebeam/src/group/join.rs
+++ b/sesamebeam/src/group/join.rs
@@ -9,8 +9,8 @@
 use sesamebeam_core::{
     gateway::{
         coordinator::Event,
-        enquiry::LeaderDiscovery,
-        feed::{
+        leader_discovery::LeaderDiscovery,
+        messages::{
             Hello,
             MembershipRequest,
             MembershipReply, //
--- a/sesamebeam/src/group/links.rs
+++ b/sesamebeam/src/group/links.rs
@@ -6,7 +6,7 @@
         EntryId,
         Event, //
     },
-    feed::{
+    messages::{
         FromEntry,
         Hello,
         MembershipRequest, //
--- a/sesamebeam/src/group/peer.rs
+++ b/sesamebeam/src/group/peer.rs
@@ -9,7 +9,7 @@
 use sesamebeam_core::{
     gateway::{
         coordinator::Event,
-        feed::{
+        messages::{
             CoordinatorMessage,
             Hello, //
         },
--- a/sesamebeam/src/group/subscribers.rs
+++ b/sesamebeam/src/group/subscribers.rs
@@ -11,7 +11,7 @@
         EntryId,
         Recipients, //
     },
-    feed::ToEntry,
+    messages::ToEntry,
 };
 use tokio::sync::mpsc::{
     Sender,
--- a/sesamebeam_core/src/gateway/budget.rs
+++ b/sesamebeam_core/src/gateway/budget.rs
@@ -15,7 +15,7 @@
 
 use super::{
     config::ServiceId,
-    entries::KnownEntryCount, //
+    entry_count::KnownEntryCount, //
 };
 use crate::ids::MonoTime;
 
--- a/sesamebeam_core/src/gateway/cold.rs
+++ b/sesamebeam_core/src/gateway/cold.rs
@@ -32,7 +32,7 @@
         ServerRecord,
         ServerId, //
     },
-    entries::KnownEntryCount,
+    entry_count::KnownEntryCount,
 };
 use crate::{
     ids::{
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -46,7 +46,7 @@
         Directory,
         ServerState, //
     },
-    feed::{
+    messages::{
         CoordinatorMessage,
         SyncState,
         MembershipRequest,
--- a/sesamebeam_core/src/gateway/coordinator/announce.rs
+++ b/sesamebeam_core/src/gateway/coordinator/announce.rs
@@ -25,7 +25,7 @@
             StartTime,
             ServerState, //
         },
-        feed::CoordinatorMessage,
+        messages::CoordinatorMessage,
     },
     ids::{
         MonoTime,
--- a/sesamebeam_core/src/gateway/coordinator/group.rs
+++ b/sesamebeam_core/src/gateway/coordinator/group.rs
@@ -12,7 +12,7 @@
     LogEvent, //
 };
 use crate::{
-    gateway::feed::{
+    gateway::messages::{
         MembershipRequest,
         MembershipReply, //
     },
--- a/sesamebeam_core/src/gateway/coordinator/publisher.rs
+++ b/sesamebeam_core/src/gateway/coordinator/publisher.rs
@@ -29,8 +29,8 @@
             ServerId,
             ServerState, //
         },
-        entries::EntryCounter,
-        feed::{
+        entry_count::EntryCounter,
+        messages::{
             CoordinatorMessage,
             Crash,
             SyncState,
--- a/sesamebeam_core/src/gateway/coordinator/rollout_monitor.rs
+++ b/sesamebeam_core/src/gateway/coordinator/rollout_monitor.rs
@@ -14,7 +14,7 @@
 use crate::{
     gateway::{
         config::ServiceId,
-        feed::{
+        messages::{
             RolloutAge,
             Evidence,
             RetainedSessions, //
--- a/sesamebeam_core/src/gateway/crashes.rs
+++ b/sesamebeam_core/src/gateway/crashes.rs
@@ -12,7 +12,7 @@
 
 use super::{
     directory::ServerIncarnation,
-    feed::Crash, //
+    messages::Crash, //
 };
 use crate::ids::Digest;
 
--- a/sesamebeam_core/src/gateway/limits.rs
+++ b/sesamebeam_core/src/gateway/limits.rs
@@ -29,7 +29,7 @@
 };
 use super::{
     directory::ServerId,
-    entries::KnownEntryCount,
+    entry_count::KnownEntryCount,
     loads::{
         self,
         ServerKey, //
--- a/sesamebeam_core/src/gateway/rollout.rs
+++ b/sesamebeam_core/src/gateway/rollout.rs
@@ -24,7 +24,7 @@
         RouteId,
         ServiceId, //
     },
-    feed::Evidence,
+    messages::Evidence,
 };
 use crate::ids::MonoTime;
 
--- a/sesamebeam_core/src/gateway/router.rs
+++ b/sesamebeam_core/src/gateway/router.rs
@@ -47,7 +47,7 @@
         ServerIncarnation,
         ServerId, //
     },
-    feed::{
+    messages::{
         RolloutAge,
         RetainedSessions, //
     },
--- a/sesamebeam_core/src/gateway/router/exchange.rs
+++ b/sesamebeam_core/src/gateway/router/exchange.rs
@@ -4,7 +4,7 @@
 use crate::{
     gateway::{
         directory::ServerId,
-        feed::{
+        messages::{
             Evidence,
             SyncState,
             Report,
--- a/sesamebeam_core/src/gateway/sessions.rs
+++ b/sesamebeam_core/src/gateway/sessions.rs
@@ -20,7 +20,7 @@
 
 use super::{
     config::ServiceId,
-    feed::{
+    messages::{
         RolloutAge,
         RetainedSessions, //
     },
--- a/sesamebeam_core/src/gateway/subscription.rs
+++ b/sesamebeam_core/src/gateway/subscription.rs
@@ -14,7 +14,7 @@
 
 use super::{
     config::ConfigVersion,
-    feed::StateSummary, //
+    messages::StateSummary, //
 };
 use crate::{
     ids::{
--- a/sesamebeam_core/src/gateway/suspects.rs
+++ b/sesamebeam_core/src/gateway/suspects.rs
@@ -6,7 +6,7 @@
 
 use super::{
     directory::ServerIncarnation,
-    feed::Crash, //
+    messages::Crash, //
 };
 use crate::ids::Digest;
 
--- a/sesamebeam_core/src/gateway/tallies.rs
+++ b/sesamebeam_core/src/gateway/tallies.rs
@@ -13,7 +13,7 @@
         RouteId,
         ServiceId, //
     },
-    feed::Evidence,
+    messages::Evidence,
 };
 use crate::ids::ModelId;
 
--- a/sesamebeam_core/tests/gateway/backoff.rs
+++ b/sesamebeam_core/tests/gateway/backoff.rs
@@ -21,7 +21,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     choice,
     router_of_entry,
--- a/sesamebeam_core/tests/gateway/balance.rs
+++ b/sesamebeam_core/tests/gateway/balance.rs
@@ -24,7 +24,7 @@
     request::Load,
 };
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     ms, //
 };
--- a/sesamebeam_core/tests/gateway/budget.rs
+++ b/sesamebeam_core/tests/gateway/budget.rs
@@ -5,10 +5,10 @@
         Budget,
         BudgetConfig, //
     },
-    entries::EntryCounter,
+    entry_count::EntryCounter,
 };
 
-use crate::make::ms;
+use crate::fixtures::ms;
 
 fn budget(entries: u32) -> Budget {
     let mut budget = Budget::new(BudgetConfig {
--- a/sesamebeam_core/tests/gateway/cascade.rs
+++ b/sesamebeam_core/tests/gateway/cascade.rs
@@ -17,7 +17,7 @@
 };
 use yare::parameterized;
 
-use crate::make::ms;
+use crate::fixtures::ms;
 
 fn sizes() -> Vec<ModelId> {
     vec!["small".into(), "middle".into(), "large".into()]
--- a/sesamebeam_core/tests/gateway/cold.rs
+++ b/sesamebeam_core/tests/gateway/cold.rs
@@ -29,7 +29,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     config,
     head,
--- a/sesamebeam_core/tests/gateway/config.rs
+++ b/sesamebeam_core/tests/gateway/config.rs
@@ -6,7 +6,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     config,
     ms,
     route, //
--- a/sesamebeam_core/tests/gateway/crashes.rs
+++ b/sesamebeam_core/tests/gateway/crashes.rs
@@ -3,7 +3,7 @@
 use sesamebeam_core::gateway::{
     crashes::Crashes,
     directory::ServerIncarnation,
-    feed::Crash, //
+    messages::Crash, //
 };
 
 fn crash(fingerprint: u128, server: &str) -> Crash {
--- a/sesamebeam_core/tests/gateway/digests.rs
+++ b/sesamebeam_core/tests/gateway/digests.rs
@@ -9,7 +9,7 @@
     },
 };
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     ms, //
 };
--- a/sesamebeam_core/tests/gateway/directory.rs
+++ b/sesamebeam_core/tests/gateway/directory.rs
@@ -10,7 +10,7 @@
     ServerState, //
 };
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     ms, //
 };
--- a/sesamebeam_core/tests/gateway/evacuations.rs
+++ b/sesamebeam_core/tests/gateway/evacuations.rs
@@ -11,7 +11,7 @@
             Event, //
         },
         directory::ServerId,
-        feed::{
+        messages::{
             SyncState,
             ToEntry, //
         },
@@ -39,7 +39,7 @@
 
 use crate::{
     group::Group,
-    make::{
+    fixtures::{
         announcement,
         head,
         ms,
--- a/sesamebeam_core/tests/gateway/group.rs
+++ b/sesamebeam_core/tests/gateway/group.rs
@@ -20,7 +20,7 @@
             CoordinatorConfig,
             Event, //
         },
-        feed::{
+        messages::{
             CoordinatorMessage,
             MembershipRequest,
             MembershipReply,
@@ -41,7 +41,7 @@
     },
 };
 
-use crate::make::ms;
+use crate::fixtures::ms;
 
 /// Duration of a message delivery or a disk sync.
 const DELIVERY_DELAY: Duration = Duration::from_millis(2);
--- a/sesamebeam_core/tests/gateway/joining.rs
+++ b/sesamebeam_core/tests/gateway/joining.rs
@@ -13,8 +13,8 @@
             Announcement,
             ServerState, //
         },
-        enquiry::LeaderDiscovery,
-        feed::{
+        leader_discovery::LeaderDiscovery,
+        messages::{
             MembershipRequest,
             MembershipReply, //
         },
@@ -34,7 +34,7 @@
         Group,
         listen_addr, //
     },
-    make::{
+    fixtures::{
         announcement,
         leave_request,
         ms, //
--- a/sesamebeam_core/tests/gateway/limits.rs
+++ b/sesamebeam_core/tests/gateway/limits.rs
@@ -16,7 +16,7 @@
             Event, //
         },
         directory::ServerId,
-        feed::ToEntry,
+        messages::ToEntry,
         limits::{
             LimitOf,
             NamedLimits,
@@ -34,7 +34,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     choice,
     coordinator,
--- a/sesamebeam_core/tests/gateway/plays.rs
+++ b/sesamebeam_core/tests/gateway/plays.rs
@@ -20,7 +20,7 @@
             Recipients, //
         },
         directory::ServerId,
-        feed::{
+        messages::{
             SyncState,
             ToEntry, //
         },
@@ -30,7 +30,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     config,
     coordinator,
--- a/sesamebeam_core/tests/gateway/telling.rs
+++ b/sesamebeam_core/tests/gateway/publisher.rs
@@ -13,7 +13,7 @@
         Announcement,
         Directory, //
     },
-    feed::{
+    messages::{
         SyncState,
         Report,
         ToEntry, //
@@ -23,7 +23,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     addr,
     announcement,
     coordinator,
--- a/sesamebeam_core/tests/gateway/orders.rs
+++ b/sesamebeam_core/tests/gateway/requests.rs
@@ -10,7 +10,7 @@
         Announcement,
         ServerState, //
     },
-    feed::{
+    messages::{
         RolloutAge,
         Evidence,
         SyncState,
@@ -38,7 +38,7 @@
         Process,
         listen_addr, //
     },
-    make::{
+    fixtures::{
         announcement,
         leave_request,
         ms, //
--- a/sesamebeam_core/tests/gateway/rollouts.rs
+++ b/sesamebeam_core/tests/gateway/rollouts.rs
@@ -6,7 +6,7 @@
     rngs::StdRng, //
 };
 use sesamebeam_core::gateway::{
-    feed::Evidence,
+    messages::Evidence,
     rollout::{
         Phase,
         Rollout,
@@ -16,7 +16,7 @@
 };
 use yare::parameterized;
 
-use crate::make::ms;
+use crate::fixtures::ms;
 
 /// Share of the requests that a bad version may get.
 const SHARE: f64 = 0.15;
--- a/sesamebeam_core/tests/gateway/router.rs
+++ b/sesamebeam_core/tests/gateway/router.rs
@@ -18,7 +18,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     config,
     head,
--- a/sesamebeam_core/tests/gateway/seeds.rs
+++ b/sesamebeam_core/tests/gateway/seeds.rs
@@ -5,7 +5,7 @@
 use sesamebeam_core::{
     gateway::{
         coordinator::Event,
-        feed::ToEntry, //
+        messages::ToEntry, //
     },
     ids::NodeId,
 };
--- a/sesamebeam_core/tests/gateway/shortage.rs
+++ b/sesamebeam_core/tests/gateway/shortage.rs
@@ -24,7 +24,7 @@
         Announcement,
         ServerId, //
     },
-    feed::{
+    messages::{
         SyncState,
         ToEntry, //
     },
@@ -37,7 +37,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     config,
     coordinator,
--- a/sesamebeam_core/tests/gateway/subscription.rs
+++ b/sesamebeam_core/tests/gateway/subscription.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use sesamebeam_core::gateway::{
-    feed::StateSummary,
+    messages::StateSummary,
     subscription::{
         Holding,
         Order,
@@ -14,7 +14,7 @@
 
 use crate::{
     group::listen_addr,
-    make::ms, //
+    fixtures::ms, //
 };
 
 const SETTLED: StateSummary = StateSummary {
--- a/sesamebeam_core/tests/gateway/table.rs
+++ b/sesamebeam_core/tests/gateway/table.rs
@@ -6,7 +6,7 @@
     rank, //
 };
 
-use crate::make::{
+use crate::fixtures::{
     config,
     route, //
 };
