--- a/sesamebeam_core/src/gateway/coordinator/group.rs
+++ b/sesamebeam_core/src/gateway/coordinator/group.rs
@@ -216,7 +216,7 @@
         }
         if let Some(gone) = self.silent_voter() {
             let change = MemberChange::Remove { node: gone };
-            self.change(change, None, Some(gone));
+            self.change_members(change, None, Some(gone));
         }
     }
 
@@ -265,11 +265,11 @@
             },
             None => return self.membership_reply(),
         };
-        self.change(change, Some(node), gone);
+        self.change_members(change, Some(node), gone);
         MembershipReply::Joining
     }
 
-    fn change(&mut self, change: MemberChange, joins: Option<NodeId>, leaves: Option<NodeId>) {
+    fn change_members(&mut self, change: MemberChange, joins: Option<NodeId>, leaves: Option<NodeId>) {
         let ticket = self.internal_ticket();
         self.log(LogEvent::Membership {
             joins,
--- a/sesamebeam_core/src/gateway/coordinator/requests.rs
+++ b/sesamebeam_core/src/gateway/coordinator/requests.rs
@@ -47,7 +47,7 @@
         /// Id of the backend server.
         id: ServerId,
         /// Its start time, if provided.
-        born: Option<StartTime>,
+        started_at: Option<StartTime>,
     },
     /// An operator applies a validated configuration.
     Apply(Document),
@@ -99,7 +99,7 @@
     pub(super) fn handle_request(&mut self, ticket: Ticket, call: ApiRequest) {
         match call {
             ApiRequest::Announce(said) => self.handle_announcement(ticket, said),
-            ApiRequest::Leave { id, born } => self.handle_leave(ticket, &id, born),
+            ApiRequest::Leave { id, started_at: born } => self.handle_leave(ticket, &id, born),
             ApiRequest::Apply(ref document) if self.has_config(document.version) => {
                 self.respond(ticket, ApiResponse::Done);
             }
--- a/sesamebeam_core/tests/gateway/fixtures.rs
+++ b/sesamebeam_core/tests/gateway/fixtures.rs
@@ -57,7 +57,7 @@
 pub(crate) fn leave_request(id: &str) -> ApiRequest {
     ApiRequest::Leave {
         id: id.into(),
-        born: None,
+        started_at: None,
     }
 }
 
--- a/sesamebeam_core/tests/gateway/publisher.rs
+++ b/sesamebeam_core/tests/gateway/publisher.rs
@@ -260,7 +260,7 @@
     core.handle(ms(1000), Event::Tick);
     let call = ApiRequest::Leave {
         id: "server-1".into(),
-        born: None,
+        started_at: None,
     };
     let actions = core.handle(ms(1001), Event::RequestReceived(1, call));
     let told = pushes(&actions)
@@ -318,7 +318,7 @@
     assert_eq!(kept(&core.handle(ms(1300), Event::Tick)), None);
     let call = ApiRequest::Leave {
         id: "server-3".into(),
-        born: None,
+        started_at: None,
     };
     let mut actions = core.handle(ms(1400), Event::RequestReceived(2, call));
     actions.extend(core.handle(ms(2000), Event::Tick));
