--- a/sesamebeam/src/group/links.rs
+++ b/sesamebeam/src/group/links.rs
@@ -82,7 +82,7 @@
 ) -> Result<(), FrameError> {
     let (back, mut rx) = frames::split(stream)?;
     match rx.next::<Hello>().await? {
-        Hello::Entry { id: id, name } => serve_entry(back, rx, tx, alive, id, name).await,
+        Hello::Entry { id, name } => serve_entry(back, rx, tx, alive, id, name).await,
         Hello::Replica { node } => serve_replica(back, rx, tx, node).await,
         Hello::NonMember => serve_asker(back, rx, tx).await,
     }
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -378,16 +378,16 @@
             Event::Peer { from, message } => self.handle_peer_message(from, message),
             Event::PeerConnected(to) => self.compare_directories(to),
             Event::Seeds(seeds) => self.seeds = seeds,
-            Event::EntryConnected(life) => self.add_entry(life),
-            Event::EntryDisconnected(life) => self.remove_entry(life),
-            Event::EntryFollows(life, held) => self.follow(life, held),
-            Event::EntryUnfollows(life) => self.unfollow(life),
-            Event::UpdateRequested(life, held) => self.request_update(life, held),
-            Event::SectionsRequested(life, sections) => self.send_sections(life, &sections),
+            Event::EntryConnected(entry) => self.add_entry(entry),
+            Event::EntryDisconnected(entry) => self.remove_entry(entry),
+            Event::EntryFollows(entry, sync_state) => self.follow(entry, sync_state),
+            Event::EntryUnfollows(entry) => self.unfollow(entry),
+            Event::UpdateRequested(entry, sync_state) => self.request_update(entry, sync_state),
+            Event::SectionsRequested(entry, sections) => self.send_sections(entry, &sections),
             Event::Servers(servers) => self.merge_announcements(servers),
             Event::EntryReported(report) => self.handle_entry_report(report),
-            Event::MembershipRequested(ticket, question) => self.handle_membership_request(ticket, question),
-            Event::RequestReceived(ticket, call) => self.handle_request(ticket, call),
+            Event::MembershipRequested(ticket, request) => self.handle_membership_request(ticket, request),
+            Event::RequestReceived(ticket, request) => self.handle_request(ticket, request),
             Event::Synced(write) => self.synced(write),
             Event::DiskFull(full) => {
                 self.disk_full = full;
@@ -402,8 +402,8 @@
     /// Returns when the next [`Event::Tick`] is due.
     pub fn next_wake(&self) -> MonoTime {
         let replica = self.replica.as_ref().map(Replica::next_wake);
-        let told = self.publisher.next_wake();
-        let wakes = [replica, told].into_iter().flatten();
+        let publish_at = self.publisher.next_wake();
+        let wakes = [replica, publish_at].into_iter().flatten();
         wakes.fold(self.next_periodic_at, MonoTime::min)
     }
 
@@ -436,11 +436,11 @@
                 self.step_replica(ReplicaEvent::Message { from, message });
             }
             CoordinatorMessage::Servers(servers) => self.merge_announcements(servers),
-            CoordinatorMessage::Digests { digests: digests, domain, reply_requested: ask } => {
+            CoordinatorMessage::Digests { digests, domain, reply_requested } => {
                 self.placement.set_domain(from, domain);
-                self.handle_digests(from, &digests, ask);
+                self.handle_digests(from, &digests, reply_requested);
             }
-            CoordinatorMessage::RequestBuckets(parts) => self.send_buckets(from, parts),
+            CoordinatorMessage::RequestBuckets(buckets) => self.send_buckets(from, buckets),
             CoordinatorMessage::Confirm { ticket, servers } => {
                 self.merge_announcements(servers);
                 let message = CoordinatorMessage::Confirmed { ticket };
@@ -498,13 +498,13 @@
     }
 
     fn apply_command(&mut self, index: LogIndex, command: Command) {
-        let note = self.log_event_for(index, &command);
+        let event = self.log_event_for(index, &command);
         let is_config = matches!(command, Command::Apply(_));
         if !self.store.apply(index, command) {
             return;
         }
-        if let Some(note) = note {
-            self.log(note);
+        if let Some(event) = event {
+            self.log(event);
         }
         self.rollout_monitor.sync(self.now, self.store.rollouts());
         self.mark_state_changed(index, is_config);
@@ -560,10 +560,10 @@
     /// although the other replicas could go on. Handing over leadership is sufficient
     /// because they can commit without this disk.
     fn update_disk_state(&mut self) {
-        let patience = self.cfg.disk_stall_timeout;
+        let timeout = self.cfg.disk_stall_timeout;
         let stalled = self
             .unsynced_write
-            .is_some_and(|(_, since)| self.now.saturating_sub(since) > patience);
+            .is_some_and(|(_, since)| self.now.saturating_sub(since) > timeout);
         if stalled != self.disk_stalled {
             self.disk_stalled = stalled;
             self.log(LogEvent::DiskStalled(stalled));
@@ -594,7 +594,7 @@
         }
     }
 
-    fn log(&mut self, note: LogEvent) {
-        self.actions.push(Action::Log(note));
+    fn log(&mut self, event: LogEvent) {
+        self.actions.push(Action::Log(event));
     }
 }
--- a/sesamebeam_core/src/gateway/coordinator/announce.rs
+++ b/sesamebeam_core/src/gateway/coordinator/announce.rs
@@ -51,21 +51,21 @@
 impl Coordinator {
     /// Merges announcements received through another process.
     pub(super) fn merge_announcements(&mut self, servers: Vec<Announcement>) {
-        let mut news = Vec::new();
-        for said in servers {
-            if self.merge_announcement(said.clone()) {
-                self.log_server(&said);
-                news.push(said);
+        let mut changed = Vec::new();
+        for announcement in servers {
+            if self.merge_announcement(announcement.clone()) {
+                self.log_server(&announcement);
+                changed.push(announcement);
             }
         }
-        self.queue_announcements(news);
+        self.queue_announcements(changed);
     }
 
     /// Merges an announcement and returns whether it contains anything new. A service
     /// counts as existing if the directory knows another backend server of it.
-    fn merge_announcement(&mut self, said: Announcement) -> bool {
-        let is_named = self.directory.has_other_server(&said);
-        self.directory.merge(self.now, said, is_named)
+    fn merge_announcement(&mut self, announcement: Announcement) -> bool {
+        let service_exists = self.directory.has_other_server(&announcement);
+        self.directory.merge(self.now, announcement, service_exists)
     }
 
     /// Compares directories with a replica that has just become reachable.
@@ -90,27 +90,27 @@
     /// If several replicas hold the same data, only one of them is asked. If each sent
     /// everything, a replica that starts in a group of 24 would receive every backend
     /// server 24 times.
-    pub(super) fn handle_digests(&mut self, from: NodeId, held: &Digests, ask: bool) {
-        let differing = self.directory.digests().differing(held);
+    pub(super) fn handle_digests(&mut self, from: NodeId, digests: &Digests, reply_requested: bool) {
+        let differing = self.directory.digests().differing(digests);
         if differing.is_empty() {
             return;
         }
-        if ask {
+        if reply_requested {
             self.send_digests(from, false);
         }
-        let (wanted, later) = self.claim_buckets(differing, held.non_empty());
-        if !wanted.is_empty() {
-            let message = CoordinatorMessage::RequestBuckets(wanted);
+        let (requested, postponed) = self.claim_buckets(differing, digests.non_empty());
+        if !requested.is_empty() {
+            let message = CoordinatorMessage::RequestBuckets(requested);
             self.actions.push(Action::Send { to: from, message });
         }
-        if later {
+        if postponed {
             self.publisher.next_comparison_at.insert(from, self.now + PULL_RETRY_DELAY);
         }
     }
 
     /// Sends a replica the backend servers in some buckets of the directory.
-    pub(super) fn send_buckets(&mut self, to: NodeId, parts: BucketSet) {
-        let servers: Vec<Announcement> = self.directory.announcements_in_buckets(self.now, parts).collect();
+    pub(super) fn send_buckets(&mut self, to: NodeId, buckets: BucketSet) {
+        let servers: Vec<Announcement> = self.directory.announcements_in_buckets(self.now, buckets).collect();
         if !servers.is_empty() {
             let message = CoordinatorMessage::Servers(servers);
             self.actions.push(Action::Send { to, message });
@@ -130,11 +130,11 @@
         }
     }
 
-    fn send_digests(&mut self, to: NodeId, ask: bool) {
+    fn send_digests(&mut self, to: NodeId, reply_requested: bool) {
         let message = CoordinatorMessage::Digests {
             digests: self.directory.digests().clone(),
             domain: self.cfg.domain.clone(),
-            reply_requested: ask,
+            reply_requested,
         };
         self.actions.push(Action::Send { to, message });
     }
@@ -144,21 +144,21 @@
     /// A backend server that is leaving gets its response only once most other replicas
     /// have the announcement too. Otherwise an entry that is connected only to those
     /// replicas would keep sending it requests after it was told that it may exit.
-    pub(super) fn handle_announcement(&mut self, ticket: Ticket, said: Announcement) {
-        let news = self.merge_announcement(said.clone());
-        let leaves = said.state != ServerState::Ready;
-        let known = self.directory.get(&said.id);
-        let told = known.map_or(said, |k| k.to_announcement(self.now));
-        if news {
-            self.log_server(&told);
-            self.queue_announcements([told.clone()]);
+    pub(super) fn handle_announcement(&mut self, ticket: Ticket, announcement: Announcement) {
+        let is_new = self.merge_announcement(announcement.clone());
+        let is_leaving = announcement.state != ServerState::Ready;
+        let record = self.directory.get(&announcement.id);
+        let current = record.map_or(announcement, |k| k.to_announcement(self.now));
+        if is_new {
+            self.log_server(&current);
+            self.queue_announcements([current.clone()]);
         }
-        if leaves {
-            self.request_confirmation(ticket, told);
+        if is_leaving {
+            self.request_confirmation(ticket, current);
             return;
         }
-        if news {
-            self.broadcast(&CoordinatorMessage::Servers(vec![told]));
+        if is_new {
+            self.broadcast(&CoordinatorMessage::Servers(vec![current]));
         }
         self.actions.push(Action::Respond(ticket, ApiResponse::Done));
     }
@@ -170,21 +170,21 @@
     /// this replica has just started or is not a member. When such a notice was
     /// acknowledged without informing the others, entries kept sending requests to a server
     /// that had exited; 41 requests were lost in one case.
-    pub(super) fn handle_leave(&mut self, ticket: Ticket, id: &str, born: Option<StartTime>) {
-        let said = match self.directory.mark_gone(self.now, id, born) {
-            Some(said) => said,
+    pub(super) fn handle_leave(&mut self, ticket: Ticket, id: &str, started_at: Option<StartTime>) {
+        let announcement = match self.directory.mark_gone(self.now, id, started_at) {
+            Some(announcement) => announcement,
             None => {
-                let said = gone_announcement(id, born.unwrap_or(START_TIME_UNKNOWN));
-                if !self.merge_announcement(said.clone()) {
+                let announcement = gone_announcement(id, started_at.unwrap_or(START_TIME_UNKNOWN));
+                if !self.merge_announcement(announcement.clone()) {
                     self.actions.push(Action::Respond(ticket, ApiResponse::Done));
                     return;
                 }
-                said
+                announcement
             }
         };
-        self.log_server(&said);
-        self.queue_announcements([said.clone()]);
-        self.request_confirmation(ticket, said);
+        self.log_server(&announcement);
+        self.queue_announcements([announcement.clone()]);
+        self.request_confirmation(ticket, announcement);
     }
 
     /// Records that a replica has confirmed an announcement.
@@ -204,13 +204,13 @@
     /// tries another replica.
     pub(super) fn expire_confirmations(&mut self) {
         let now = self.now;
-        let late: Vec<u64> = self
+        let expired: Vec<u64> = self
             .pending_confirmations
             .iter()
             .filter(|(_, c)| now >= c.deadline)
             .map(|(&number, _)| number)
             .collect();
-        for number in late {
+        for number in expired {
             if let Some(c) = self.pending_confirmations.remove(&number) {
                 self.actions
                     .push(Action::Respond(c.ticket, ApiResponse::Unavailable));
@@ -218,15 +218,15 @@
         }
     }
 
-    fn request_confirmation(&mut self, ticket: Ticket, said: Announcement) {
+    fn request_confirmation(&mut self, ticket: Ticket, announcement: Announcement) {
         // Replicas do not confirm announcements of a non-member.
         if !self.peers.is_member() {
             let answer = self.redirect();
             self.actions.push(Action::Respond(ticket, answer));
             return;
         }
-        let wanted = self.peers.count() / 2;
-        if wanted == 0 {
+        let required = self.peers.count() / 2;
+        if required == 0 {
             self.actions.push(Action::Respond(ticket, ApiResponse::Done));
             return;
         }
@@ -235,33 +235,33 @@
         let confirming = PendingConfirmation {
             ticket,
             confirmed_by: BTreeSet::new(),
-            required: wanted,
+            required,
             deadline: self.now + self.cfg.request_timeout,
         };
         self.pending_confirmations.insert(number, confirming);
         self.broadcast(&CoordinatorMessage::Confirm {
             ticket: number,
-            servers: vec![said],
+            servers: vec![announcement],
         });
     }
 
-    fn log_server(&mut self, said: &Announcement) {
+    fn log_server(&mut self, announcement: &Announcement) {
         self.log(LogEvent::Server {
-            id: said.id.clone(),
-            service: said.service.clone(),
-            started_at: said.started_at,
-            state: said.state,
-            sequence: said.sequence,
+            id: announcement.id.clone(),
+            service: announcement.service.clone(),
+            started_at: announcement.started_at,
+            state: announcement.state,
+            sequence: announcement.sequence,
         });
     }
 }
 
 /// Returns the announcement of a backend server that has left and about which nothing else
 /// is known.
-fn gone_announcement(id: &str, born: StartTime) -> Announcement {
+fn gone_announcement(id: &str, started_at: StartTime) -> Announcement {
     Announcement {
         id: id.into(),
-        started_at: born,
+        started_at,
         service: ServiceId::default(),
         addr: ServerAddr::from(([0, 0, 0, 0], 0)),
         domain: Default::default(),
--- a/sesamebeam_core/src/gateway/coordinator/group.rs
+++ b/sesamebeam_core/src/gateway/coordinator/group.rs
@@ -126,8 +126,8 @@
     }
 
     /// Handles a membership request.
-    pub(super) fn handle_membership_request(&mut self, ticket: Ticket, question: MembershipRequest) {
-        let reply = match (&self.replica, question) {
+    pub(super) fn handle_membership_request(&mut self, ticket: Ticket, request: MembershipRequest) {
+        let reply = match (&self.replica, request) {
             (_, MembershipRequest::Members { replicas, .. }) => {
                 self.learn_peers(replicas);
                 MembershipReply::None
@@ -191,14 +191,14 @@
             return;
         }
         self.next_seed_update_at = self.now + SEED_UPDATE_INTERVAL;
-        let told = MembershipRequest::Members {
+        let request = MembershipRequest::Members {
             group: replica.group(),
             replicas: self.peers.all().collect(),
         };
         let members = self.peers.addrs();
         for &to in self.seeds.iter().filter(|seed| !members.contains(seed)) {
-            let told = told.clone();
-            self.actions.push(Action::SendMembershipRequest { to, request: told });
+            let request = request.clone();
+            self.actions.push(Action::SendMembershipRequest { to, request });
         }
     }
 
@@ -236,17 +236,17 @@
         }
         let addr = Some(addr);
         let members = &replica.members().members;
-        let same_place = members
+        let same_addr = members
             .iter()
             .find(|(_, m)| m.addr == addr)
             .map(|(&n, _)| n);
-        let gone = same_place.or_else(|| self.silent_voter());
+        let gone = same_addr.or_else(|| self.silent_voter());
         self.placement.set_domain(replica.id(), self.cfg.domain.clone());
-        let placed = self.voters_and_joining();
-        let lacks_replicas = placed.len() < self.target_voters();
-        let is_free = gone.is_some() || lacks_replicas;
-        let stay = placed.iter().filter(|&&node| Some(node) != gone);
-        if same_place.is_none() && !self.placement.admits(self.now, &domain, is_free, stay) {
+        let voters_and_joining = self.voters_and_joining();
+        let lacks_replicas = voters_and_joining.len() < self.target_voters();
+        let is_vacant = gone.is_some() || lacks_replicas;
+        let remaining = voters_and_joining.iter().filter(|&&node| Some(node) != gone);
+        if same_addr.is_none() && !self.placement.admits(self.now, &domain, is_vacant, remaining) {
             return self.membership_reply();
         }
         self.placement.set_domain(node, domain);
@@ -311,9 +311,9 @@
     /// Returns the voters and the replicas that are joining.
     fn voters_and_joining(&self) -> Vec<NodeId> {
         let progress = self.replica.as_ref().map(|r| r.progress(self.now));
-        let placed = progress.into_iter().flatten();
-        let placed = placed.filter(|s| s.voter || s.silent <= SILENCE_TIMEOUT);
-        placed.map(|s| s.node).collect()
+        let voters_and_joining = progress.into_iter().flatten();
+        let voters_and_joining = voters_and_joining.filter(|s| s.voter || s.silent <= SILENCE_TIMEOUT);
+        voters_and_joining.map(|s| s.node).collect()
     }
 
     /// Returns the intended number of voters.
--- a/sesamebeam_core/src/gateway/coordinator/placement.rs
+++ b/sesamebeam_core/src/gateway/coordinator/placement.rs
@@ -35,8 +35,8 @@
     }
 
     /// Drops replicas that are no longer members.
-    pub(super) fn retain(&mut self, known: impl Fn(NodeId) -> bool) {
-        self.domains.retain(|&node, _| known(node));
+    pub(super) fn retain(&mut self, is_member: impl Fn(NodeId) -> bool) {
+        self.domains.retain(|&node, _| is_member(node));
     }
 
     /// Returns the known failure domains.
@@ -50,24 +50,24 @@
         &mut self,
         now: MonoTime,
         domain: &DomainId,
-        is_free: bool,
-        stay: impl Iterator<Item = &'a NodeId>,
+        is_vacant: bool,
+        remaining: impl Iterator<Item = &'a NodeId>,
     ) -> bool {
         self.last_asked.insert(domain.clone(), now);
         self.last_asked.retain(|_, at| now < *at + JOIN_REQUEST_WINDOW);
-        if !is_free {
+        if !is_vacant {
             self.vacant_since = None;
             return false;
         }
         let since = *self.vacant_since.get_or_insert(now);
         let mut voters: BTreeMap<&DomainId, usize> = BTreeMap::new();
-        for domain in stay.filter_map(|node| self.domains.get(node)) {
+        for domain in remaining.filter_map(|node| self.domains.get(node)) {
             *voters.entry(domain).or_default() += 1;
         }
         let count = |domain| voters.get(domain).copied().unwrap_or_default();
-        let fewest = self.last_asked.keys().map(count).min().unwrap_or_default();
-        let own = count(domain);
-        let admitted = own == 0 || own == fewest && now >= since + JOIN_REQUEST_WINDOW;
+        let min_count = self.last_asked.keys().map(count).min().unwrap_or_default();
+        let own_count = count(domain);
+        let admitted = own_count == 0 || own_count == min_count && now >= since + JOIN_REQUEST_WINDOW;
         if admitted {
             self.vacant_since = None;
         }
--- a/sesamebeam_core/src/gateway/coordinator/publisher.rs
+++ b/sesamebeam_core/src/gateway/coordinator/publisher.rs
@@ -137,19 +137,19 @@
 
 impl Coordinator {
     /// Handles a newly connected entry.
-    pub(super) fn add_entry(&mut self, life: EntryId) {
-        self.publisher.entries.insert(life);
+    pub(super) fn add_entry(&mut self, entry: EntryId) {
+        self.publisher.entries.insert(entry);
         let entries = self.publisher.entries.len() as u32;
         self.publisher.entry_counter.record_connected(self.now, entries);
         let fleet = self.fleet_message();
-        self.push(Recipients::Only(vec![life]), fleet);
+        self.push(Recipients::Only(vec![entry]), fleet);
     }
 
     /// Removes an entry whose connection has closed.
-    pub(super) fn remove_entry(&mut self, life: EntryId) {
-        self.publisher.entries.remove(&life);
-        self.publisher.update_requests.remove(&life);
-        self.unfollow(life);
+    pub(super) fn remove_entry(&mut self, entry: EntryId) {
+        self.publisher.entries.remove(&entry);
+        self.publisher.update_requests.remove(&entry);
+        self.unfollow(entry);
     }
 
     /// Subscribes an entry with the given state to updates.
@@ -157,42 +157,42 @@
     /// The entry may know of more entries than a replica that has started inside a network
     /// partition. If the replica used its own count, entries that start there would claim
     /// too large a portion of the shared budgets.
-    pub(super) fn follow(&mut self, life: EntryId, held: SyncState) {
-        self.publisher.followers.insert(life);
-        self.publisher.entry_counter.record_reported(held.entries);
-        self.request_update(life, held);
-        let this = Recipients::Only(vec![life]);
+    pub(super) fn follow(&mut self, entry: EntryId, sync_state: SyncState) {
+        self.publisher.followers.insert(entry);
+        self.publisher.entry_counter.record_reported(sync_state.entries);
+        self.request_update(entry, sync_state);
+        let this_entry = Recipients::Only(vec![entry]);
         let quarantined = self.crashes.quarantined();
         if !quarantined.is_empty() {
-            self.push(this.clone(), ToEntry::Quarantined(quarantined));
+            self.push(this_entry.clone(), ToEntry::Quarantined(quarantined));
         }
         let doubts = self.pool.doubts().to_vec();
-        self.push(this.clone(), ToEntry::Doubts(doubts));
+        self.push(this_entry.clone(), ToEntry::Doubts(doubts));
         if !self.limits.is_empty() {
             let limits = self.limits.tell(self.now);
-            self.push(this.clone(), ToEntry::Limits(limits));
+            self.push(this_entry.clone(), ToEntry::Limits(limits));
         }
-        for (kept, all) in self.rollout_monitor.retained_sessions(self.now) {
-            self.push(this.clone(), ToEntry::RetainedSessions(kept, all));
+        for (sessions, all_reported) in self.rollout_monitor.retained_sessions(self.now) {
+            self.push(this_entry.clone(), ToEntry::RetainedSessions(sessions, all_reported));
         }
     }
 
     /// Ends an entry's subscription.
-    pub(super) fn unfollow(&mut self, life: EntryId) {
-        self.publisher.followers.remove(&life);
+    pub(super) fn unfollow(&mut self, entry: EntryId) {
+        self.publisher.followers.remove(&entry);
     }
 
     /// Records that an entry requests the data that it is missing.
-    pub(super) fn request_update(&mut self, life: EntryId, held: SyncState) {
-        self.publisher.update_requests.insert(life, held);
+    pub(super) fn request_update(&mut self, entry: EntryId, sync_state: SyncState) {
+        self.publisher.update_requests.insert(entry, sync_state);
     }
 
     /// Handles the report of an entry connected to this replica.
     pub(super) fn handle_entry_report(&mut self, report: Report) {
         let mut report = report;
         self.process_report(&report);
-        let unreached = std::mem::take(&mut report.unreachable);
-        self.publisher.unreachable.extend(unreached);
+        let unreachable = std::mem::take(&mut report.unreachable);
+        self.publisher.unreachable.extend(unreachable);
         self.publisher.report.add(report);
     }
 
@@ -206,21 +206,21 @@
         self.waits.take(self.now, report.waits.iter().copied());
         self.shortages.take(self.now, report.work.iter().copied());
         self.count_crashes(&report.crashes);
-        for kept in &report.retained_sessions {
-            self.retain_sessions(kept);
+        for sessions in &report.retained_sessions {
+            self.retain_sessions(sessions);
         }
     }
 
     /// Queues announcements for the followers.
     pub(super) fn queue_announcements(&mut self, servers: impl IntoIterator<Item = Announcement>) {
-        let fresh = &mut self.publisher.pending_announcements;
-        fresh.extend(servers.into_iter().map(|said| (said.id.clone(), said)));
+        let pending = &mut self.publisher.pending_announcements;
+        pending.extend(servers.into_iter().map(|announcement| (announcement.id.clone(), announcement)));
     }
 
     /// Records that the replicated state has changed.
     pub(super) fn mark_state_changed(&mut self, index: LogIndex, with_config: bool) {
-        let news = &mut self.publisher.state_update;
-        *news = Some(with_config || news.unwrap_or_default());
+        let state_update = &mut self.publisher.state_update;
+        *state_update = Some(with_config || state_update.unwrap_or_default());
         self.publisher.changed_at = index;
     }
 
@@ -245,10 +245,10 @@
         if !report.is_empty() {
             self.broadcast(&CoordinatorMessage::Report(Box::new(report)));
         }
-        let unreached = std::mem::take(&mut self.publisher.unreachable);
-        if !unreached.is_empty() {
-            let unreached = ToEntry::Unreachable(unreached.into_iter().collect());
-            self.push(self.publisher.followers(), unreached);
+        let unreachable = std::mem::take(&mut self.publisher.unreachable);
+        if !unreachable.is_empty() {
+            let unreachable = ToEntry::Unreachable(unreachable.into_iter().collect());
+            self.push(self.publisher.followers(), unreachable);
         }
         if let Some(loads) = self.loads.due(self.now, self.directory.count()) {
             let waits = self.waits.means(self.now);
@@ -277,13 +277,13 @@
 
     /// Saves the backend servers to disk if they have changed.
     fn save_servers(&mut self, digest: u32) {
-        let (kept, at) = self.publisher.saved;
-        if digest == kept || self.now < at + SAVE_INTERVAL {
+        let (saved, at) = self.publisher.saved;
+        if digest == saved || self.now < at + SAVE_INTERVAL {
             return;
         }
         self.publisher.saved = (digest, self.now);
-        let all = self.directory.announcements(self.now);
-        let servers = all.filter(|said| said.state != ServerState::Gone).collect();
+        let announcements = self.directory.announcements(self.now);
+        let servers = announcements.filter(|announcement| announcement.state != ServerState::Gone).collect();
         self.actions.push(Action::SaveServers(servers));
     }
 
@@ -345,44 +345,44 @@
     fn send_requested_updates(&mut self) {
         let config = self.store.config().map(|c| c.version);
         let own = self.directory.digests().clone();
-        let mut of_state: BTreeMap<bool, Vec<EntryId>> = BTreeMap::new();
-        let mut of_servers: BTreeMap<BucketSet, Vec<EntryId>> = BTreeMap::new();
-        let mut of_details: BTreeMap<BucketSet, Vec<EntryId>> = BTreeMap::new();
-        for (life, held) in std::mem::take(&mut self.publisher.update_requests) {
-            of_state.entry(config > held.config).or_default().push(life);
-            let differing = own.differing(&held.servers);
-            let filled = held.servers.non_empty();
-            let detailed = self.buckets_by_section(differing, filled);
-            of_details.entry(detailed).or_default().push(life);
-            let whole = differing.difference(detailed);
-            of_servers.entry(whole).or_default().push(life);
-            self.request_buckets(life, differing, filled);
+        let mut by_state: BTreeMap<bool, Vec<EntryId>> = BTreeMap::new();
+        let mut by_buckets: BTreeMap<BucketSet, Vec<EntryId>> = BTreeMap::new();
+        let mut by_sections: BTreeMap<BucketSet, Vec<EntryId>> = BTreeMap::new();
+        for (entry, sync_state) in std::mem::take(&mut self.publisher.update_requests) {
+            by_state.entry(config > sync_state.config).or_default().push(entry);
+            let differing = own.differing(&sync_state.servers);
+            let non_empty = sync_state.servers.non_empty();
+            let by_section = self.buckets_by_section(differing, non_empty);
+            by_sections.entry(by_section).or_default().push(entry);
+            let complete = differing.difference(by_section);
+            by_buckets.entry(complete).or_default().push(entry);
+            self.request_buckets(entry, differing, non_empty);
         }
-        for (with_config, lives) in of_state {
+        for (with_config, entries) in by_state {
             let state = self.state_message(with_config);
-            self.push(Recipients::Only(lives), state);
+            self.push(Recipients::Only(entries), state);
         }
-        for (parts, lives) in of_servers {
-            let servers = self.directory.announcements_in_buckets(self.now, parts).collect();
-            self.push_servers(&Recipients::Only(lives), servers);
+        for (buckets, entries) in by_buckets {
+            let servers = self.directory.announcements_in_buckets(self.now, buckets).collect();
+            self.push_servers(&Recipients::Only(entries), servers);
         }
-        for (parts, lives) in of_details.into_iter().filter(|(p, _)| !p.is_empty()) {
-            let details = ToEntry::SectionDigests(self.directory.section_digests(parts));
-            self.push(Recipients::Only(lives), details);
+        for (buckets, entries) in by_sections.into_iter().filter(|(p, _)| !p.is_empty()) {
+            let details = ToEntry::SectionDigests(self.directory.section_digests(buckets));
+            self.push(Recipients::Only(entries), details);
         }
     }
 
     /// Returns which of the differing buckets are compared section by section first: those
     /// in which the entry has data and which hold many backend servers.
-    fn buckets_by_section(&self, differing: BucketSet, filled: BucketSet) -> BucketSet {
+    fn buckets_by_section(&self, differing: BucketSet, non_empty: BucketSet) -> BucketSet {
         let large = |&n: &usize| self.directory.count_in_bucket(n) > MAX_UNSECTIONED_SERVERS;
-        BucketSet::from_numbers(differing.intersection(filled).iter().filter(large))
+        BucketSet::from_numbers(differing.intersection(non_empty).iter().filter(large))
     }
 
     /// Sends an entry the backend servers in some sections of the directory.
-    pub(super) fn send_sections(&mut self, life: EntryId, sections: &[Section]) {
+    pub(super) fn send_sections(&mut self, entry: EntryId, sections: &[Section]) {
         let servers = self.directory.announcements_in_sections(self.now, sections).collect();
-        self.push_servers(&Recipients::Only(vec![life]), servers);
+        self.push_servers(&Recipients::Only(vec![entry]), servers);
     }
 
     /// Sends announcements in chunks of at most [`MAX_ANNOUNCEMENTS_PER_MESSAGE`].
@@ -393,29 +393,29 @@
     }
 
     /// Requests differing buckets from an entry, asking one entry at a time.
-    fn request_buckets(&mut self, life: EntryId, differing: BucketSet, filled: BucketSet) {
-        let (parts, _) = self.claim_buckets(differing, filled);
-        if !parts.is_empty() {
-            self.push(Recipients::Only(vec![life]), ToEntry::RequestBuckets(parts));
+    fn request_buckets(&mut self, entry: EntryId, differing: BucketSet, non_empty: BucketSet) {
+        let (buckets, _) = self.claim_buckets(differing, non_empty);
+        if !buckets.is_empty() {
+            self.push(Recipients::Only(vec![entry]), ToEntry::RequestBuckets(buckets));
         }
     }
 
     /// Returns the buckets to request from a process now, among those that differ and that
     /// are not empty there, and whether others were left out because another process has
     /// just been asked for them.
-    pub(super) fn claim_buckets(&mut self, differing: BucketSet, filled: BucketSet) -> (BucketSet, bool) {
-        let want_at = &mut self.publisher.next_pull_at;
+    pub(super) fn claim_buckets(&mut self, differing: BucketSet, non_empty: BucketSet) -> (BucketSet, bool) {
+        let next_pull_at = &mut self.publisher.next_pull_at;
         let now = self.now;
-        let is_due = |n: &usize| want_at.get(n).is_none_or(|at| now >= *at);
-        let of_both = differing.intersection(filled).iter();
-        let (wanted, later): (Vec<usize>, Vec<usize>) = of_both.partition(is_due);
-        want_at.extend(wanted.iter().map(|&n| (n, now + PULL_RETRY_DELAY)));
-        (BucketSet::from_numbers(wanted.into_iter()), !later.is_empty())
+        let is_due = |n: &usize| next_pull_at.get(n).is_none_or(|at| now >= *at);
+        let candidates = differing.intersection(non_empty).iter();
+        let (requested, postponed): (Vec<usize>, Vec<usize>) = candidates.partition(is_due);
+        next_pull_at.extend(requested.iter().map(|&n| (n, now + PULL_RETRY_DELAY)));
+        (BucketSet::from_numbers(requested.into_iter()), !postponed.is_empty())
     }
 
     fn publish_announcements(&mut self) {
-        let fresh = std::mem::take(&mut self.publisher.pending_announcements);
-        self.push_servers(&self.publisher.followers(), fresh.into_values().collect());
+        let pending = std::mem::take(&mut self.publisher.pending_announcements);
+        self.push_servers(&self.publisher.followers(), pending.into_values().collect());
     }
 
     /// Counts crashes and publishes the requests that have caused several.
@@ -431,9 +431,9 @@
     }
 
     /// Records retained sessions and forwards them to followers.
-    fn retain_sessions(&mut self, kept: &RetainedSessions) {
-        self.rollout_monitor.retain_sessions(kept);
-        self.push(self.publisher.followers(), ToEntry::RetainedSessions(kept.clone(), false));
+    fn retain_sessions(&mut self, sessions: &RetainedSessions) {
+        self.rollout_monitor.retain_sessions(sessions);
+        self.push(self.publisher.followers(), ToEntry::RetainedSessions(sessions.clone(), false));
     }
 
     /// Builds the message with the replicated state.
--- a/sesamebeam_core/src/gateway/coordinator/requests.rs
+++ b/sesamebeam_core/src/gateway/coordinator/requests.rs
@@ -96,10 +96,10 @@
 
 impl Coordinator {
     /// Handles a request.
-    pub(super) fn handle_request(&mut self, ticket: Ticket, call: ApiRequest) {
-        match call {
-            ApiRequest::Announce(said) => self.handle_announcement(ticket, said),
-            ApiRequest::Leave { id, started_at: born } => self.handle_leave(ticket, &id, born),
+    pub(super) fn handle_request(&mut self, ticket: Ticket, request: ApiRequest) {
+        match request {
+            ApiRequest::Announce(announcement) => self.handle_announcement(ticket, announcement),
+            ApiRequest::Leave { id, started_at } => self.handle_leave(ticket, &id, started_at),
             ApiRequest::Apply(ref document) if self.has_config(document.version) => {
                 self.respond(ticket, ApiResponse::Done);
             }
@@ -110,7 +110,7 @@
             } if self.store.has_started(service, target) => self.respond(ticket, ApiResponse::Done),
             ApiRequest::Apply(ref document) => {
                 let command = Command::Apply(document.clone());
-                self.propose(ticket, call, &command);
+                self.propose(ticket, request, &command);
             }
             ApiRequest::StartRollout {
                 ref service,
@@ -122,7 +122,7 @@
                     target: target.clone(),
                     duration,
                 };
-                self.propose(ticket, call, &command);
+                self.propose(ticket, request, &command);
             }
             // Unlike for configurations, the local state is never used to answer a repeated
             // order: the opposite order may have been acknowledged in between, which a
@@ -132,15 +132,15 @@
             }
             ApiRequest::Evacuate(ref domain) => {
                 let command = Command::Evacuate(domain.clone());
-                self.propose(ticket, call, &command);
+                self.propose(ticket, request, &command);
             }
             ApiRequest::Readmit(ref domain) => {
                 let command = Command::Readmit(domain.clone());
-                self.propose(ticket, call, &command);
+                self.propose(ticket, request, &command);
             }
             ApiRequest::ReadConfig | ApiRequest::ReadRollout(_) => {
                 if self.ensure_leader(ticket) {
-                    self.add_pending(ticket, call);
+                    self.add_pending(ticket, request);
                     self.step_replica(ReplicaEvent::Read { ticket });
                 }
             }
@@ -156,10 +156,10 @@
 
     /// Responds to a read once it is linearizable.
     pub(super) fn read_ready(&mut self, ticket: Ticket) {
-        let Some(waiting) = self.pending_requests.remove(&ticket) else {
+        let Some(pending) = self.pending_requests.remove(&ticket) else {
             return;
         };
-        let answer = match waiting.request {
+        let response = match pending.request {
             ApiRequest::ReadConfig => match self.store.config() {
                 Some(document) => ApiResponse::Config(document.bytes.clone()),
                 None => ApiResponse::Missing,
@@ -170,7 +170,7 @@
             },
             _ => ApiResponse::Done,
         };
-        self.respond(ticket, answer);
+        self.respond(ticket, response);
     }
 
     /// Responds to a request that the replica has rejected.
@@ -178,26 +178,26 @@
         if self.pending_requests.remove(&ticket).is_none() {
             return;
         }
-        let answer = match reason {
+        let response = match reason {
             Rejection::NotLeader(_) => self.redirect(),
             Rejection::Full | Rejection::Busy | Rejection::Unsure | Rejection::Change(_) => {
                 ApiResponse::Unavailable
             }
         };
-        self.respond(ticket, answer);
+        self.respond(ticket, response);
     }
 
     /// Responds to requests that the group did not complete in time.
     pub(super) fn expire_requests(&mut self) {
         self.expire_confirmations();
         let now = self.now;
-        let late: Vec<Ticket> = self
+        let expired: Vec<Ticket> = self
             .pending_requests
             .iter()
-            .filter(|(_, w)| now >= w.deadline)
+            .filter(|(_, pending)| now >= pending.deadline)
             .map(|(&ticket, _)| ticket)
             .collect();
-        for ticket in late {
+        for ticket in expired {
             self.pending_requests.remove(&ticket);
             self.respond(ticket, ApiResponse::Unavailable);
         }
@@ -222,13 +222,13 @@
         self.store.config().is_some_and(|c| c.version >= version)
     }
 
-    fn propose(&mut self, ticket: Ticket, call: ApiRequest, command: &Command) {
+    fn propose(&mut self, ticket: Ticket, request: ApiRequest, command: &Command) {
         if !self.ensure_leader(ticket) {
             return;
         }
         match postcard::to_stdvec(command) {
             Ok(data) => {
-                self.add_pending(ticket, call);
+                self.add_pending(ticket, request);
                 self.step_replica(ReplicaEvent::Propose { ticket, data });
             }
             Err(_) => self.respond(ticket, ApiResponse::Unavailable),
@@ -240,8 +240,8 @@
         if self.leads() {
             return true;
         }
-        let answer = self.redirect();
-        self.respond(ticket, answer);
+        let response = self.redirect();
+        self.respond(ticket, response);
         false
     }
 
@@ -253,12 +253,12 @@
         }
     }
 
-    fn add_pending(&mut self, ticket: Ticket, call: ApiRequest) {
-        let until = self.now + self.cfg.request_timeout;
-        self.pending_requests.insert(ticket, PendingRequest { request: call, deadline: until });
+    fn add_pending(&mut self, ticket: Ticket, request: ApiRequest) {
+        let deadline = self.now + self.cfg.request_timeout;
+        self.pending_requests.insert(ticket, PendingRequest { request, deadline });
     }
 
-    fn respond(&mut self, ticket: Ticket, answer: ApiResponse) {
-        self.actions.push(Action::Respond(ticket, answer));
+    fn respond(&mut self, ticket: Ticket, response: ApiResponse) {
+        self.actions.push(Action::Respond(ticket, response));
     }
 }
--- a/sesamebeam_core/src/gateway/coordinator/rollout_monitor.rs
+++ b/sesamebeam_core/src/gateway/coordinator/rollout_monitor.rs
@@ -74,33 +74,33 @@
                 Some(watch) => watch.has_run(now, *age),
                 None => {
                     let started = now.saturating_sub(*age);
-                    let heard = self.start_times.entry(key).or_insert(started);
-                    *heard = started.min(*heard);
+                    let start_time = self.start_times.entry(key).or_insert(started);
+                    *start_time = started.min(*start_time);
                 }
             }
         }
     }
 
     /// Records sessions that must stay on the versions before a rollout.
-    pub(super) fn retain_sessions(&mut self, kept: &RetainedSessions) {
-        let key = (kept.service.clone(), kept.target.clone());
+    pub(super) fn retain_sessions(&mut self, retained: &RetainedSessions) {
+        let key = (retained.service.clone(), retained.target.clone());
         let sessions = self.retained_sessions.entry(key).or_default();
-        sessions.extend(&kept.sessions);
+        sessions.extend(&retained.sessions);
     }
 
     /// Returns the retained sessions of each rollout, and whether all sessions that were
     /// active when it started have been reported.
     pub(super) fn retained_sessions(&self, now: MonoTime) -> Vec<(RetainedSessions, bool)> {
-        let report = |(key, watch): (&(ServiceId, SmolStr), &Watch)| {
+        let retained_of = |(key, watch): (&(ServiceId, SmolStr), &Watch)| {
             let sessions = self.retained_sessions.get(key).into_iter().flatten().copied();
-            let kept = RetainedSessions {
+            let retained = RetainedSessions {
                 service: key.0.clone(),
                 target: key.1.clone(),
                 sessions: sessions.collect(),
             };
-            (kept, watch.age(now) > GATHER)
+            (retained, watch.age(now) > GATHER)
         };
-        self.watched.iter().map(report).collect()
+        self.watched.iter().map(retained_of).collect()
     }
 
     /// Adds evidence from an entry.
--- a/sesamebeam_core/src/gateway/digests.rs
+++ b/sesamebeam_core/src/gateway/digests.rs
@@ -53,22 +53,22 @@
 
 impl SectionDigests {
     /// Computes the digests of the backend servers in a bucket.
-    pub(super) fn compute(part: usize, servers: impl Iterator<Item = IndexedServer>) -> Self {
+    pub(super) fn compute(bucket: usize, servers: impl Iterator<Item = IndexedServer>) -> Self {
         let mut sections = vec![0; SECTIONS];
         for server in servers {
             let at = usize::from(section(server.key())) % SECTIONS;
             sections[at] ^= digest(&server);
         }
         Self {
-            bucket: part as u8,
+            bucket: bucket as u8,
             sections,
         }
     }
 
     /// Returns the number of the bucket, or none if the sender uses another layout.
     pub(super) fn bucket(&self) -> Option<usize> {
-        let part = usize::from(self.bucket);
-        (part < BUCKETS && self.sections.len() == SECTIONS).then_some(part)
+        let bucket = usize::from(self.bucket);
+        (bucket < BUCKETS && self.sections.len() == SECTIONS).then_some(bucket)
     }
 
     /// Iterates over the sections that differ.
@@ -81,8 +81,8 @@
 }
 
 /// Returns the first and last key of a bucket.
-pub(super) fn bucket_keys(part: usize) -> (ServerKey, ServerKey) {
-    let first = (part as ServerKey) << BUCKET_SHIFT;
+pub(super) fn bucket_keys(bucket: usize) -> (ServerKey, ServerKey) {
+    let first = (bucket as ServerKey) << BUCKET_SHIFT;
     (first, first | (ServerKey::MAX >> BUCKET_BITS))
 }
 
@@ -105,9 +105,9 @@
     if server.state == ServerState::Gone {
         return 0;
     }
-    let (life, state) = (&server.incarnation, server.state as u8);
-    let held = format!("{} {} {state} {}", life.id, life.started_at, server.version);
-    hash::name(held.as_bytes()) as u32
+    let (incarnation, state) = (&server.incarnation, server.state as u8);
+    let contents = format!("{} {} {state} {}", incarnation.id, incarnation.started_at, server.version);
+    hash::name(contents.as_bytes()) as u32
 }
 
 /// Set of buckets of a directory.
@@ -150,7 +150,7 @@
 
     /// Creates a set from bucket numbers.
     pub(super) fn from_numbers(numbers: impl Iterator<Item = usize>) -> Self {
-        Self(numbers.fold(0, |parts, n| parts | (1 << n)))
+        Self(numbers.fold(0, |buckets, n| buckets | (1 << n)))
     }
 }
 
--- a/sesamebeam_core/src/gateway/directory.rs
+++ b/sesamebeam_core/src/gateway/directory.rs
@@ -144,28 +144,28 @@
     ///
     /// `service_exists` tells whether the service is a known one. An announcement by a
     /// third party for a service that nobody provides must not end a working incarnation.
-    pub fn merge(&mut self, now: MonoTime, said: Announcement, is_named: bool) -> bool {
+    pub fn merge(&mut self, now: MonoTime, announcement: Announcement, service_exists: bool) -> bool {
         self.examined += 1;
-        let born = self.servers.get(&said.id).map(|known| known.announcement.started_at);
-        match born {
-            Some(born) if said.started_at < born => return false,
-            Some(born) if said.started_at == born => {
-                let id = said.id.clone();
-                return self.modify(&id, |known| known.update(now, said)) == Some(true);
+        let started_at = self.servers.get(&announcement.id).map(|record| record.announcement.started_at);
+        match started_at {
+            Some(started_at) if announcement.started_at < started_at => return false,
+            Some(started_at) if announcement.started_at == started_at => {
+                let id = announcement.id.clone();
+                return self.modify(&id, |record| record.update(now, announcement)) == Some(true);
             }
             Some(_) | None => {}
         }
-        let mut said = said;
-        if said.state != ServerState::Gone && self.is_superseded(&said) {
-            said.state = ServerState::Gone;
+        let mut announcement = announcement;
+        if announcement.state != ServerState::Gone && self.is_superseded(&announcement) {
+            announcement.state = ServerState::Gone;
         }
-        if said.state != ServerState::Gone && is_named {
-            self.end_older_at_address(now, &said);
+        if announcement.state != ServerState::Gone && service_exists {
+            self.end_older_at_address(now, &announcement);
         }
         self.insert(ServerRecord {
-            cold_until: now + said.cold,
+            cold_until: now + announcement.cold,
             last_heard_at: now,
-            announcement: said,
+            announcement,
         });
         self.evict_oldest_gone();
         true
@@ -177,23 +177,23 @@
     }
 
     /// Returns whether the announced service has any other backend server.
-    pub fn has_other_server(&self, said: &Announcement) -> bool {
-        let this = self.servers.get(&said.id);
-        let is_of_it = this.is_some_and(|k| k.announcement.service == said.service);
-        self.index.count_of_service(&said.service) > usize::from(is_of_it)
+    pub fn has_other_server(&self, announcement: &Announcement) -> bool {
+        let this = self.servers.get(&announcement.id);
+        let is_of_it = this.is_some_and(|k| k.announcement.service == announcement.service);
+        self.index.count_of_service(&announcement.service) > usize::from(is_of_it)
     }
 
     /// Marks a backend server as gone, identified by its id and optionally its start time.
-    pub fn mark_gone(&mut self, now: MonoTime, id: &str, born: Option<StartTime>) -> Option<Announcement> {
-        let known = self.servers.get(id)?;
-        if born.is_some_and(|born| born != known.announcement.started_at) {
+    pub fn mark_gone(&mut self, now: MonoTime, id: &str, started_at: Option<StartTime>) -> Option<Announcement> {
+        let record = self.servers.get(id)?;
+        if started_at.is_some_and(|started_at| started_at != record.announcement.started_at) {
             return None;
         }
-        let mut said = known.announcement.clone();
-        said.state = ServerState::Gone;
-        said.sequence += 1;
-        self.modify(id, |known| known.update(now, said.clone()));
-        Some(said)
+        let mut announcement = record.announcement.clone();
+        announcement.state = ServerState::Gone;
+        announcement.sequence += 1;
+        self.modify(id, |record| record.update(now, announcement.clone()));
+        Some(announcement)
     }
 
     /// Returns a backend server.
@@ -213,10 +213,10 @@
 
     /// Iterates over current announcements of the backend servers in some buckets,
     /// including those that are gone.
-    pub fn announcements_in_buckets(&self, now: MonoTime, parts: BucketSet) -> impl Iterator<Item = Announcement> {
-        let keys = parts.iter().map(digests::bucket_keys);
-        let known = keys.flat_map(|keys| self.with_keys(keys));
-        known.map(move |known| known.to_announcement(now))
+    pub fn announcements_in_buckets(&self, now: MonoTime, buckets: BucketSet) -> impl Iterator<Item = Announcement> {
+        let keys = buckets.iter().map(digests::bucket_keys);
+        let records = keys.flat_map(|keys| self.with_keys(keys));
+        records.map(move |record| record.to_announcement(now))
     }
 
     /// Iterates over current announcements of the backend servers in some sections,
@@ -227,38 +227,38 @@
         sections: &'a [Section],
     ) -> impl Iterator<Item = Announcement> + 'a {
         let keys = sections.iter().map(|&s| digests::section_keys(s));
-        let known = keys.flat_map(|keys| self.with_keys(keys));
-        known.map(move |known| known.to_announcement(now))
+        let records = keys.flat_map(|keys| self.with_keys(keys));
+        records.map(move |record| record.to_announcement(now))
     }
 
     /// Returns the number of backend servers in a bucket, including those that are gone.
-    pub fn count_in_bucket(&self, part: usize) -> usize {
-        self.with_keys(digests::bucket_keys(part)).count()
+    pub fn count_in_bucket(&self, bucket: usize) -> usize {
+        self.with_keys(digests::bucket_keys(bucket)).count()
     }
 
     /// Returns the section digests of some buckets.
-    pub fn section_digests(&self, parts: BucketSet) -> Vec<SectionDigests> {
-        parts.iter().map(|part| self.digests_of_bucket(part)).collect()
+    pub fn section_digests(&self, buckets: BucketSet) -> Vec<SectionDigests> {
+        buckets.iter().map(|bucket| self.digests_of_bucket(bucket)).collect()
     }
 
     /// Returns the sections that differ from those of another directory.
     pub fn differing_sections(&self, details: &[SectionDigests]) -> Vec<Section> {
-        let pairs = details.iter().filter_map(|theirs| {
-            let own = self.digests_of_bucket(theirs.bucket()?);
-            Some(own.differing(theirs).collect::<Vec<_>>())
+        let differing = details.iter().filter_map(|other| {
+            let own = self.digests_of_bucket(other.bucket()?);
+            Some(own.differing(other).collect::<Vec<_>>())
         });
-        pairs.flatten().collect()
+        differing.flatten().collect()
     }
 
-    fn digests_of_bucket(&self, part: usize) -> SectionDigests {
-        let known = self.with_keys(digests::bucket_keys(part));
-        SectionDigests::compute(part, known.map(IndexedServer::from_record))
+    fn digests_of_bucket(&self, bucket: usize) -> SectionDigests {
+        let records = self.with_keys(digests::bucket_keys(bucket));
+        SectionDigests::compute(bucket, records.map(IndexedServer::from_record))
     }
 
     /// Iterates over current announcements of all backend servers, including those that are
     /// gone.
     pub fn announcements(&self, now: MonoTime) -> impl Iterator<Item = Announcement> + '_ {
-        self.servers.values().map(move |known| known.to_announcement(now))
+        self.servers.values().map(move |record| record.to_announcement(now))
     }
 
     /// Iterates over all known backend servers, including those that are gone.
@@ -298,21 +298,21 @@
     }
 
     /// Returns whether an incarnation that started later is at the same address.
-    fn is_superseded(&mut self, said: &Announcement) -> bool {
-        let there = self.index.by_address(said.addr);
-        self.examined += there.len() as u64;
-        let mut lives = there.iter().filter_map(|id| self.servers.get(id));
-        lives.any(|k| k.announcement.started_at > said.started_at)
+    fn is_superseded(&mut self, announcement: &Announcement) -> bool {
+        let at_address = self.index.by_address(announcement.addr);
+        self.examined += at_address.len() as u64;
+        let mut records = at_address.iter().filter_map(|id| self.servers.get(id));
+        records.any(|k| k.announcement.started_at > announcement.started_at)
     }
 
     fn end_older_at_address(&mut self, now: MonoTime, newer: &Announcement) {
-        let there = self.index.by_address(newer.addr).to_vec();
-        self.examined += there.len() as u64;
-        for id in there.into_iter().filter(|id| *id != newer.id) {
-            self.modify(&id, |known| {
-                if known.announcement.started_at <= newer.started_at {
-                    known.announcement.state = ServerState::Gone;
-                    known.last_heard_at = now;
+        let at_address = self.index.by_address(newer.addr).to_vec();
+        self.examined += at_address.len() as u64;
+        for id in at_address.into_iter().filter(|id| *id != newer.id) {
+            self.modify(&id, |record| {
+                if record.announcement.started_at <= newer.started_at {
+                    record.announcement.state = ServerState::Gone;
+                    record.last_heard_at = now;
                 }
             });
         }
@@ -327,11 +327,11 @@
     }
 
     /// Modifies a record and keeps the index and digests in sync.
-    fn modify<T>(&mut self, id: &str, change: impl FnOnce(&mut ServerRecord) -> T) -> Option<T> {
-        let known = self.servers.get_mut(id)?;
-        let before = IndexedServer::from_record(known);
-        let result = change(known);
-        let after = IndexedServer::from_record(known);
+    fn modify<T>(&mut self, id: &str, modify: impl FnOnce(&mut ServerRecord) -> T) -> Option<T> {
+        let record = self.servers.get_mut(id)?;
+        let before = IndexedServer::from_record(record);
+        let result = modify(record);
+        let after = IndexedServer::from_record(record);
         if before != after {
             self.index.remove(&before);
             self.index.insert(&after);
@@ -342,17 +342,17 @@
     }
 
     /// Inserts a record in place of any previous incarnation with the same id.
-    fn insert(&mut self, known: ServerRecord) {
-        self.remove(&known.announcement.id);
-        let indexed = IndexedServer::from_record(&known);
+    fn insert(&mut self, record: ServerRecord) {
+        self.remove(&record.announcement.id);
+        let indexed = IndexedServer::from_record(&record);
         self.index.insert(&indexed);
         self.digests.toggle(&indexed);
-        self.servers.insert(known.announcement.id.clone(), known);
+        self.servers.insert(record.announcement.id.clone(), record);
     }
 
     fn remove(&mut self, id: &str) {
-        if let Some(known) = self.servers.remove(id) {
-            let indexed = IndexedServer::from_record(&known);
+        if let Some(record) = self.servers.remove(id) {
+            let indexed = IndexedServer::from_record(&record);
             self.index.remove(&indexed);
             self.digests.toggle(&indexed);
         }
@@ -382,38 +382,38 @@
     ///
     /// Announcements repeat the same remaining time, so an end that is later by less than
     /// [`COLD_MARGIN`] only shows that the announcement was delayed for longer.
-    fn update_cold(&mut self, now: MonoTime, said: &Announcement) -> bool {
-        if said.sequence <= self.announcement.sequence {
+    fn update_cold(&mut self, now: MonoTime, announcement: &Announcement) -> bool {
+        if announcement.sequence <= self.announcement.sequence {
             return false;
         }
-        let before = std::mem::replace(&mut self.cold_until, now + said.cold);
-        !said.cold.is_zero() && self.cold_until > before + COLD_MARGIN
+        let before = std::mem::replace(&mut self.cold_until, now + announcement.cold);
+        !announcement.cold.is_zero() && self.cold_until > before + COLD_MARGIN
     }
 
     /// Merges a newer announcement of the same incarnation and returns whether it contains
     /// anything new. The service and address of an incarnation never change; an
     /// announcement that differs in them was not made by the server itself.
-    fn update(&mut self, now: MonoTime, said: Announcement) -> bool {
-        let older = said.sequence <= self.announcement.sequence && said.state <= self.announcement.state;
-        let moved = said.state != ServerState::Gone
-            && (&said.service, said.addr) != (&self.announcement.service, self.announcement.addr);
-        if self.announcement.state == ServerState::Gone || older || moved {
+    fn update(&mut self, now: MonoTime, announcement: Announcement) -> bool {
+        let is_older = announcement.sequence <= self.announcement.sequence && announcement.state <= self.announcement.state;
+        let has_moved = announcement.state != ServerState::Gone
+            && (&announcement.service, announcement.addr) != (&self.announcement.service, self.announcement.addr);
+        if self.announcement.state == ServerState::Gone || is_older || has_moved {
             return false;
         }
         self.last_heard_at = now;
-        let cools = self.update_cold(now, &said);
-        let sequence = self.announcement.sequence.max(said.sequence);
-        let state = self.announcement.state.max(said.state);
-        let same = Announcement {
+        let is_cold_again = self.update_cold(now, &announcement);
+        let sequence = self.announcement.sequence.max(announcement.sequence);
+        let state = self.announcement.state.max(announcement.state);
+        let is_same = Announcement {
             sequence: self.announcement.sequence,
             cold: self.announcement.cold,
-            ..said.clone()
+            ..announcement.clone()
         } == self.announcement;
         self.announcement = Announcement {
             sequence,
             state,
-            ..said
+            ..announcement
         };
-        !same || cools
+        !is_same || is_cold_again
     }
 }
--- a/sesamebeam_core/src/gateway/directory/index.rs
+++ b/sesamebeam_core/src/gateway/directory/index.rs
@@ -52,17 +52,17 @@
 
 impl IndexedServer {
     /// Extracts the indexed properties of a record.
-    pub(super) fn from_record(known: &ServerRecord) -> Self {
-        let said = &known.announcement;
+    pub(super) fn from_record(record: &ServerRecord) -> Self {
+        let announcement = &record.announcement;
         Self {
-            key: loads::key(&said.id),
-            incarnation: known.incarnation(),
-            state: said.state,
-            version: said.version.clone(),
-            service: said.service.clone(),
-            domain: said.domain.clone(),
-            addr: said.addr,
-            gone_at: (said.state == ServerState::Gone).then_some(known.last_heard_at),
+            key: loads::key(&announcement.id),
+            incarnation: record.incarnation(),
+            state: announcement.state,
+            version: announcement.version.clone(),
+            service: announcement.service.clone(),
+            domain: announcement.domain.clone(),
+            addr: announcement.addr,
+            gone_at: (announcement.state == ServerState::Gone).then_some(record.last_heard_at),
         }
     }
 
@@ -97,13 +97,13 @@
     ///
     /// Its width changes in powers of two, so that processes whose directories differ by a
     /// few backend servers use the same range.
-    pub fn new(from: ServerKey, most: usize, all: usize) -> Self {
-        let parts = all.div_ceil(most.max(1)).max(1).next_power_of_two();
-        match parts {
+    pub fn new(from: ServerKey, max_servers: usize, total: usize) -> Self {
+        let window_count = total.div_ceil(max_servers.max(1)).max(1).next_power_of_two();
+        match window_count {
             1 => Self::ALL,
             _ => Self {
                 from,
-                width: (KEY_SPACE / parts as u64).max(1),
+                width: (KEY_SPACE / window_count as u64).max(1),
             },
         }
     }
--- a/sesamebeam_core/src/gateway/entry_count.rs
+++ b/sesamebeam_core/src/gateway/entry_count.rs
@@ -56,8 +56,8 @@
 
     /// Returns whether the number has changed since the last call.
     pub fn take_changed(&mut self, now: MonoTime) -> bool {
-        let known = self.count(now);
-        std::mem::replace(&mut self.last_returned, known) != known
+        let count = self.count(now);
+        std::mem::replace(&mut self.last_returned, count) != count
     }
 }
 
@@ -76,9 +76,9 @@
         if self.max == 0 {
             self.since = now;
         }
-        let grew = entries > self.max;
+        let is_larger = entries > self.max;
         self.max = self.max.max(entries);
-        grew
+        is_larger
     }
 
     /// Returns the largest number received; 0 if there is none.
--- a/sesamebeam_core/src/gateway/leader_discovery.rs
+++ b/sesamebeam_core/src/gateway/leader_discovery.rs
@@ -14,10 +14,10 @@
 
 impl LeaderDiscovery {
     /// Returns the processes to ask, given those that may know the group.
-    pub fn targets(&self, known: BTreeSet<ProcessAddr>) -> BTreeSet<ProcessAddr> {
+    pub fn targets(&self, candidates: BTreeSet<ProcessAddr>) -> BTreeSet<ProcessAddr> {
         match self.leader {
             Some(leader) => BTreeSet::from([leader]),
-            None => known,
+            None => candidates,
         }
     }
 
--- a/sesamebeam_core/src/gateway/messages.rs
+++ b/sesamebeam_core/src/gateway/messages.rs
@@ -168,23 +168,23 @@
             loads,
             limits,
             outcomes,
-            unreachable: unreached,
+            unreachable,
             waits,
             work,
             crashes,
-            retained_sessions: kept,
-            rollout_ages: ages,
+            retained_sessions,
+            rollout_ages,
         } = self;
         evidence.is_empty()
             && loads.is_empty()
             && limits.is_empty()
             && outcomes.is_empty()
-            && unreached.is_empty()
+            && unreachable.is_empty()
             && waits.is_empty()
             && work.is_empty()
             && crashes.is_empty()
-            && kept.is_empty()
-            && ages.is_empty()
+            && retained_sessions.is_empty()
+            && rollout_ages.is_empty()
     }
 
     /// Adds the report of another entry.
