--- a/sesamebeam/src/gateway/feed.rs
+++ b/sesamebeam/src/gateway/feed.rs
@@ -23,13 +23,13 @@
 use sesamebeam_core::gateway::{
     digests::BucketSet,
     directory::Announcement,
+    limits::LimitOf,
     messages::{
         FromEntry,
         Hello,
         Report,
         ToEntry, //
     },
-    limits::LimitOf,
     store::Document,
     subscription::{
         Order,
@@ -425,7 +425,10 @@
         let servers: Vec<_> = {
             let now = self.gateway.now();
             let router = self.gateway.router();
-            router.directory().announcements_in_buckets(now, parts).collect()
+            router
+                .directory()
+                .announcements_in_buckets(now, parts)
+                .collect()
         };
         self.send(addr, FromEntry::Servers(servers));
     }
--- a/sesamebeam/src/group.rs
+++ b/sesamebeam/src/group.rs
@@ -31,8 +31,8 @@
     gateway::{
         coordinator::{
             Action,
-            ApiResponse,
             ApiRequest,
+            ApiResponse,
             Coordinator,
             CoordinatorConfig,
             EntryId,
@@ -42,8 +42,8 @@
         directory::Announcement,
         messages::{
             CoordinatorMessage,
-            MembershipRequest,
             MembershipReply,
+            MembershipRequest,
             StateSummary,
             ToEntry, //
         },
--- a/sesamebeam/src/group/http.rs
+++ b/sesamebeam/src/group/http.rs
@@ -27,8 +27,8 @@
     TokioTimer, //
 };
 use sesamebeam_core::gateway::coordinator::{
-    ApiResponse,
     ApiRequest, //
+    ApiResponse,
 };
 use tokio::{
     net::TcpStream,
--- a/sesamebeam/src/group/join.rs
+++ b/sesamebeam/src/group/join.rs
@@ -12,8 +12,8 @@
         leader_discovery::LeaderDiscovery,
         messages::{
             Hello,
-            MembershipRequest,
             MembershipReply, //
+            MembershipRequest,
         },
     },
     ids::NodeId,
--- a/sesamebeam/src/group/peer.rs
+++ b/sesamebeam/src/group/peer.rs
@@ -136,7 +136,9 @@
         tx.send(&Hello::Replica { node: self.own }).await?;
         *reached = true;
         log::info!(peer:% = self.addr; "control replica reached");
-        let _ = self.inputs.send(Input::Event(Event::PeerConnected(self.to)));
+        let _ = self
+            .inputs
+            .send(Input::Event(Event::PeerConnected(self.to)));
         // The other end says that it lives; silence shows a path that is lost.
         let alive = async {
             loop {
--- a/sesamebeam_core/src/gateway/balance.rs
+++ b/sesamebeam_core/src/gateway/balance.rs
@@ -12,8 +12,8 @@
 
 use super::{
     directory::{
-        ServerRecord,
         ServerId, //
+        ServerRecord,
     },
     loads::{
         self,
@@ -410,7 +410,12 @@
 
     /// Leaves out those that were tried, could not be reached or are behind a way
     /// that is cut, as long as others are left.
-    fn fit<'a>(&self, now: MonoTime, all: &[&'a ServerRecord], tried: &[ServerId]) -> Vec<&'a ServerRecord> {
+    fn fit<'a>(
+        &self,
+        now: MonoTime,
+        all: &[&'a ServerRecord],
+        tried: &[ServerId],
+    ) -> Vec<&'a ServerRecord> {
         let fresh: Vec<&ServerRecord> = all
             .iter()
             .copied()
@@ -458,12 +463,18 @@
             (sound, near, hash::rendezvous(&k.announcement.id, &key))
         });
         // A second of reading holds up as many as a full engine.
-        let held_up = |(k, load): &(&ServerRecord, f64)| load + self.reads_for(now, k).as_secs_f64();
+        let held_up =
+            |(k, load): &(&ServerRecord, f64)| load + self.reads_for(now, k).as_secs_f64();
         let lightest = || loaded().min_by(|a, b| held_up(a).total_cmp(&held_up(b)));
         best.or_else(lightest).map(|(k, _)| k)
     }
 
-    fn by_load<'a>(&self, now: MonoTime, fit: &[&'a ServerRecord], need: &Need<'_>) -> Option<&'a ServerRecord> {
+    fn by_load<'a>(
+        &self,
+        now: MonoTime,
+        fit: &[&'a ServerRecord],
+        need: &Need<'_>,
+    ) -> Option<&'a ServerRecord> {
         let salt = need.seed.to_string();
         let cost = |k: &ServerRecord| {
             let far = if k.announcement.domain == need.domain {
@@ -482,7 +493,9 @@
     /// this entry has heard from it.
     fn load(&self, now: MonoTime, known: &ServerRecord) -> f64 {
         let seen = self.seen.get(&known.announcement.id);
-        seen.map_or(0.0, |seen| seen.load(now, known.announcement.slots, seen.load))
+        seen.map_or(0.0, |seen| {
+            seen.load(now, known.announcement.slots, seen.load)
+        })
     }
 
     /// Returns the same from what any entry has heard.
@@ -513,7 +526,9 @@
     }
 
     fn failures(&self, known: &ServerRecord) -> f64 {
-        self.seen.get(&known.announcement.id).map_or(0.0, |s| s.failures)
+        self.seen
+            .get(&known.announcement.id)
+            .map_or(0.0, |s| s.failures)
     }
 
     fn mean_failures(&self, fit: &[&ServerRecord]) -> f64 {
--- a/sesamebeam_core/src/gateway/cold.rs
+++ b/sesamebeam_core/src/gateway/cold.rs
@@ -29,8 +29,8 @@
 use super::{
     config::ColdConfig,
     directory::{
-        ServerRecord,
         ServerId, //
+        ServerRecord,
     },
     entry_count::KnownEntryCount,
 };
@@ -92,7 +92,12 @@
     ///
     /// In a failure domain that is taken back they may have become so moments before,
     /// of which they tell with their next announcement, over a second later.
-    pub fn is_cold(&self, now: MonoTime, known: &ServerRecord, limits: Option<&ColdConfig>) -> bool {
+    pub fn is_cold(
+        &self,
+        now: MonoTime,
+        known: &ServerRecord,
+        limits: Option<&ColdConfig>,
+    ) -> bool {
         let Some(limits) = limits else {
             return false;
         };
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -6,10 +6,10 @@
 //! accepts announcements and forwards them, but makes no decisions.
 
 mod announce;
-mod requests;
 mod group;
 mod placement;
 mod publisher;
+mod requests;
 mod rollout_monitor;
 
 use std::{
@@ -23,18 +23,18 @@
 
 use smol_str::SmolStr;
 
+pub use group::Peers;
+pub use publisher::MAX_ANNOUNCEMENTS_PER_MESSAGE;
 pub use requests::{
-    ApiResponse,
     ApiRequest, //
+    ApiResponse,
 };
-pub use group::Peers;
-pub use publisher::MAX_ANNOUNCEMENTS_PER_MESSAGE;
 
 use self::{
     announce::PendingConfirmation,
-    requests::PendingRequest,
     placement::VoterPlacement,
     publisher::Publisher,
+    requests::PendingRequest,
     rollout_monitor::RolloutMonitor, //
 };
 use super::{
@@ -46,20 +46,20 @@
         Directory,
         ServerState, //
     },
+    limits::{
+        LimitOf,
+        NamedLimits, //
+    },
+    loads::Loads,
     messages::{
         CoordinatorMessage,
-        SyncState,
-        MembershipRequest,
         MembershipReply,
+        MembershipRequest,
         Report,
         StateSummary,
+        SyncState,
         ToEntry, //
     },
-    limits::{
-        LimitOf,
-        NamedLimits, //
-    },
-    loads::Loads,
     pool::{
         Doubt,
         Pool, //
@@ -386,7 +386,9 @@
             Event::SectionsRequested(entry, sections) => self.send_sections(entry, &sections),
             Event::Servers(servers) => self.merge_announcements(servers),
             Event::EntryReported(report) => self.handle_entry_report(report),
-            Event::MembershipRequested(ticket, request) => self.handle_membership_request(ticket, request),
+            Event::MembershipRequested(ticket, request) => {
+                self.handle_membership_request(ticket, request)
+            }
             Event::RequestReceived(ticket, request) => self.handle_request(ticket, request),
             Event::Synced(write) => self.synced(write),
             Event::DiskFull(full) => {
@@ -436,7 +438,11 @@
                 self.step_replica(ReplicaEvent::Message { from, message });
             }
             CoordinatorMessage::Servers(servers) => self.merge_announcements(servers),
-            CoordinatorMessage::Digests { digests, domain, reply_requested } => {
+            CoordinatorMessage::Digests {
+                digests,
+                domain,
+                reply_requested,
+            } => {
                 self.placement.set_domain(from, domain);
                 self.handle_digests(from, &digests, reply_requested);
             }
@@ -524,7 +530,10 @@
     }
 
     fn evacuation_event(&self, index: LogIndex, domain: &DomainId, evacuated: bool) -> LogEvent {
-        let of_domain = self.directory.all().filter(|k| k.announcement.domain == *domain);
+        let of_domain = self
+            .directory
+            .all()
+            .filter(|k| k.announcement.domain == *domain);
         let living = of_domain.filter(|k| k.announcement.state != ServerState::Gone);
         LogEvent::Evacuation {
             domain: domain.clone(),
--- a/sesamebeam_core/src/gateway/coordinator/announce.rs
+++ b/sesamebeam_core/src/gateway/coordinator/announce.rs
@@ -16,14 +16,14 @@
     gateway::{
         config::ServiceId,
         digests::{
-            Digests,
             BucketSet, //
+            Digests,
         },
         directory::{
             Announcement,
             START_TIME_UNKNOWN,
-            StartTime,
             ServerState, //
+            StartTime,
         },
         messages::CoordinatorMessage,
     },
@@ -90,7 +90,12 @@
     /// If several replicas hold the same data, only one of them is asked. If each sent
     /// everything, a replica that starts in a group of 24 would receive every backend
     /// server 24 times.
-    pub(super) fn handle_digests(&mut self, from: NodeId, digests: &Digests, reply_requested: bool) {
+    pub(super) fn handle_digests(
+        &mut self,
+        from: NodeId,
+        digests: &Digests,
+        reply_requested: bool,
+    ) {
         let differing = self.directory.digests().differing(digests);
         if differing.is_empty() {
             return;
@@ -104,13 +109,18 @@
             self.actions.push(Action::Send { to: from, message });
         }
         if postponed {
-            self.publisher.next_comparison_at.insert(from, self.now + PULL_RETRY_DELAY);
+            self.publisher
+                .next_comparison_at
+                .insert(from, self.now + PULL_RETRY_DELAY);
         }
     }
 
     /// Sends a replica the backend servers in some buckets of the directory.
     pub(super) fn send_buckets(&mut self, to: NodeId, buckets: BucketSet) {
-        let servers: Vec<Announcement> = self.directory.announcements_in_buckets(self.now, buckets).collect();
+        let servers: Vec<Announcement> = self
+            .directory
+            .announcements_in_buckets(self.now, buckets)
+            .collect();
         if !servers.is_empty() {
             let message = CoordinatorMessage::Servers(servers);
             self.actions.push(Action::Send { to, message });
@@ -160,7 +170,8 @@
         if is_new {
             self.broadcast(&CoordinatorMessage::Servers(vec![current]));
         }
-        self.actions.push(Action::Respond(ticket, ApiResponse::Done));
+        self.actions
+            .push(Action::Respond(ticket, ApiResponse::Done));
     }
 
     /// Handles the notice of a backend server that it is leaving, identified by its id and
@@ -176,7 +187,8 @@
             None => {
                 let announcement = gone_announcement(id, started_at.unwrap_or(START_TIME_UNKNOWN));
                 if !self.merge_announcement(announcement.clone()) {
-                    self.actions.push(Action::Respond(ticket, ApiResponse::Done));
+                    self.actions
+                        .push(Action::Respond(ticket, ApiResponse::Done));
                     return;
                 }
                 announcement
@@ -196,7 +208,8 @@
         if confirming.confirmed_by.len() >= confirming.required {
             let ticket = confirming.ticket;
             self.pending_confirmations.remove(&number);
-            self.actions.push(Action::Respond(ticket, ApiResponse::Done));
+            self.actions
+                .push(Action::Respond(ticket, ApiResponse::Done));
         }
     }
 
@@ -227,7 +240,8 @@
         }
         let required = self.peers.count() / 2;
         if required == 0 {
-            self.actions.push(Action::Respond(ticket, ApiResponse::Done));
+            self.actions
+                .push(Action::Respond(ticket, ApiResponse::Done));
             return;
         }
         let number = self.next_ticket;
--- a/sesamebeam_core/src/gateway/coordinator/group.rs
+++ b/sesamebeam_core/src/gateway/coordinator/group.rs
@@ -13,8 +13,8 @@
 };
 use crate::{
     gateway::messages::{
-        MembershipRequest,
         MembershipReply, //
+        MembershipRequest,
     },
     ids::{
         DomainId,
@@ -198,7 +198,8 @@
         let members = self.peers.addrs();
         for &to in self.seeds.iter().filter(|seed| !members.contains(seed)) {
             let request = request.clone();
-            self.actions.push(Action::SendMembershipRequest { to, request });
+            self.actions
+                .push(Action::SendMembershipRequest { to, request });
         }
     }
 
@@ -241,12 +242,19 @@
             .find(|(_, m)| m.addr == addr)
             .map(|(&n, _)| n);
         let gone = same_addr.or_else(|| self.silent_voter());
-        self.placement.set_domain(replica.id(), self.cfg.domain.clone());
+        self.placement
+            .set_domain(replica.id(), self.cfg.domain.clone());
         let voters_and_joining = self.voters_and_joining();
         let lacks_replicas = voters_and_joining.len() < self.target_voters();
         let is_vacant = gone.is_some() || lacks_replicas;
-        let remaining = voters_and_joining.iter().filter(|&&node| Some(node) != gone);
-        if same_addr.is_none() && !self.placement.admits(self.now, &domain, is_vacant, remaining) {
+        let remaining = voters_and_joining
+            .iter()
+            .filter(|&&node| Some(node) != gone);
+        if same_addr.is_none()
+            && !self
+                .placement
+                .admits(self.now, &domain, is_vacant, remaining)
+        {
             return self.membership_reply();
         }
         self.placement.set_domain(node, domain);
@@ -269,7 +277,12 @@
         MembershipReply::Joining
     }
 
-    fn change_members(&mut self, change: MemberChange, joins: Option<NodeId>, leaves: Option<NodeId>) {
+    fn change_members(
+        &mut self,
+        change: MemberChange,
+        joins: Option<NodeId>,
+        leaves: Option<NodeId>,
+    ) {
         let ticket = self.internal_ticket();
         self.log(LogEvent::Membership {
             joins,
@@ -294,7 +307,9 @@
     fn silent_voter(&self) -> Option<NodeId> {
         let replica = self.replica.as_ref()?;
         let progress = replica.progress(self.now);
-        let silent = progress.iter().filter(|s| s.voter && s.silent > SILENCE_TIMEOUT);
+        let silent = progress
+            .iter()
+            .filter(|s| s.voter && s.silent > SILENCE_TIMEOUT);
         silent
             .max_by_key(|s| s.silent)
             .map(|s: &ReplicaStatus| s.node)
@@ -312,7 +327,8 @@
     fn voters_and_joining(&self) -> Vec<NodeId> {
         let progress = self.replica.as_ref().map(|r| r.progress(self.now));
         let voters_and_joining = progress.into_iter().flatten();
-        let voters_and_joining = voters_and_joining.filter(|s| s.voter || s.silent <= SILENCE_TIMEOUT);
+        let voters_and_joining =
+            voters_and_joining.filter(|s| s.voter || s.silent <= SILENCE_TIMEOUT);
         voters_and_joining.map(|s| s.node).collect()
     }
 
--- a/sesamebeam_core/src/gateway/coordinator/placement.rs
+++ b/sesamebeam_core/src/gateway/coordinator/placement.rs
@@ -54,7 +54,8 @@
         remaining: impl Iterator<Item = &'a NodeId>,
     ) -> bool {
         self.last_asked.insert(domain.clone(), now);
-        self.last_asked.retain(|_, at| now < *at + JOIN_REQUEST_WINDOW);
+        self.last_asked
+            .retain(|_, at| now < *at + JOIN_REQUEST_WINDOW);
         if !is_vacant {
             self.vacant_since = None;
             return false;
@@ -67,7 +68,8 @@
         let count = |domain| voters.get(domain).copied().unwrap_or_default();
         let min_count = self.last_asked.keys().map(count).min().unwrap_or_default();
         let own_count = count(domain);
-        let admitted = own_count == 0 || own_count == min_count && now >= since + JOIN_REQUEST_WINDOW;
+        let admitted =
+            own_count == 0 || own_count == min_count && now >= since + JOIN_REQUEST_WINDOW;
         if admitted {
             self.vacant_since = None;
         }
--- a/sesamebeam_core/src/gateway/coordinator/publisher.rs
+++ b/sesamebeam_core/src/gateway/coordinator/publisher.rs
@@ -30,17 +30,17 @@
             ServerState, //
         },
         entry_count::EntryCounter,
+        limits::LimitOf,
         messages::{
             CoordinatorMessage,
             Crash,
-            SyncState,
-            RetainedSessions,
             Report,
+            RetainedSessions,
             StateSummary,
+            SyncState,
             ToEntry,
             UnreachableServer, //
         },
-        limits::LimitOf,
         shortage::ShareOf,
     },
     ids::{
@@ -122,7 +122,8 @@
 
     /// Returns when the next batch is due, if anything waits for it.
     pub(super) fn next_wake(&self) -> Option<MonoTime> {
-        self.has_pending().then_some(self.last_batch_at + BATCH_INTERVAL)
+        self.has_pending()
+            .then_some(self.last_batch_at + BATCH_INTERVAL)
     }
 
     /// Resets the record that entries know the state to be current.
@@ -140,7 +141,9 @@
     pub(super) fn add_entry(&mut self, entry: EntryId) {
         self.publisher.entries.insert(entry);
         let entries = self.publisher.entries.len() as u32;
-        self.publisher.entry_counter.record_connected(self.now, entries);
+        self.publisher
+            .entry_counter
+            .record_connected(self.now, entries);
         let fleet = self.fleet_message();
         self.push(Recipients::Only(vec![entry]), fleet);
     }
@@ -159,7 +162,9 @@
     /// too large a portion of the shared budgets.
     pub(super) fn follow(&mut self, entry: EntryId, sync_state: SyncState) {
         self.publisher.followers.insert(entry);
-        self.publisher.entry_counter.record_reported(sync_state.entries);
+        self.publisher
+            .entry_counter
+            .record_reported(sync_state.entries);
         self.request_update(entry, sync_state);
         let this_entry = Recipients::Only(vec![entry]);
         let quarantined = self.crashes.quarantined();
@@ -173,7 +178,10 @@
             self.push(this_entry.clone(), ToEntry::Limits(limits));
         }
         for (sessions, all_reported) in self.rollout_monitor.retained_sessions(self.now) {
-            self.push(this_entry.clone(), ToEntry::RetainedSessions(sessions, all_reported));
+            self.push(
+                this_entry.clone(),
+                ToEntry::RetainedSessions(sessions, all_reported),
+            );
         }
     }
 
@@ -198,8 +206,10 @@
 
     /// Processes the observations of entries.
     pub(super) fn process_report(&mut self, report: &Report) {
-        self.rollout_monitor.record_ages(self.now, &self.store, &report.rollout_ages);
-        self.rollout_monitor.add_evidence(self.now, &self.store, &report.evidence);
+        self.rollout_monitor
+            .record_ages(self.now, &self.store, &report.rollout_ages);
+        self.rollout_monitor
+            .add_evidence(self.now, &self.store, &report.evidence);
         self.loads.take(self.now, report.loads.iter().copied());
         self.limits.take(self.now, report.limits.iter().copied());
         self.pool.take(report.outcomes.iter().copied());
@@ -214,7 +224,11 @@
     /// Queues announcements for the followers.
     pub(super) fn queue_announcements(&mut self, servers: impl IntoIterator<Item = Announcement>) {
         let pending = &mut self.publisher.pending_announcements;
-        pending.extend(servers.into_iter().map(|announcement| (announcement.id.clone(), announcement)));
+        pending.extend(
+            servers
+                .into_iter()
+                .map(|announcement| (announcement.id.clone(), announcement)),
+        );
     }
 
     /// Records that the replicated state has changed.
@@ -227,7 +241,8 @@
     /// Publishes the changes caused by an event.
     pub(super) fn publish(&mut self) {
         self.publish_state();
-        if self.publisher.has_pending() && self.now >= self.publisher.last_batch_at + BATCH_INTERVAL {
+        if self.publisher.has_pending() && self.now >= self.publisher.last_batch_at + BATCH_INTERVAL
+        {
             self.publisher.last_batch_at = self.now;
             self.send_requested_updates();
             self.publish_announcements();
@@ -283,7 +298,9 @@
         }
         self.publisher.saved = (digest, self.now);
         let announcements = self.directory.announcements(self.now);
-        let servers = announcements.filter(|announcement| announcement.state != ServerState::Gone).collect();
+        let servers = announcements
+            .filter(|announcement| announcement.state != ServerState::Gone)
+            .collect();
         self.actions.push(Action::SaveServers(servers));
     }
 
@@ -349,7 +366,10 @@
         let mut by_buckets: BTreeMap<BucketSet, Vec<EntryId>> = BTreeMap::new();
         let mut by_sections: BTreeMap<BucketSet, Vec<EntryId>> = BTreeMap::new();
         for (entry, sync_state) in std::mem::take(&mut self.publisher.update_requests) {
-            by_state.entry(config > sync_state.config).or_default().push(entry);
+            by_state
+                .entry(config > sync_state.config)
+                .or_default()
+                .push(entry);
             let differing = own.differing(&sync_state.servers);
             let non_empty = sync_state.servers.non_empty();
             let by_section = self.buckets_by_section(differing, non_empty);
@@ -363,7 +383,10 @@
             self.push(Recipients::Only(entries), state);
         }
         for (buckets, entries) in by_buckets {
-            let servers = self.directory.announcements_in_buckets(self.now, buckets).collect();
+            let servers = self
+                .directory
+                .announcements_in_buckets(self.now, buckets)
+                .collect();
             self.push_servers(&Recipients::Only(entries), servers);
         }
         for (buckets, entries) in by_sections.into_iter().filter(|(p, _)| !p.is_empty()) {
@@ -381,7 +404,10 @@
 
     /// Sends an entry the backend servers in some sections of the directory.
     pub(super) fn send_sections(&mut self, entry: EntryId, sections: &[Section]) {
-        let servers = self.directory.announcements_in_sections(self.now, sections).collect();
+        let servers = self
+            .directory
+            .announcements_in_sections(self.now, sections)
+            .collect();
         self.push_servers(&Recipients::Only(vec![entry]), servers);
     }
 
@@ -396,21 +422,31 @@
     fn request_buckets(&mut self, entry: EntryId, differing: BucketSet, non_empty: BucketSet) {
         let (buckets, _) = self.claim_buckets(differing, non_empty);
         if !buckets.is_empty() {
-            self.push(Recipients::Only(vec![entry]), ToEntry::RequestBuckets(buckets));
+            self.push(
+                Recipients::Only(vec![entry]),
+                ToEntry::RequestBuckets(buckets),
+            );
         }
     }
 
     /// Returns the buckets to request from a process now, among those that differ and that
     /// are not empty there, and whether others were left out because another process has
     /// just been asked for them.
-    pub(super) fn claim_buckets(&mut self, differing: BucketSet, non_empty: BucketSet) -> (BucketSet, bool) {
+    pub(super) fn claim_buckets(
+        &mut self,
+        differing: BucketSet,
+        non_empty: BucketSet,
+    ) -> (BucketSet, bool) {
         let next_pull_at = &mut self.publisher.next_pull_at;
         let now = self.now;
         let is_due = |n: &usize| next_pull_at.get(n).is_none_or(|at| now >= *at);
         let candidates = differing.intersection(non_empty).iter();
         let (requested, postponed): (Vec<usize>, Vec<usize>) = candidates.partition(is_due);
         next_pull_at.extend(requested.iter().map(|&n| (n, now + PULL_RETRY_DELAY)));
-        (BucketSet::from_numbers(requested.into_iter()), !postponed.is_empty())
+        (
+            BucketSet::from_numbers(requested.into_iter()),
+            !postponed.is_empty(),
+        )
     }
 
     fn publish_announcements(&mut self) {
@@ -433,7 +469,10 @@
     /// Records retained sessions and forwards them to followers.
     fn retain_sessions(&mut self, sessions: &RetainedSessions) {
         self.rollout_monitor.retain_sessions(sessions);
-        self.push(self.publisher.followers(), ToEntry::RetainedSessions(sessions.clone(), false));
+        self.push(
+            self.publisher.followers(),
+            ToEntry::RetainedSessions(sessions.clone(), false),
+        );
     }
 
     /// Builds the message with the replicated state.
--- a/sesamebeam_core/src/gateway/coordinator/requests.rs
+++ b/sesamebeam_core/src/gateway/coordinator/requests.rs
@@ -17,8 +17,8 @@
         config::ServiceId,
         directory::{
             Announcement,
-            StartTime,
             ServerId, //
+            StartTime,
         },
         rollout::Rollout,
         store::{
@@ -255,7 +255,8 @@
 
     fn add_pending(&mut self, ticket: Ticket, request: ApiRequest) {
         let deadline = self.now + self.cfg.request_timeout;
-        self.pending_requests.insert(ticket, PendingRequest { request, deadline });
+        self.pending_requests
+            .insert(ticket, PendingRequest { request, deadline });
     }
 
     fn respond(&mut self, ticket: Ticket, response: ApiResponse) {
--- a/sesamebeam_core/src/gateway/coordinator/rollout_monitor.rs
+++ b/sesamebeam_core/src/gateway/coordinator/rollout_monitor.rs
@@ -15,9 +15,9 @@
     gateway::{
         config::ServiceId,
         messages::{
-            RolloutAge,
             Evidence,
             RetainedSessions, //
+            RolloutAge,
         },
         rollout::{
             Rollouts,
@@ -49,7 +49,8 @@
             rollouts.get(service).is_some_and(|r| r.target == *target)
         });
         let watched = &self.watched;
-        self.retained_sessions.retain(|key, _| watched.contains_key(key));
+        self.retained_sessions
+            .retain(|key, _| watched.contains_key(key));
         for (service, rollout) in rollouts {
             let key = (service.clone(), rollout.target.clone());
             if !self.watched.contains_key(&key) {
@@ -92,7 +93,12 @@
     /// active when it started have been reported.
     pub(super) fn retained_sessions(&self, now: MonoTime) -> Vec<(RetainedSessions, bool)> {
         let retained_of = |(key, watch): (&(ServiceId, SmolStr), &Watch)| {
-            let sessions = self.retained_sessions.get(key).into_iter().flatten().copied();
+            let sessions = self
+                .retained_sessions
+                .get(key)
+                .into_iter()
+                .flatten()
+                .copied();
             let retained = RetainedSessions {
                 service: key.0.clone(),
                 target: key.1.clone(),
--- a/sesamebeam_core/src/gateway/digests.rs
+++ b/sesamebeam_core/src/gateway/digests.rs
@@ -106,7 +106,10 @@
         return 0;
     }
     let (incarnation, state) = (&server.incarnation, server.state as u8);
-    let contents = format!("{} {} {state} {}", incarnation.id, incarnation.started_at, server.version);
+    let contents = format!(
+        "{} {} {state} {}",
+        incarnation.id, incarnation.started_at, server.version
+    );
     hash::name(contents.as_bytes()) as u32
 }
 
--- a/sesamebeam_core/src/gateway/directory.rs
+++ b/sesamebeam_core/src/gateway/directory.rs
@@ -28,10 +28,10 @@
     config::ServiceId,
     digests::{
         self,
-        Digests,
-        SectionDigests,
         BucketSet,
+        Digests,
         Section, //
+        SectionDigests,
     },
     loads::ServerKey, //
 };
@@ -144,9 +144,17 @@
     ///
     /// `service_exists` tells whether the service is a known one. An announcement by a
     /// third party for a service that nobody provides must not end a working incarnation.
-    pub fn merge(&mut self, now: MonoTime, announcement: Announcement, service_exists: bool) -> bool {
+    pub fn merge(
+        &mut self,
+        now: MonoTime,
+        announcement: Announcement,
+        service_exists: bool,
+    ) -> bool {
         self.examined += 1;
-        let started_at = self.servers.get(&announcement.id).map(|record| record.announcement.started_at);
+        let started_at = self
+            .servers
+            .get(&announcement.id)
+            .map(|record| record.announcement.started_at);
         match started_at {
             Some(started_at) if announcement.started_at < started_at => return false,
             Some(started_at) if announcement.started_at == started_at => {
@@ -184,7 +192,12 @@
     }
 
     /// Marks a backend server as gone, identified by its id and optionally its start time.
-    pub fn mark_gone(&mut self, now: MonoTime, id: &str, started_at: Option<StartTime>) -> Option<Announcement> {
+    pub fn mark_gone(
+        &mut self,
+        now: MonoTime,
+        id: &str,
+        started_at: Option<StartTime>,
+    ) -> Option<Announcement> {
         let record = self.servers.get(id)?;
         if started_at.is_some_and(|started_at| started_at != record.announcement.started_at) {
             return None;
@@ -213,7 +226,11 @@
 
     /// Iterates over current announcements of the backend servers in some buckets,
     /// including those that are gone.
-    pub fn announcements_in_buckets(&self, now: MonoTime, buckets: BucketSet) -> impl Iterator<Item = Announcement> {
+    pub fn announcements_in_buckets(
+        &self,
+        now: MonoTime,
+        buckets: BucketSet,
+    ) -> impl Iterator<Item = Announcement> {
         let keys = buckets.iter().map(digests::bucket_keys);
         let records = keys.flat_map(|keys| self.with_keys(keys));
         records.map(move |record| record.to_announcement(now))
@@ -238,7 +255,10 @@
 
     /// Returns the section digests of some buckets.
     pub fn section_digests(&self, buckets: BucketSet) -> Vec<SectionDigests> {
-        buckets.iter().map(|bucket| self.digests_of_bucket(bucket)).collect()
+        buckets
+            .iter()
+            .map(|bucket| self.digests_of_bucket(bucket))
+            .collect()
     }
 
     /// Returns the sections that differ from those of another directory.
@@ -258,7 +278,9 @@
     /// Iterates over current announcements of all backend servers, including those that are
     /// gone.
     pub fn announcements(&self, now: MonoTime) -> impl Iterator<Item = Announcement> + '_ {
-        self.servers.values().map(move |record| record.to_announcement(now))
+        self.servers
+            .values()
+            .map(move |record| record.to_announcement(now))
     }
 
     /// Iterates over all known backend servers, including those that are gone.
@@ -394,9 +416,11 @@
     /// anything new. The service and address of an incarnation never change; an
     /// announcement that differs in them was not made by the server itself.
     fn update(&mut self, now: MonoTime, announcement: Announcement) -> bool {
-        let is_older = announcement.sequence <= self.announcement.sequence && announcement.state <= self.announcement.state;
+        let is_older = announcement.sequence <= self.announcement.sequence
+            && announcement.state <= self.announcement.state;
         let has_moved = announcement.state != ServerState::Gone
-            && (&announcement.service, announcement.addr) != (&self.announcement.service, self.announcement.addr);
+            && (&announcement.service, announcement.addr)
+                != (&self.announcement.service, self.announcement.addr);
         if self.announcement.state == ServerState::Gone || is_older || has_moved {
             return false;
         }
--- a/sesamebeam_core/src/gateway/directory/index.rs
+++ b/sesamebeam_core/src/gateway/directory/index.rs
@@ -14,9 +14,9 @@
 use smol_str::SmolStr;
 
 use super::{
-    ServerRecord,
-    ServerIncarnation,
     ServerId,
+    ServerIncarnation,
+    ServerRecord,
     ServerState, //
 };
 use crate::{
@@ -98,7 +98,10 @@
     /// Its width changes in powers of two, so that processes whose directories differ by a
     /// few backend servers use the same range.
     pub fn new(from: ServerKey, max_servers: usize, total: usize) -> Self {
-        let window_count = total.div_ceil(max_servers.max(1)).max(1).next_power_of_two();
+        let window_count = total
+            .div_ceil(max_servers.max(1))
+            .max(1)
+            .next_power_of_two();
         match window_count {
             1 => Self::ALL,
             _ => Self {
@@ -165,7 +168,10 @@
 impl Index {
     pub(super) fn insert(&mut self, indexed: &IndexedServer) {
         self.by_key.insert(indexed.member());
-        *self.server_counts.entry(indexed.service.clone()).or_default() += 1;
+        *self
+            .server_counts
+            .entry(indexed.service.clone())
+            .or_default() += 1;
         if let Some(at) = indexed.gone_at {
             self.gone.insert((at, indexed.incarnation.id.clone()));
             return;
@@ -226,7 +232,10 @@
     }
 
     /// Iterates over the groups of a service.
-    pub(super) fn groups<'a>(&'a self, service: &str) -> impl Iterator<Item = ServerGroup<'a>> + use<'a> {
+    pub(super) fn groups<'a>(
+        &'a self,
+        service: &str,
+    ) -> impl Iterator<Item = ServerGroup<'a>> + use<'a> {
         let groups = self.ready.get(service).into_iter().flatten();
         groups.map(|((domain, version), members)| ServerGroup {
             domain,
--- a/sesamebeam_core/src/gateway/messages.rs
+++ b/sesamebeam_core/src/gateway/messages.rs
@@ -26,10 +26,10 @@
         ServiceId, //
     },
     digests::{
-        Digests,
-        SectionDigests,
         BucketSet,
+        Digests,
         Section, //
+        SectionDigests,
     },
     directory::{
         Announcement,
@@ -232,7 +232,11 @@
 }
 
 /// Merges adjacent items with the same key into the first of them.
-fn merge_adjacent<T, K: PartialEq>(sorted: &mut Vec<T>, key: impl Fn(&T) -> K, add: impl Fn(&mut T, &T)) {
+fn merge_adjacent<T, K: PartialEq>(
+    sorted: &mut Vec<T>,
+    key: impl Fn(&T) -> K,
+    add: impl Fn(&mut T, &T),
+) {
     sorted.dedup_by(|later, first| {
         let same = key(later) == key(first);
         if same {
--- a/sesamebeam_core/src/gateway/router.rs
+++ b/sesamebeam_core/src/gateway/router.rs
@@ -41,18 +41,18 @@
     },
     directory::{
         Announcement,
-        StartTime,
         Directory,
-        ServerRecord,
-        ServerIncarnation,
         ServerId, //
+        ServerIncarnation,
+        ServerRecord,
+        StartTime,
     },
+    lengths::Lengths,
+    limits::Limits,
     messages::{
-        RolloutAge,
         RetainedSessions, //
+        RolloutAge,
     },
-    lengths::Lengths,
-    limits::Limits,
     reading::ReadingTimes,
     request::{
         AnswerHead,
--- a/sesamebeam_core/src/gateway/router/choosing.rs
+++ b/sesamebeam_core/src/gateway/router/choosing.rs
@@ -16,8 +16,8 @@
         config::ColdConfig,
         directory::{
             ServerGroup,
-            ServerRecord,
             ServerId,
+            ServerRecord,
             Window, //
         },
         loads::ServerKey,
@@ -163,7 +163,10 @@
 
     /// Iterates over the backend servers of a service that take work, in failure
     /// domains that are not evacuated.
-    pub(super) fn open<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a ServerRecord> + 'a {
+    pub(super) fn open<'a>(
+        &'a self,
+        service: &'a str,
+    ) -> impl Iterator<Item = &'a ServerRecord> + 'a {
         let groups = self.open_groups(service);
         groups.flat_map(|g| self.directory.members(&g, Window::ALL))
     }
@@ -224,7 +227,9 @@
         };
         let is_cold = |k: &ServerRecord| self.cold.is_cold(now, k, Some(limits));
         let has_turn = |k: &&ServerRecord| {
-            is_cold(k) && !tried.contains(&k.announcement.id) && self.cold.has_turn(now, &k.announcement.id, limits)
+            is_cold(k)
+                && !tried.contains(&k.announcement.id)
+                && self.cold.has_turn(now, &k.announcement.id, limits)
         };
         if !fit.iter().any(|k| is_cold(k)) {
             return;
--- a/sesamebeam_core/src/gateway/router/exchange.rs
+++ b/sesamebeam_core/src/gateway/router/exchange.rs
@@ -4,14 +4,14 @@
 use crate::{
     gateway::{
         directory::ServerId,
+        limits::LimitOf,
+        loads::LoadOf,
         messages::{
             Evidence,
-            SyncState,
             Report,
+            SyncState,
             UnreachableServer, //
         },
-        limits::LimitOf,
-        loads::LoadOf,
         pool::Doubt,
         rollout::Phase,
         shortage::ShareOf,
@@ -77,7 +77,11 @@
     /// Notes backend servers that other entries could not reach just now.
     pub fn told_unreached(&mut self, now: MonoTime, told: &[UnreachableServer]) {
         for unreached in told.iter().filter(|u| u.from == self.cfg.domain) {
-            for said in self.directory.with_key(unreached.server).map(|k| &k.announcement) {
+            for said in self
+                .directory
+                .with_key(unreached.server)
+                .map(|k| &k.announcement)
+            {
                 self.balance
                     .told_unreached(now, &said.id, &said.domain, unreached.is_down);
             }
--- a/sesamebeam_core/src/gateway/router/trial.rs
+++ b/sesamebeam_core/src/gateway/router/trial.rs
@@ -8,8 +8,8 @@
     gateway::{
         config::ServiceId,
         directory::{
-            ServerRecord,
             ServerId, //
+            ServerRecord,
         },
         rollout::{
             Allowed,
@@ -43,7 +43,10 @@
         let few = self.few_on_trial(self.count_before(&plan.service));
         fit.retain(|k| !tried.contains(&k.announcement.id));
         fit.sort_by_key(|k| {
-            std::cmp::Reverse(hash::rendezvous(&k.announcement.version, k.announcement.id.as_bytes()))
+            std::cmp::Reverse(hash::rendezvous(
+                &k.announcement.version,
+                k.announcement.id.as_bytes(),
+            ))
         });
         fit.truncate(few);
     }
--- a/sesamebeam_core/src/gateway/sessions.rs
+++ b/sesamebeam_core/src/gateway/sessions.rs
@@ -21,8 +21,8 @@
 use super::{
     config::ServiceId,
     messages::{
-        RolloutAge,
         RetainedSessions, //
+        RolloutAge,
     },
 };
 use crate::{
--- a/sesamebeam_core/tests/gateway/backoff.rs
+++ b/sesamebeam_core/tests/gateway/backoff.rs
@@ -24,9 +24,9 @@
 use crate::fixtures::{
     announcement,
     choice,
-    router_of_entry,
     ms,
     plan,
+    router_of_entry,
     send, //
 };
 
--- a/sesamebeam_core/tests/gateway/balance.rs
+++ b/sesamebeam_core/tests/gateway/balance.rs
@@ -321,7 +321,10 @@
     assert_eq!(tries, 1, "{later:?}");
     let tried = servers.iter().find(|k| k.announcement.domain == "hall-2");
     let tried = tried.expect("there is one").announcement.id.clone();
-    let only: Vec<&ServerRecord> = servers.iter().filter(|k| k.announcement.id == tried).collect();
+    let only: Vec<&ServerRecord> = servers
+        .iter()
+        .filter(|k| k.announcement.id == tried)
+        .collect();
     balance.choose(ms(801), &only, &NEED).expect("there is one");
     balance.heard(ms(802), &tried, None);
     let healed: Vec<u64> = (803..900).collect();
@@ -343,7 +346,10 @@
         let chosen = balance.choose(ms(0), &far, &NEED).expect("there is one");
         let id = chosen.announcement.id.clone();
         balance.finished(ms(0), &id, Outcome::Unreachable);
-        let other = far.iter().find(|k| k.announcement.id != id).expect("another");
+        let other = far
+            .iter()
+            .find(|k| k.announcement.id != id)
+            .expect("another");
         balance
             .choose(ms(0), &[other], &NEED)
             .expect("there is one");
--- a/sesamebeam_core/tests/gateway/cold.rs
+++ b/sesamebeam_core/tests/gateway/cold.rs
@@ -232,6 +232,9 @@
     assert!(directory.merge(ms(2400), say(3, 2600), true));
     assert!(!directory.merge(ms(3700), say(4, 1400), true));
     assert!(!directory.merge(ms(4800), say(5, 200), true));
-    let told: Vec<_> = directory.announcements(ms(4900)).map(|said| said.cold).collect();
+    let told: Vec<_> = directory
+        .announcements(ms(4900))
+        .map(|said| said.cold)
+        .collect();
     assert_eq!(told, [ms(100)]);
 }
--- a/sesamebeam_core/tests/gateway/digests.rs
+++ b/sesamebeam_core/tests/gateway/digests.rs
@@ -16,14 +16,14 @@
 
 fn directory(servers: impl IntoIterator<Item = Announcement>) -> Directory {
     let mut directory = Directory::default();
-    for said in servers {
-        directory.merge(ms(0), said, true);
+    for server in servers {
+        directory.merge(ms(0), server, true);
     }
     directory
 }
 
 #[test]
-fn order_says_nothing() {
+fn independent_of_order() {
     let one = directory((0..200).map(announcement));
     let other = directory((0..200).rev().map(announcement));
     assert_eq!(one.digests(), other.digests());
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn one_differs() {
+fn one_server_differs() {
     // One of 200 backend servers starts to drain. Only its bucket differs, which holds few
     // others.
     let before = directory((0..200).map(announcement));
@@ -42,12 +42,14 @@
     assert!(after.merge(ms(1), leaving, true));
     let differing = after.digests().differing(before.digests());
     assert!(differing.contains_server(&"server-7".into()));
-    let told = before.all().filter(|k| differing.contains_server(&k.announcement.id));
-    assert!(told.count() < 12);
+    let sent = before
+        .all()
+        .filter(|k| differing.contains_server(&k.announcement.id));
+    assert!(sent.count() < 12);
 }
 
 #[test]
-fn heartbeat_changes_nothing() {
+fn unchanged_by_heartbeat() {
     let mut directory = directory([announcement(7)]);
     let before = directory.digests().clone();
     let mut again = announcement(7);
@@ -57,10 +59,10 @@
 }
 
 #[test]
-fn gone_or_forgotten() {
+fn gone_equals_forgotten() {
     // A process that remembers that a backend server is gone has the same digests as one
     // that has forgotten it.
-    let mut left = directory([announcement(7)]);
-    assert!(left.mark_gone(ms(1), "server-7", None).is_some());
-    assert_eq!(left.digests(), &Digests::default());
+    let mut with_gone = directory([announcement(7)]);
+    assert!(with_gone.mark_gone(ms(1), "server-7", None).is_some());
+    assert_eq!(with_gone.digests(), &Digests::default());
 }
--- a/sesamebeam_core/tests/gateway/evacuations.rs
+++ b/sesamebeam_core/tests/gateway/evacuations.rs
@@ -6,8 +6,8 @@
     gateway::{
         balance::Outcome,
         coordinator::{
-            ApiResponse,
             ApiRequest,
+            ApiResponse,
             Event, //
         },
         directory::ServerId,
@@ -38,13 +38,13 @@
 use yare::parameterized;
 
 use crate::{
-    group::Group,
     fixtures::{
         announcement,
         head,
         ms,
         router, //
     },
+    group::Group,
 };
 
 /// Longest time in which an order is acknowledged while a majority of the replicas
@@ -180,7 +180,10 @@
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     assert_eq!(group.request(leader, readmit("hall-1")), ApiResponse::Done);
-    assert_eq!(group.request(leader, evacuate("nowhere")), ApiResponse::Done);
+    assert_eq!(
+        group.request(leader, evacuate("nowhere")),
+        ApiResponse::Done
+    );
     assert_eq!(evacuated(&group, leader), ["nowhere"]);
 }
 
--- a/sesamebeam_core/tests/gateway/fixtures.rs
+++ b/sesamebeam_core/tests/gateway/fixtures.rs
@@ -205,7 +205,7 @@
 pub(crate) fn plan(router: &mut Router, now: MonoTime, id: &str) -> Plan {
     let mut head = head(id);
     head.prompt.clear();
-    router.admit(now, &head).expect("it is admitted")
+    router.admit(now, &head).expect("the request is admitted")
 }
 
 /// Sends a request that shares no prompt and receives its response immediately.
@@ -218,12 +218,12 @@
 
 /// Returns the choice of an announced backend server.
 pub(crate) fn choice(number: u8) -> Choice {
-    let said = announcement(number);
+    let server = announcement(number);
     Choice {
-        id: said.id,
-        born: said.started_at,
-        addr: said.addr,
-        version: said.version,
+        id: server.id,
+        born: server.started_at,
+        addr: server.addr,
+        version: server.version,
         reading: ms(0),
         candidates: 1,
     }
--- a/sesamebeam_core/tests/gateway/group.rs
+++ b/sesamebeam_core/tests/gateway/group.rs
@@ -14,16 +14,16 @@
     gateway::{
         coordinator::{
             Action,
-            ApiResponse,
             ApiRequest,
+            ApiResponse,
             Coordinator,
             CoordinatorConfig,
             Event, //
         },
         messages::{
             CoordinatorMessage,
-            MembershipRequest,
             MembershipReply,
+            MembershipRequest,
             ToEntry, //
         },
     },
@@ -143,7 +143,10 @@
         let known: Vec<_> = known.flat_map(|peers| peers.all()).collect();
         self.start_empty(node);
         let now = self.now;
-        let process = self.processes.get_mut(&node).expect("it was started");
+        let process = self
+            .processes
+            .get_mut(&node)
+            .expect("the process was started");
         process.disk = disk.clone();
         // Whichever process it asks to join tells it the members.
         process.core.learn_peers(known);
@@ -176,7 +179,10 @@
 
     /// Stops a process and returns its disk.
     pub(crate) fn kill(&mut self, node: NodeId) -> Saved {
-        let process = self.processes.remove(&node).expect("it runs");
+        let process = self
+            .processes
+            .remove(&node)
+            .expect("the process is running");
         process.disk
     }
 
@@ -217,23 +223,27 @@
     }
 
     /// Sends a request to a replica and returns its ticket.
-    pub(crate) fn send_request(&mut self, node: NodeId, call: ApiRequest) -> u64 {
+    pub(crate) fn send_request(&mut self, node: NodeId, request: ApiRequest) -> u64 {
         let ticket = self.ticket();
-        self.event(node, Event::RequestReceived(ticket, call));
+        self.event(node, Event::RequestReceived(ticket, request));
         ticket
     }
 
     /// Sends a request to a replica and waits for the response.
-    pub(crate) fn request(&mut self, node: NodeId, call: ApiRequest) -> ApiResponse {
-        let ticket = self.send_request(node, call);
+    pub(crate) fn request(&mut self, node: NodeId, request: ApiRequest) -> ApiResponse {
+        let ticket = self.send_request(node, request);
         self.run_until(|g| g.answers.contains_key(&ticket));
         self.answers[&ticket].clone()
     }
 
     /// Sends a membership request to a replica and returns the reply.
-    pub(crate) fn request_membership(&mut self, node: NodeId, question: MembershipRequest) -> MembershipReply {
+    pub(crate) fn request_membership(
+        &mut self,
+        node: NodeId,
+        request: MembershipRequest,
+    ) -> MembershipReply {
         let ticket = self.ticket();
-        self.event(node, Event::MembershipRequested(ticket, question));
+        self.event(node, Event::MembershipRequested(ticket, request));
         self.replies[&ticket].clone()
     }
 
@@ -318,7 +328,8 @@
                 // Processes are only connected to members of the group.
                 Action::Send { to, .. } if !self.is_connected(node, to) => {}
                 Action::Send { to, message } => {
-                    self.in_flight.push_back((self.now + DELIVERY_DELAY, node, to, message));
+                    self.in_flight
+                        .push_back((self.now + DELIVERY_DELAY, node, to, message));
                 }
                 Action::Write { write, ops } => {
                     let at = self.now + DELIVERY_DELAY;
@@ -326,7 +337,9 @@
                         process.writes.push_back((at, write, ops));
                     }
                 }
-                Action::SendMembershipRequest { to, request: told } => self.membership_requests.push_back((to, told)),
+                Action::SendMembershipRequest { to, request } => {
+                    self.membership_requests.push_back((to, request))
+                }
                 Action::ReplyMembership(ticket, reply) => {
                     self.replies.insert(ticket, reply);
                 }
@@ -334,7 +347,10 @@
                     self.answers.insert(ticket, answer);
                 }
                 Action::Push(_, push) => self.pushed.push((node, push)),
-                Action::SetSummary(_) | Action::SaveServers(_) | Action::Peers(_) | Action::Log(_) => {}
+                Action::SetSummary(_)
+                | Action::SaveServers(_)
+                | Action::Peers(_)
+                | Action::Log(_) => {}
             }
         }
     }
--- a/sesamebeam_core/tests/gateway/joining.rs
+++ b/sesamebeam_core/tests/gateway/joining.rs
@@ -5,8 +5,8 @@
 use sesamebeam_core::{
     gateway::{
         coordinator::{
-            ApiResponse,
             ApiRequest,
+            ApiResponse,
             Event, //
         },
         directory::{
@@ -15,8 +15,8 @@
         },
         leader_discovery::LeaderDiscovery,
         messages::{
-            MembershipRequest,
             MembershipReply, //
+            MembershipRequest,
         },
         store::Document,
     },
@@ -30,15 +30,15 @@
 use yare::parameterized;
 
 use crate::{
-    group::{
-        Group,
-        listen_addr, //
-    },
     fixtures::{
         announcement,
         leave_request,
         ms, //
     },
+    group::{
+        Group,
+        listen_addr, //
+    },
 };
 
 fn draining() -> Announcement {
@@ -75,22 +75,24 @@
             return;
         }
     }
-    panic!("process {node} got no place");
+    panic!("process {node} was not admitted");
 }
 
 #[test]
-fn another_address() {
+fn replacement_at_another_address() {
     // A replica is lost permanently and an empty process starts at another address. It
     // replaces the silent replica, and the group survives one more failure.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     assert_eq!(group.request(leader, apply(1)), ApiResponse::Done);
-    let gone = (1..=3).find(|&n| n != leader).expect("there are three");
+    let gone = (1..=3)
+        .find(|&n| n != leader)
+        .expect("there are three replicas");
     group.kill(gone);
     join(&mut group, 8, 8);
     let other = (1..=3)
         .find(|&n| n != leader && n != gone)
-        .expect("one more");
+        .expect("a third replica");
     group.kill(other);
     let leader = group.new_leader(None);
     assert_eq!(group.request(leader, apply(2)), ApiResponse::Done);
@@ -107,36 +109,41 @@
     group.kill(leader);
     join(&mut group, 7, leader);
     let other = (1..=3).find(|&n| n != leader && group.leader() != Some(n));
-    group.kill(other.expect("one more"));
+    group.kill(other.expect("a third replica"));
     let leader = group.new_leader(None);
-    let answer = group.request(leader, ApiRequest::ReadConfig);
-    assert_eq!(answer, ApiResponse::Config("text 1".into()));
+    let response = group.request(leader, ApiRequest::ReadConfig);
+    assert_eq!(response, ApiResponse::Config("text 1".into()));
 }
 
 #[test]
-fn reserve_waits() {
+fn standby_waits_for_a_vacancy() {
     // A process asks to join while all replicas are alive. It is admitted only after one of
     // them has been silent for long enough.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     group.run(500);
-    let question = MembershipRequest::Join {
+    let request = MembershipRequest::Join {
         node: 8,
         incarnation: 8,
         addr: listen_addr(8),
         domain: "hall-8".into(),
     };
     group.boot(8, Members::default(), Saved::default());
-    let reply = group.request_membership(leader, question.clone());
+    let reply = group.request_membership(leader, request.clone());
     assert!(
         matches!(reply, MembershipReply::Group { leads: true, .. }),
         "{reply:?}"
     );
-    let gone = (1..=3).find(|&n| n != leader).expect("there are three");
+    let gone = (1..=3)
+        .find(|&n| n != leader)
+        .expect("there are three replicas");
     group.kill(gone);
     group.run(2500);
     let leader = group.new_leader(None);
-    assert_eq!(group.request_membership(leader, question), MembershipReply::Joining);
+    assert_eq!(
+        group.request_membership(leader, request),
+        MembershipReply::Joining
+    );
 }
 
 #[test]
@@ -157,24 +164,24 @@
 
 /// Makes processes send join requests every 300 ms until there are five voters. They send
 /// them simultaneously or spread over the interval.
-fn ask(group: &mut Group, asking: &[(NodeId, &str)], at_once: bool) {
-    for &(node, _) in asking {
+fn request_until_full(group: &mut Group, candidates: &[(NodeId, &str)], at_once: bool) {
+    for &(node, _) in candidates {
         if !group.processes.contains_key(&node) {
             group.boot(node, Members::default(), Saved::default());
         }
     }
     for round in 0..20 {
-        for &(node, domain) in asking {
+        for &(node, domain) in candidates {
             let leader = group.new_leader(None);
-            let question = MembershipRequest::Join {
+            let request = MembershipRequest::Join {
                 node,
                 incarnation: u128::from(node),
                 addr: listen_addr(node),
                 domain: domain.into(),
             };
-            group.request_membership(leader, question);
+            group.request_membership(leader, request);
             if !at_once {
-                group.run(300 / asking.len() as u64);
+                group.run(300 / candidates.len() as u64);
             }
         }
         if at_once {
@@ -184,14 +191,14 @@
         if group.processes[&leader].core.peers().addrs().len() == 5 {
             return;
         }
-        assert!(round < 19, "no five voters");
+        assert!(round < 19, "there are not five voters yet");
     }
 }
 
 /// Returns which of the processes that asked are members.
-fn placed(group: &Group, asking: &[(NodeId, &str)]) -> Vec<NodeId> {
-    let asked = asking.iter().map(|&(node, _)| node);
-    asked
+fn admitted(group: &Group, candidates: &[(NodeId, &str)]) -> Vec<NodeId> {
+    let requests = candidates.iter().map(|&(node, _)| node);
+    requests
         .filter(|node| group.processes[node].core.is_member())
         .collect()
 }
@@ -207,16 +214,16 @@
         }
     }
     group.run(100);
-    let asking = [
+    let candidates = [
         (10, "hall-1"),
         (11, "hall-1"),
         (12, "hall-1"),
         (14, "hall-4"),
         (15, "hall-5"),
     ];
-    ask(&mut group, &asking, false);
+    request_until_full(&mut group, &candidates, false);
     group.run(1_000);
-    assert_eq!(placed(&group, &asking), [14, 15]);
+    assert_eq!(admitted(&group, &candidates), [14, 15]);
 }
 
 #[parameterized(
@@ -225,111 +232,119 @@
     leaves = { leave_request("server-7") },
     drains = { ApiRequest::Announce(draining()) },
 )]
-fn reserve_names_the_leader(call: ApiRequest) {
+fn standby_redirects_to_the_leader(request: ApiRequest) {
     // Callers of a standby process must be redirected to the leader, not rejected without a
     // hint.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     group.boot(8, Members::default(), Saved::default());
-    assert_eq!(group.request(8, call.clone()), ApiResponse::Unavailable);
+    assert_eq!(group.request(8, request.clone()), ApiResponse::Unavailable);
     let now = group.now;
-    let reserve = group.processes.get_mut(&8).expect("it runs");
-    reserve.core.learn_leader(now, listen_addr(leader));
-    assert_eq!(group.request(8, call.clone()), ApiResponse::Leader(listen_addr(leader)));
+    let standby = group.processes.get_mut(&8).expect("the process is running");
+    standby.core.learn_leader(now, listen_addr(leader));
+    assert_eq!(
+        group.request(8, request.clone()),
+        ApiResponse::Leader(listen_addr(leader))
+    );
     // The leader may have changed by now.
     group.run(1_500);
-    assert_eq!(group.request(8, call), ApiResponse::Unavailable);
+    assert_eq!(group.request(8, request), ApiResponse::Unavailable);
 }
 
 #[parameterized(two = { 2 }, fleet = { 20 }, two_fleets = { 45 })]
-fn reserves_ask_the_leader(reserves: usize) {
+fn standbys_ask_only_the_leader(standbys: usize) {
     // A standby process must not ask every replica and seed in every round.
     let replicas: BTreeSet<_> = (1..=8).map(listen_addr).collect();
-    let mut enquiries = vec![LeaderDiscovery::default(); reserves];
+    let mut discoveries = vec![LeaderDiscovery::default(); standbys];
     let mut round = |leader: Option<NodeId>| {
-        let mut asked = 0;
-        for enquiry in &mut enquiries {
-            for addr in enquiry.targets(replicas.clone()) {
-                asked += 1;
+        let mut requests = 0;
+        for discovery in &mut discoveries {
+            for addr in discovery.targets(replicas.clone()) {
+                requests += 1;
                 let is_up = leader != Some(1) || addr != listen_addr(2);
                 let leads = leader.map(|node| addr == listen_addr(node));
-                enquiry.record_reply(addr, leads.filter(|_| is_up));
+                discovery.record_reply(addr, leads.filter(|_| is_up));
             }
         }
-        asked
+        requests
     };
-    assert_eq!(round(Some(2)), 8 * reserves);
-    assert_eq!(round(Some(2)), reserves);
+    assert_eq!(round(Some(2)), 8 * standbys);
+    assert_eq!(round(Some(2)), standbys);
     // The leader is lost, and another one is found.
-    assert_eq!(round(Some(1)), reserves);
-    assert_eq!(round(Some(1)), 8 * reserves);
-    assert_eq!(round(Some(1)), reserves);
+    assert_eq!(round(Some(1)), standbys);
+    assert_eq!(round(Some(1)), 8 * standbys);
+    assert_eq!(round(Some(1)), standbys);
 }
 
 #[test]
-fn slow_to_join() {
+fn slow_join() {
     // While one process is still joining, another one from the same failure domain must not
     // be admitted in its place.
     let mut group = Group::start(3, 2);
     let leader = group.new_leader(None);
     group.run(100);
-    let asking = [(20, "hall-4"), (21, "hall-4"), (30, "hall-5")];
+    let candidates = [(20, "hall-4"), (21, "hall-4"), (30, "hall-5")];
     group.boot(20, Members::default(), Saved::default());
     group.isolate(20);
-    let question = MembershipRequest::Join {
+    let request = MembershipRequest::Join {
         node: 20,
         incarnation: 20,
         addr: listen_addr(20),
         domain: "hall-4".into(),
     };
-    group.request_membership(leader, question);
+    group.request_membership(leader, request);
     group.run(300);
     group.heal();
-    ask(&mut group, &asking, true);
+    request_until_full(&mut group, &candidates, true);
     group.run(1_000);
-    assert_eq!(placed(&group, &asking), [20, 30]);
+    assert_eq!(admitted(&group, &candidates), [20, 30]);
 }
 
 #[test]
-fn one_domain_asks() {
+fn vacancies_filled_from_one_domain() {
     // Vacancies that only one failure domain asks for must still be filled.
     let mut group = Group::start(3, 2);
     group.new_leader(None);
-    let asking = [(10, "hall-1"), (11, "hall-1")];
-    ask(&mut group, &asking, false);
+    let candidates = [(10, "hall-1"), (11, "hall-1")];
+    request_until_full(&mut group, &candidates, false);
     group.run(1_000);
-    assert_eq!(placed(&group, &asking), [10, 11]);
+    assert_eq!(admitted(&group, &candidates), [10, 11]);
 }
 
 #[test]
-fn replaced_while_away() {
+fn replaced_while_down() {
     // A replica is away for so long that a standby process replaces it. When it returns, it
     // is told so, leaves the group, and becomes a standby itself under another id.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     assert_eq!(group.request(leader, apply(1)), ApiResponse::Done);
-    let away = (1..=3).find(|&n| n != leader).expect("there are three");
-    let disk = group.kill(away);
+    let stopped = (1..=3)
+        .find(|&n| n != leader)
+        .expect("there are three replicas");
+    let disk = group.kill(stopped);
     join(&mut group, 8, 8);
-    group.restart(away, disk);
+    group.restart(stopped, disk);
     group.run(1000);
     let leader = group.new_leader(None);
     let MembershipReply::Group {
         replicas, leads, ..
     } = group.request_membership(leader, MembershipRequest::Group)
     else {
-        panic!("there is a group");
+        panic!("the group exists");
     };
-    assert!(leads && replicas.iter().all(|(n, _)| *n != away));
-    let process = group.processes.get_mut(&away).expect("it runs");
+    assert!(leads && replicas.iter().all(|(n, _)| *n != stopped));
+    let process = group
+        .processes
+        .get_mut(&stopped)
+        .expect("the process is running");
     process.core.leave();
     assert!(!process.core.is_member());
     assert_eq!(process.core.store().config(), None);
-    group.kill(away);
-    let other = (1..=3).find(|&n| n != leader && n != away);
-    group.kill(other.expect("one more"));
-    join(&mut group, 9, away);
+    group.kill(stopped);
+    let other = (1..=3).find(|&n| n != leader && n != stopped);
+    group.kill(other.expect("a third replica"));
+    join(&mut group, 9, stopped);
     let leader = group.new_leader(None);
-    let answer = group.request(leader, ApiRequest::ReadConfig);
-    assert_eq!(answer, ApiResponse::Config("text 1".into()));
+    let response = group.request(leader, ApiRequest::ReadConfig);
+    assert_eq!(response, ApiResponse::Config("text 1".into()));
 }
--- a/sesamebeam_core/tests/gateway/limits.rs
+++ b/sesamebeam_core/tests/gateway/limits.rs
@@ -16,7 +16,6 @@
             Event, //
         },
         directory::ServerId,
-        messages::ToEntry,
         limits::{
             LimitOf,
             NamedLimits,
@@ -24,6 +23,7 @@
             allowed, //
         },
         loads,
+        messages::ToEntry,
         request::AnswerHead,
         router::{
             Router,
@@ -38,9 +38,9 @@
     announcement,
     choice,
     coordinator,
-    router_of_entry,
     ms,
     plan,
+    router_of_entry,
     send, //
 };
 
--- a/sesamebeam_core/tests/gateway/requests.rs
+++ b/sesamebeam_core/tests/gateway/requests.rs
@@ -2,22 +2,22 @@
 
 use sesamebeam_core::gateway::{
     coordinator::{
-        ApiResponse,
         ApiRequest,
+        ApiResponse,
         Event, //
     },
     directory::{
         Announcement,
         ServerState, //
     },
+    loads::LoadOf,
     messages::{
-        RolloutAge,
         Evidence,
-        SyncState,
         Report,
+        RolloutAge,
+        SyncState,
         ToEntry, //
     },
-    loads::LoadOf,
     rollout::Phase,
     store::Document,
 };
@@ -33,16 +33,16 @@
 use yare::parameterized;
 
 use crate::{
-    group::{
-        Group,
-        Process,
-        listen_addr, //
-    },
     fixtures::{
         announcement,
         leave_request,
         ms, //
     },
+    group::{
+        Group,
+        Process,
+        listen_addr, //
+    },
 };
 
 fn apply(version: u64, text: &str) -> ApiRequest {
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn highest_wins() {
+fn highest_version_wins() {
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     assert_eq!(group.request(leader, apply(5, "five")), ApiResponse::Done);
@@ -82,23 +82,28 @@
     let leader = group.new_leader(None);
     assert_eq!(group.request(leader, apply(5, "five")), ApiResponse::Done);
     group.kill(leader);
-    let next = group.new_leader(None);
-    assert_eq!(group.request(next, apply(5, "five")), ApiResponse::Done);
+    let new_leader = group.new_leader(None);
+    assert_eq!(
+        group.request(new_leader, apply(5, "five")),
+        ApiResponse::Done
+    );
     assert_eq!(read(&mut group), ApiResponse::Config("five".into()));
 }
 
 #[test]
-fn elsewhere() {
+fn redirects_to_the_leader() {
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     group.run(200);
-    let follower = (1..=3).find(|&n| n != leader).expect("there are three");
-    let answer = group.request(follower, apply(5, "five"));
-    assert_eq!(answer, ApiResponse::Leader(listen_addr(leader)));
+    let follower = (1..=3)
+        .find(|&n| n != leader)
+        .expect("there are three replicas");
+    let response = group.request(follower, apply(5, "five"));
+    assert_eq!(response, ApiResponse::Leader(listen_addr(leader)));
 }
 
 #[test]
-fn cut_off_reader() {
+fn partitioned_leader_does_not_answer_reads() {
     // The leader is partitioned from the group without noticing. The others elect a new
     // leader, which acknowledges a newer configuration. The old leader must not return the
     // old configuration as the newest one.
@@ -108,8 +113,8 @@
     group.isolate(old);
     let new = group.new_leader(Some(old));
     assert_eq!(group.request(new, apply(6, "six")), ApiResponse::Done);
-    let answer = group.request(old, ApiRequest::ReadConfig);
-    assert_eq!(answer, ApiResponse::Unavailable);
+    let response = group.request(old, ApiRequest::ReadConfig);
+    assert_eq!(response, ApiResponse::Unavailable);
 }
 
 #[test]
@@ -120,22 +125,30 @@
     let mut group = Group::start(3, 1);
     let old = group.new_leader(None);
     assert_eq!(group.request(old, apply(5, "five")), ApiResponse::Done);
-    group.processes.get_mut(&old).expect("it runs").suspended = true;
+    group
+        .processes
+        .get_mut(&old)
+        .expect("the process is running")
+        .suspended = true;
     let new = group.new_leader(Some(old));
     assert_eq!(group.request(new, apply(6, "six")), ApiResponse::Done);
-    group.processes.get_mut(&old).expect("it runs").suspended = false;
-    let answer = group.request(old, ApiRequest::ReadConfig);
-    assert_ne!(answer, ApiResponse::Config("five".into()));
+    group
+        .processes
+        .get_mut(&old)
+        .expect("the process is running")
+        .suspended = false;
+    let response = group.request(old, ApiRequest::ReadConfig);
+    assert_ne!(response, ApiResponse::Config("five".into()));
 }
 
 #[test]
-fn all_restart() {
+fn all_replicas_restart() {
     // All replicas stop right after an acknowledgement and restart with their disks.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     for version in 1..=50 {
-        let order = apply(version, &format!("text {version}"));
-        assert_eq!(group.request(leader, order), ApiResponse::Done);
+        let request = apply(version, &format!("text {version}"));
+        assert_eq!(group.request(leader, request), ApiResponse::Done);
     }
     let disks: Vec<_> = (1..=3).map(|node| (node, group.kill(node))).collect();
     group.run(500);
@@ -151,27 +164,35 @@
     // replica has to take over, which can commit without that disk.
     let mut group = Group::start(3, 1);
     let old = group.new_leader(None);
-    group.processes.get_mut(&old).expect("it runs").stalled = true;
+    group
+        .processes
+        .get_mut(&old)
+        .expect("the process is running")
+        .stalled = true;
     group.send_request(old, apply(5, "five"));
     let new = group.new_leader(Some(old));
     assert_eq!(group.request(new, apply(6, "six")), ApiResponse::Done);
-    group.processes.get_mut(&old).expect("it runs").stalled = false;
+    group
+        .processes
+        .get_mut(&old)
+        .expect("the process is running")
+        .stalled = false;
     group.run(2000);
     assert_eq!(read(&mut group), ApiResponse::Config("six".into()));
 }
 
 #[test]
-fn entries_are_told() {
+fn entries_receive_configuration() {
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     follow(&mut group, 2);
     group.pushed.clear();
     assert_eq!(group.request(leader, apply(5, "five")), ApiResponse::Done);
     group.run(200);
-    let told = group.pushed.iter().any(|(node, push)| {
+    let received = group.pushed.iter().any(|(node, push)| {
         *node == 2 && matches!(push, ToEntry::State { config: Some(c), .. } if c.version == 5)
     });
-    assert!(told, "{:?}", group.pushed);
+    assert!(received, "{:?}", group.pushed);
 }
 
 #[test]
@@ -180,15 +201,21 @@
     // another replica has forwarded the announcement to its entries as well.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
-    assert_eq!(group.request(1, ApiRequest::Announce(announcement(1))), ApiResponse::Done);
+    assert_eq!(
+        group.request(1, ApiRequest::Announce(announcement(1))),
+        ApiResponse::Done
+    );
     group.run(50);
     let mut leaving = announcement(1);
     leaving.state = ServerState::Draining;
     leaving.sequence = 2;
-    assert_eq!(group.request(1, ApiRequest::Announce(leaving)), ApiResponse::Done);
+    assert_eq!(
+        group.request(1, ApiRequest::Announce(leaving)),
+        ApiResponse::Done
+    );
     let knows = |node| {
-        let known = group.processes[&node].core.directory().get("server-1");
-        known.map(|k| k.announcement.state)
+        let directory = group.processes[&node].core.directory().get("server-1");
+        directory.map(|k| k.announcement.state)
     };
     assert_eq!(knows(1), Some(ServerState::Draining));
     assert!(
@@ -199,67 +226,74 @@
 }
 
 #[test]
-fn leaving_while_cut_off() {
+fn leaving_server_at_a_partitioned_replica() {
     // The same at a partitioned replica: entries connected only to the other replicas would
     // keep sending requests, so it must not acknowledge.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
-    assert_eq!(group.request(1, ApiRequest::Announce(announcement(1))), ApiResponse::Done);
+    assert_eq!(
+        group.request(1, ApiRequest::Announce(announcement(1))),
+        ApiResponse::Done
+    );
     group.run(50);
     group.isolate(1);
-    let answer = group.request(1, leave_request("server-1"));
-    assert_eq!(answer, ApiResponse::Unavailable);
+    let response = group.request(1, leave_request("server-1"));
+    assert_eq!(response, ApiResponse::Unavailable);
 }
 
 #[test]
-fn roll_out_again() {
+fn rollout_repeated() {
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    let order = ApiRequest::StartRollout {
+    let request = ApiRequest::StartRollout {
         service: "pool".into(),
         target: "v2".into(),
         duration: ms(10_000),
     };
-    assert_eq!(group.request(leader, order.clone()), ApiResponse::Done);
+    assert_eq!(group.request(leader, request.clone()), ApiResponse::Done);
     group.kill(leader);
-    let next = group.new_leader(None);
-    assert_eq!(group.request(next, order), ApiResponse::Done);
-    let ApiResponse::Rollout(rollout) = group.request(next, ApiRequest::ReadRollout("pool".into())) else {
-        panic!("there is a roll-out");
+    let new_leader = group.new_leader(None);
+    assert_eq!(group.request(new_leader, request), ApiResponse::Done);
+    let ApiResponse::Rollout(rollout) =
+        group.request(new_leader, ApiRequest::ReadRollout("pool".into()))
+    else {
+        panic!("the rollout exists");
     };
     assert_eq!(rollout.target, "v2");
 }
 
 #[test]
-fn cut_heals() {
+fn catches_up_after_a_partition() {
     // A replica misses changes while it is partitioned from the group. Once the partition
     // has healed, it catches up.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    let away = (1..=3).find(|&n| n != leader).expect("there are three");
+    let away = (1..=3)
+        .find(|&n| n != leader)
+        .expect("there are three replicas");
     group.isolate(away);
     for version in 1..=60 {
-        let order = apply(version, &format!("text {version}"));
-        assert_eq!(group.request(leader, order), ApiResponse::Done);
+        let request = apply(version, &format!("text {version}"));
+        assert_eq!(group.request(leader, request), ApiResponse::Done);
     }
     group.heal();
     group.run(3000);
-    let held = group.processes[&away].core.store().config();
-    assert_eq!(held.map(|c| c.version), Some(60));
+    let config = group.processes[&away].core.store().config();
+    assert_eq!(config.map(|c| c.version), Some(60));
 }
 
 #[test]
-fn roll_out_goes_on_after_a_restart() {
+fn rollout_continues_after_a_restart() {
     // All replicas are killed during a rollout. Their disks show that it is running, but
     // not since when; entries report its age, and it ends on time.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    let order = ApiRequest::StartRollout {
+    let request = ApiRequest::StartRollout {
         service: "pool".into(),
         target: "v2".into(),
         duration: ms(20_000),
     };
-    assert_eq!(group.request(leader, order), ApiResponse::Done);
+    assert_eq!(group.request(leader, request), ApiResponse::Done);
     group.run(12_000);
     let disks: Vec<_> = (1..=3).map(|node| (node, group.kill(node))).collect();
     for (node, disk) in disks {
@@ -291,51 +325,58 @@
     }
     group.run(7000);
     let leader = group.new_leader(None);
-    let ApiResponse::Rollout(rollout) = group.request(leader, ApiRequest::ReadRollout("pool".into())) else {
-        panic!("there is a roll-out");
+    let ApiResponse::Rollout(rollout) =
+        group.request(leader, ApiRequest::ReadRollout("pool".into()))
+    else {
+        panic!("the rollout exists");
     };
     assert_eq!(rollout.phase, Phase::Completed);
 }
 
 #[test]
-fn loads_told() {
+fn loads_are_forwarded() {
     // Loads reported by entries to different replicas are returned in a single update from
     // the replica that an entry follows. A partitioned replica only gets the loads from its
     // side.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    let asked = leader % 3 + 1;
-    let cut_off = asked % 3 + 1;
-    group.isolate(cut_off);
-    follow(&mut group, asked);
-    follow(&mut group, cut_off);
+    let followed = leader % 3 + 1;
+    let isolated = followed % 3 + 1;
+    group.isolate(isolated);
+    follow(&mut group, followed);
+    follow(&mut group, isolated);
     group.pushed.clear();
     for node in 1..=3 {
-        let heard = LoadOf {
+        let load = LoadOf {
             server: node as u32,
             running: 7,
             waiting: 0,
             reading: 0,
         };
         let report = Report {
-            loads: vec![heard],
+            loads: vec![load],
             ..Report::default()
         };
         group.event(node, Event::EntryReported(report));
     }
     group.run(300);
-    let told = |at: NodeId| {
-        let told = group.pushed.iter().filter_map(|(node, push)| match push {
+    let received = |at: NodeId| {
+        let received = group.pushed.iter().filter_map(|(node, push)| match push {
             ToEntry::Loads { loads, .. } if *node == at => Some(loads.len()),
             _ => None,
         });
-        told.sum::<usize>()
+        received.sum::<usize>()
     };
-    assert_eq!((told(asked), told(cut_off)), (2, 1), "{:?}", group.pushed);
+    assert_eq!(
+        (received(followed), received(isolated)),
+        (2, 1),
+        "{:?}",
+        group.pushed
+    );
 }
 
 #[test]
-fn announced_to_nobody() {
+fn announced_before_connections() {
     // A backend server announces itself to a replica that has no connection to the others
     // yet. Repeating the announcement there is not news, so without a comparison of
     // directories it is never forwarded, and the server stays unused permanently after a
@@ -343,8 +384,11 @@
     let mut group = Group::start(3, 1);
     group.new_leader(None);
     group.isolate(2);
-    let said = announcement(5);
-    assert_eq!(group.request(2, ApiRequest::Announce(said)), ApiResponse::Done);
+    let server = announcement(5);
+    assert_eq!(
+        group.request(2, ApiRequest::Announce(server)),
+        ApiResponse::Done
+    );
     group.run(100);
     group.heal();
     group.event(2, Event::PeerConnected(1));
@@ -359,7 +403,7 @@
 }
 
 #[parameterized(few = { 3 }, many = { 13 })]
-fn told_once_at_a_start(replicas: u64) {
+fn directory_sent_once_at_startup(replicas: u64) {
     // A replica that starts must not be sent all backend servers by each of the others.
     const SERVERS: u8 = 200;
     let mut group = Group::start(replicas, 1);
@@ -375,30 +419,33 @@
         group.event(other, Event::PeerConnected(1));
     }
     group.run(2_000);
-    let known = group.processes[&1].core.directory().count();
-    assert_eq!(known, usize::from(SERVERS));
-    let told = group.announcements_received.values().sum::<usize>();
-    assert!(told <= 2 * usize::from(SERVERS), "{told}");
+    let directory = group.processes[&1].core.directory().count();
+    assert_eq!(directory, usize::from(SERVERS));
+    let received = group.announcements_received.values().sum::<usize>();
+    assert!(received <= 2 * usize::from(SERVERS), "{received}");
 }
 
 #[test]
-fn reserve_tells_what_it_heard() {
+fn standby_forwards_announcements() {
     // Members cannot ask a standby process for servers announced only to it.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
     group.boot(8, Members::default(), Saved::default());
     group.isolate(8);
-    assert_eq!(group.request(8, ApiRequest::Announce(announcement(5))), ApiResponse::Done);
+    assert_eq!(
+        group.request(8, ApiRequest::Announce(announcement(5))),
+        ApiResponse::Done
+    );
     group.run(100);
     group.heal();
     group.event(8, Event::PeerConnected(2));
     group.run(1_000);
-    let known = group.processes[&2].core.directory();
-    assert!(known.get("server-5").is_some());
+    let directory = group.processes[&2].core.directory();
+    assert!(directory.get("server-5").is_some());
 }
 
 #[test]
-fn differing_is_made_up() {
+fn directories_converge() {
     // Each replica knows a backend server that the others lack when they connect.
     let mut group = Group::start(5, 1);
     group.new_leader(None);
@@ -411,12 +458,12 @@
         }
     }
     group.run(2_000);
-    let known = |p: &Process| p.core.directory().count();
-    assert!(group.processes.values().all(|p| known(p) == 5));
+    let directory = |p: &Process| p.core.directory().count();
+    assert!(group.processes.values().all(|p| directory(p) == 5));
 }
 
 #[test]
-fn leaving_server_unknown_here() {
+fn leaving_server_unknown_to_replica() {
     // A backend server leaves, identified by its id alone, at a replica that does not know
     // it because it has just started or was never told. Entries that follow other replicas
     // do know the server and would keep sending requests, so they have to be told.
@@ -426,37 +473,43 @@
     group.event(2, Event::Servers(vec![announcement(1)]));
     group.run(50);
     group.pushed.clear();
-    assert_eq!(group.request(1, leave_request("server-1")), ApiResponse::Done);
+    assert_eq!(
+        group.request(1, leave_request("server-1")),
+        ApiResponse::Done
+    );
     group.run(50);
-    let told = group.pushed.iter().any(|(node, push)| {
+    let received = group.pushed.iter().any(|(node, push)| {
         let ToEntry::Servers(servers) = push else {
             return false;
         };
-        let gone = |s: &Announcement| s.id == "server-1" && s.state == ServerState::Gone;
-        *node == 2 && servers.iter().any(gone)
+        let is_gone = |s: &Announcement| s.id == "server-1" && s.state == ServerState::Gone;
+        *node == 2 && servers.iter().any(is_gone)
     });
-    assert!(told, "{:?}", group.pushed);
+    assert!(received, "{:?}", group.pushed);
 }
 
 #[test]
-fn leaving_server_at_a_reserve() {
+fn leaving_server_at_a_standby() {
     // The same at a standby process: it cannot inform anybody, so it must not acknowledge.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
     group.boot(8, Members::default(), Saved::default());
-    let answer = group.request(8, leave_request("server-1"));
-    assert_eq!(answer, ApiResponse::Unavailable);
+    let response = group.request(8, leave_request("server-1"));
+    assert_eq!(response, ApiResponse::Unavailable);
 }
 
 #[test]
-fn log_told_as_one() {
+fn log_replay_published_once() {
     // All replicas restart and apply their logs at once. Entries must only receive the
     // newest configuration: with an older one they would reject callers whose keys were
     // added later.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     for version in 1..=6 {
-        assert_eq!(group.request(leader, apply(version, "text")), ApiResponse::Done);
+        assert_eq!(
+            group.request(leader, apply(version, "text")),
+            ApiResponse::Done
+        );
     }
     let disks: Vec<_> = (1..=3).map(|n| (n, group.kill(n))).collect();
     group.pushed.clear();
--- a/sesamebeam_core/tests/gateway/seeds.rs
+++ b/sesamebeam_core/tests/gateway/seeds.rs
@@ -21,7 +21,9 @@
 /// Hands what was told to those who listen, until nothing is left.
 fn deliver(group: &mut Group) {
     while let Some((to, told)) = group.membership_requests.pop_front() {
-        let node = (1..=9).find(|&n| listen_addr(n) == to).expect("it is known");
+        let node = (1..=9)
+            .find(|&n| listen_addr(n) == to)
+            .expect("it is known");
         if group.processes.contains_key(&node) {
             group.request_membership(node, told);
         }
@@ -71,7 +73,11 @@
     name_seeds(&mut group, 1..=3);
     group.new_leader(None);
     group.run(2000);
-    assert!(group.membership_requests.is_empty(), "{:?}", group.membership_requests);
+    assert!(
+        group.membership_requests.is_empty(),
+        "{:?}",
+        group.membership_requests
+    );
 }
 
 #[test]
--- a/sesamebeam_core/tests/gateway/shortage.rs
+++ b/sesamebeam_core/tests/gateway/shortage.rs
@@ -251,7 +251,8 @@
         for (n, router) in self.entries.iter_mut().enumerate() {
             if (now + n as u64 * 13).is_multiple_of(200) {
                 let report = router.take_report(ms(now));
-                self.reports.push_back((now + HOP, Event::EntryReported(report)));
+                self.reports
+                    .push_back((now + HOP, Event::EntryReported(report)));
             }
         }
         let mut events = Vec::new();
--- a/sesamebeam_core/tests/gateway/subscription.rs
+++ b/sesamebeam_core/tests/gateway/subscription.rs
@@ -13,8 +13,8 @@
 use yare::parameterized;
 
 use crate::{
-    group::listen_addr,
     fixtures::ms, //
+    group::listen_addr,
 };
 
 const SETTLED: StateSummary = StateSummary {
@@ -145,7 +145,10 @@
     assert!(!asked(&orders).is_empty(), "{orders:?}");
     assert!(!asked(&orders).contains(&listen_addr(1)), "{orders:?}");
     let orders = entry.run(1000, &told, &HOLDING);
-    assert!(orders.contains(&Order::Unfollow(listen_addr(1))), "{orders:?}");
+    assert!(
+        orders.contains(&Order::Unfollow(listen_addr(1))),
+        "{orders:?}"
+    );
 }
 
 #[parameterized(
