--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -353,7 +353,7 @@
         self.now = self.now.max(now);
         let (replica, actions) = Replica::new(cfg, saved, self.now);
         self.replica = Some(replica);
-        self.publisher.restart();
+        self.publisher.reset_current();
         self.execute(actions);
         self.publish();
         std::mem::take(&mut self.actions)
--- a/sesamebeam_core/src/gateway/coordinator/announce.rs
+++ b/sesamebeam_core/src/gateway/coordinator/announce.rs
@@ -96,14 +96,14 @@
         digests: &Digests,
         reply_requested: bool,
     ) {
-        let differing = self.directory.digests().differing(digests);
+        let differing = self.directory.digests().differing_buckets(digests);
         if differing.is_empty() {
             return;
         }
         if reply_requested {
             self.send_digests(from, false);
         }
-        let (requested, postponed) = self.claim_buckets(differing, digests.non_empty());
+        let (requested, postponed) = self.claim_buckets(differing, digests.non_empty_buckets());
         if !requested.is_empty() {
             let message = CoordinatorMessage::RequestBuckets(requested);
             self.actions.push(Action::Send { to: from, message });
@@ -234,8 +234,8 @@
     fn request_confirmation(&mut self, ticket: Ticket, announcement: Announcement) {
         // Replicas do not confirm announcements of a non-member.
         if !self.peers.is_member() {
-            let answer = self.redirect();
-            self.actions.push(Action::Respond(ticket, answer));
+            let response = self.redirect();
+            self.actions.push(Action::Respond(ticket, response));
             return;
         }
         let required = self.peers.count() / 2;
--- a/sesamebeam_core/src/gateway/coordinator/group.rs
+++ b/sesamebeam_core/src/gateway/coordinator/group.rs
@@ -253,7 +253,7 @@
         if same_addr.is_none()
             && !self
                 .placement
-                .admits(self.now, &domain, is_vacant, remaining)
+                .may_join(self.now, &domain, is_vacant, remaining)
         {
             return self.membership_reply();
         }
--- a/sesamebeam_core/src/gateway/coordinator/placement.rs
+++ b/sesamebeam_core/src/gateway/coordinator/placement.rs
@@ -46,7 +46,7 @@
 
     /// Returns whether a process of a failure domain may fill the vacancy, if there is one,
     /// given the replicas that stay.
-    pub(super) fn admits<'a>(
+    pub(super) fn may_join<'a>(
         &mut self,
         now: MonoTime,
         domain: &DomainId,
--- a/sesamebeam_core/src/gateway/coordinator/publisher.rs
+++ b/sesamebeam_core/src/gateway/coordinator/publisher.rs
@@ -127,7 +127,7 @@
     }
 
     /// Resets the record that entries know the state to be current.
-    pub(super) fn restart(&mut self) {
+    pub(super) fn reset_current(&mut self) {
         self.published_current = false;
     }
 
@@ -370,8 +370,8 @@
                 .entry(config > sync_state.config)
                 .or_default()
                 .push(entry);
-            let differing = own.differing(&sync_state.servers);
-            let non_empty = sync_state.servers.non_empty();
+            let differing = own.differing_buckets(&sync_state.servers);
+            let non_empty = sync_state.servers.non_empty_buckets();
             let by_section = self.buckets_by_section(differing, non_empty);
             by_sections.entry(by_section).or_default().push(entry);
             let complete = differing.difference(by_section);
--- a/sesamebeam_core/src/gateway/digests.rs
+++ b/sesamebeam_core/src/gateway/digests.rs
@@ -181,14 +181,14 @@
 
     /// Returns the buckets that differ between two directories: all of them if the other
     /// side uses another number of buckets.
-    pub fn differing(&self, other: &Self) -> BucketSet {
+    pub fn differing_buckets(&self, other: &Self) -> BucketSet {
         let differs = |n: &usize| self.0.get(*n) != other.0.get(*n);
         BucketSet::from_numbers((0..BUCKETS).filter(differs))
     }
 
     /// Returns the buckets that are not empty.
-    pub fn non_empty(&self) -> BucketSet {
-        self.differing(&Self::default())
+    pub fn non_empty_buckets(&self) -> BucketSet {
+        self.differing_buckets(&Self::default())
     }
 }
 
--- a/sesamebeam_core/src/gateway/directory.rs
+++ b/sesamebeam_core/src/gateway/directory.rs
@@ -129,7 +129,7 @@
     /// Digests of the directory's contents.
     digests: Digests,
     /// Number of records examined to merge announcements.
-    examined: u64,
+    examined_records: u64,
 }
 
 impl Directory {
@@ -150,7 +150,7 @@
         announcement: Announcement,
         service_exists: bool,
     ) -> bool {
-        self.examined += 1;
+        self.examined_records += 1;
         let started_at = self
             .servers
             .get(&announcement.id)
@@ -315,21 +315,21 @@
     }
 
     /// Returns the number of records examined to merge announcements.
-    pub fn examined(&self) -> u64 {
-        self.examined
+    pub fn examined_records(&self) -> u64 {
+        self.examined_records
     }
 
     /// Returns whether an incarnation that started later is at the same address.
     fn is_superseded(&mut self, announcement: &Announcement) -> bool {
         let at_address = self.index.by_address(announcement.addr);
-        self.examined += at_address.len() as u64;
+        self.examined_records += at_address.len() as u64;
         let mut records = at_address.iter().filter_map(|id| self.servers.get(id));
         records.any(|k| k.announcement.started_at > announcement.started_at)
     }
 
     fn end_older_at_address(&mut self, now: MonoTime, newer: &Announcement) {
         let at_address = self.index.by_address(newer.addr).to_vec();
-        self.examined += at_address.len() as u64;
+        self.examined_records += at_address.len() as u64;
         for id in at_address.into_iter().filter(|id| *id != newer.id) {
             self.modify(&id, |record| {
                 if record.announcement.started_at <= newer.started_at {
--- a/sesamebeam_core/src/gateway/directory/index.rs
+++ b/sesamebeam_core/src/gateway/directory/index.rs
@@ -92,8 +92,8 @@
         width: KEY_SPACE,
     };
 
-    /// Returns the range from a key on that is expected to hold between `most / 2` and
-    /// `most` of `all` backend servers.
+    /// Returns the range from a key on that is expected to hold between `max_servers / 2`
+    /// and `max_servers` of `total` backend servers.
     ///
     /// Its width changes in powers of two, so that processes whose directories differ by a
     /// few backend servers use the same range.
--- a/sesamebeam_core/tests/gateway/digests.rs
+++ b/sesamebeam_core/tests/gateway/digests.rs
@@ -40,7 +40,7 @@
     leaving.sequence = 2;
     let mut after = directory((0..200).map(announcement));
     assert!(after.merge(ms(1), leaving, true));
-    let differing = after.digests().differing(before.digests());
+    let differing = after.digests().differing_buckets(before.digests());
     assert!(differing.contains_server(&"server-7".into()));
     let sent = before
         .all()
--- a/sesamebeam_core/tests/gateway/directory.rs
+++ b/sesamebeam_core/tests/gateway/directory.rs
@@ -93,7 +93,7 @@
         for number in 0..count {
             directory.merge(ms(0), numbered_server(number), true);
         }
-        directory.examined() / u64::from(count)
+        directory.examined_records() / u64::from(count)
     };
     assert!(examined(20_000) <= examined(300));
 }
@@ -109,7 +109,7 @@
     assert!(directory.count() <= 8200);
     assert!(directory.get("server-19999").is_some());
     assert!(directory.get("server-0").is_none());
-    assert!(directory.examined() <= 2 * 20_000);
+    assert!(directory.examined_records() <= 2 * 20_000);
 }
 
 #[test]
@@ -117,7 +117,7 @@
     let mut directory = Directory::default();
     for number in 0..20_000u32 {
         let mut server = announcement(1);
-        server.id = format!("life-{number}").into();
+        server.id = format!("server-{number}").into();
         directory.merge(ms(u64::from(number)), server, true);
     }
     assert!(directory.all().count() <= 8200);
--- a/sesamebeam_core/tests/gateway/evacuations.rs
+++ b/sesamebeam_core/tests/gateway/evacuations.rs
@@ -75,10 +75,10 @@
         for node in nodes {
             let ticket = group.send_request(node, call.clone());
             let until = group.now + ms(900);
-            while group.now < until && !group.answers.contains_key(&ticket) {
+            while group.now < until && !group.responses.contains_key(&ticket) {
                 group.run(1);
             }
-            if group.answers.get(&ticket) == Some(&ApiResponse::Done) {
+            if group.responses.get(&ticket) == Some(&ApiResponse::Done) {
                 return (group.now - since).as_millis() as u64;
             }
         }
--- a/sesamebeam_core/tests/gateway/group.rs
+++ b/sesamebeam_core/tests/gateway/group.rs
@@ -70,7 +70,7 @@
     pub(crate) processes: BTreeMap<NodeId, Process>,
     in_flight: VecDeque<(MonoTime, NodeId, NodeId, CoordinatorMessage)>,
     partitioned: BTreeSet<(NodeId, NodeId)>,
-    pub(crate) answers: BTreeMap<u64, ApiResponse>,
+    pub(crate) responses: BTreeMap<u64, ApiResponse>,
     pub(crate) replies: BTreeMap<u64, MembershipReply>,
     pub(crate) pushed: Vec<(NodeId, ToEntry)>,
     /// Requests sent to processes outside the group, with the recipient's address.
@@ -123,7 +123,7 @@
             processes: BTreeMap::new(),
             in_flight: VecDeque::new(),
             partitioned: BTreeSet::new(),
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
             replies: BTreeMap::new(),
             pushed: Vec::new(),
             membership_requests: VecDeque::new(),
@@ -232,8 +232,8 @@
     /// Sends a request to a replica and waits for the response.
     pub(crate) fn request(&mut self, node: NodeId, request: ApiRequest) -> ApiResponse {
         let ticket = self.send_request(node, request);
-        self.run_until(|g| g.answers.contains_key(&ticket));
-        self.answers[&ticket].clone()
+        self.run_until(|g| g.responses.contains_key(&ticket));
+        self.responses[&ticket].clone()
     }
 
     /// Sends a membership request to a replica and returns the reply.
@@ -343,8 +343,8 @@
                 Action::ReplyMembership(ticket, reply) => {
                     self.replies.insert(ticket, reply);
                 }
-                Action::Respond(ticket, answer) => {
-                    self.answers.insert(ticket, answer);
+                Action::Respond(ticket, response) => {
+                    self.responses.insert(ticket, response);
                 }
                 Action::Push(_, push) => self.pushed.push((node, push)),
                 Action::SetSummary(_)
