--- a/sesamebeam/src/gateway/feed.rs
+++ b/sesamebeam/src/gateway/feed.rs
@@ -21,15 +21,15 @@
     seq::SliceRandom, //
 };
 use sesamebeam_core::gateway::{
-    digests::Parts,
+    digests::BucketSet,
     directory::Announcement,
-    feed::{
+    limits::LimitOf,
+    messages::{
         FromEntry,
         Hello,
         Report,
         ToEntry, //
     },
-    limits::LimitOf,
     store::Document,
     subscription::{
         Subscription,
@@ -263,13 +263,13 @@
                     self.send(addr, FromEntry::Follow(held));
                     let ages = self.gateway.router().rollout_ages(now);
                     let report = Report {
-                        ages,
+                        rollout_ages: ages,
                         ..Report::default()
                     };
                     self.send(addr, FromEntry::Report(report));
                 }
                 SubscriptionAction::Unfollow(addr) => self.send(addr, FromEntry::Unfollow),
-                SubscriptionAction::Ask(addr) => self.send(addr, FromEntry::Lacks(held)),
+                SubscriptionAction::Ask(addr) => self.send(addr, FromEntry::RequestUpdate(held)),
             }
         }
     }
@@ -328,7 +328,7 @@
                     self.replicas = replicas.into_iter().collect();
                 }
             }
-            ToEntry::Alive(summary) => {
+            ToEntry::Heartbeat(summary) => {
                 let holding = gateway.router().holding();
                 self.subscription
                     .summary_received(now, addr, summary, &holding);
@@ -357,15 +357,15 @@
                 }
             }
             ToEntry::Servers(servers) => self.learn(addr, servers),
-            ToEntry::Details(details) => {
+            ToEntry::SectionDigests(details) => {
                 let router = gateway.router();
                 let sections = router.directory().differing_sections(&details);
                 drop(router);
                 if !sections.is_empty() {
-                    self.send(addr, FromEntry::LacksSections(sections));
+                    self.send(addr, FromEntry::RequestSections(sections));
                 }
             }
-            ToEntry::Wants(parts) => self.tell_servers(addr, parts),
+            ToEntry::RequestBuckets(parts) => self.tell_servers(addr, parts),
             ToEntry::Loads {
                 loads,
                 waits,
@@ -380,9 +380,9 @@
                 gateway.router().set_doubts(doubts);
             }
             ToEntry::Limits(limits) => self.learn_limits(addr, &limits),
-            ToEntry::Unreached(told) => gateway.router().apply_unreached(now, &told),
+            ToEntry::Unreachable(told) => gateway.router().apply_unreached(now, &told),
             ToEntry::Quarantined(fingerprints) => gateway.router().set_quarantined(fingerprints),
-            ToEntry::Kept(kept, all) => gateway.router().pin_sessions(now, &kept, all),
+            ToEntry::RetainedSessions(kept, all) => gateway.router().pin_sessions(now, &kept, all),
         }
     }
 
@@ -422,11 +422,14 @@
 
     /// Tells a replica of the backend servers in some parts of the directory: one
     /// that has just started learns from here what it does not keep.
-    fn tell_servers(&self, addr: SocketAddr, parts: Parts) {
+    fn tell_servers(&self, addr: SocketAddr, parts: BucketSet) {
         let servers: Vec<_> = {
             let now = self.gateway.now();
             let router = self.gateway.router();
-            router.directory().tell_parts(now, parts).collect()
+            router
+                .directory()
+                .announcements_in_buckets(now, parts)
+                .collect()
         };
         self.send(addr, FromEntry::Servers(servers));
     }
@@ -495,7 +498,7 @@
     async fn follow(&self, reached: &mut bool) -> Result<(), FrameError> {
         let (mut tx, mut rx) = frames::connect(self.addr).await?;
         tx.send(&Hello::Entry {
-            life: self.life,
+            id: self.life,
             name: self.name.clone(),
         })
         .await?;
@@ -531,7 +534,7 @@
     loop {
         let message = tokio::select! {
         message = messages.recv() => message.ok_or(FrameError::Closed)?,
-        _ = ticks.tick() => FromEntry::Alive,
+        _ = ticks.tick() => FromEntry::Heartbeat,
         };
         let frame = frames::encode(&message)?;
         meters.message(Way::ToControl, message.kind(), frame.len(), 1);
--- a/sesamebeam/src/group.rs
+++ b/sesamebeam/src/group.rs
@@ -31,20 +31,20 @@
     gateway::{
         coordinator::{
             Action,
-            Answer,
-            Call,
+            ApiRequest,
+            ApiResponse,
             Coordinator,
             CoordinatorConfig,
-            EntryLife,
+            EntryId,
             Event,
             Peers, //
         },
         directory::Announcement,
-        feed::{
-            Between,
-            Question,
-            Reply,
-            Summary,
+        messages::{
+            CoordinatorMessage,
+            MembershipReply,
+            MembershipRequest,
+            StateSummary,
             ToEntry, //
         },
     },
@@ -142,13 +142,13 @@
     /// An event without an answer.
     Event(Event),
     /// An entry has connected.
-    Entry(EntryLife, EntryLink),
+    Entry(EntryId, EntryLink),
     /// A connection of an entry has ended, by its number.
-    EntryLost(EntryLife, u64),
+    EntryLost(EntryId, u64),
     /// A process asks about the group.
-    Asked(Question, oneshot::Sender<Reply>),
+    Asked(MembershipRequest, oneshot::Sender<MembershipReply>),
     /// A caller asks for something.
-    Called(Call, oneshot::Sender<Answer>),
+    Called(ApiRequest, oneshot::Sender<ApiResponse>),
     /// Replies to this process's own questions about the group.
     Learned(Vec<(NodeId, SocketAddr)>),
     /// The process at this address says that it leads the group.
@@ -182,8 +182,8 @@
     alive: watch::Sender<Bytes>,
     /// Backend servers to be kept on the disk.
     roster: watch::Sender<Arc<[Announcement]>>,
-    questions: HashMap<Ticket, oneshot::Sender<Reply>>,
-    calls: HashMap<Ticket, oneshot::Sender<Answer>>,
+    questions: HashMap<Ticket, oneshot::Sender<MembershipReply>>,
+    calls: HashMap<Ticket, oneshot::Sender<ApiResponse>>,
     next_ticket: Ticket,
     place: watch::Sender<Place>,
     meters: Arc<Exposition>,
@@ -208,10 +208,10 @@
     let cfg = CoordinatorConfig {
         addr: settings.internal,
         domain: settings.domain.clone(),
-        tolerated: settings.tolerated,
-        exposure: settings.exposure,
-        patience: PATIENCE,
-        disk_patience: DISK_PATIENCE,
+        tolerated_failures: settings.tolerated,
+        max_exposure: settings.exposure,
+        request_timeout: PATIENCE,
+        disk_stall_timeout: DISK_PATIENCE,
     };
     let (place, place_rx) = watch::channel(Place::default());
     let (alive, alive_rx) = watch::channel(Bytes::new());
@@ -234,7 +234,7 @@
         halt: halt.clone(),
         settings: settings.clone(),
     };
-    runner.hold(Summary::default());
+    runner.hold(StateSummary::default());
     runner.open()?;
     runner.recall();
     tokio::spawn(roster::keep(settings.data.clone(), roster_rx, halt.clone()));
@@ -276,22 +276,22 @@
             Input::Event(event) => self.event(event),
             Input::Entry(life, link) => {
                 self.entries.connected(life, link);
-                self.event(Event::Subscribed(life));
+                self.event(Event::EntryConnected(life));
             }
             Input::EntryLost(life, number) => {
                 if self.entries.ended(life, number) {
-                    self.event(Event::Unsubscribed(life));
+                    self.event(Event::EntryDisconnected(life));
                 }
             }
             Input::Asked(question, back) => {
                 let ticket = self.ticket();
                 self.questions.insert(ticket, back);
-                self.event(Event::Asked(ticket, question));
+                self.event(Event::MembershipRequested(ticket, question));
             }
             Input::Called(call, back) => {
                 let ticket = self.ticket();
                 self.calls.insert(ticket, back);
-                self.event(Event::Called(ticket, call));
+                self.event(Event::RequestReceived(ticket, call));
             }
             Input::Learned(peers) => {
                 self.core.learn_peers(peers);
@@ -322,31 +322,31 @@
                         disk.write(write, ops);
                     }
                 }
-                Action::Tell { to, told } => {
+                Action::SendMembershipRequest { to, request: told } => {
                     tokio::spawn(join::tell(to, told));
                 }
-                Action::Reply(ticket, reply) => {
+                Action::ReplyMembership(ticket, reply) => {
                     if let Some(back) = self.questions.remove(&ticket) {
                         let _ = back.send(reply);
                     }
                 }
-                Action::Answer(ticket, answer) => {
+                Action::Respond(ticket, answer) => {
                     if let Some(back) = self.calls.remove(&ticket) {
                         let _ = back.send(answer);
                     }
                 }
                 Action::Push(to, message) => self.entries.push(&to, &message),
-                Action::Holds(summary) => self.hold(summary),
-                Action::KeepServers(servers) => {
+                Action::SetSummary(summary) => self.hold(summary),
+                Action::SaveServers(servers) => {
                     self.roster.send_replace(servers.into());
                 }
                 Action::Peers(peers) => self.set_peers(&peers),
-                Action::Note(note) => notes::log(&note),
+                Action::Log(note) => notes::log(&note),
             }
         }
     }
 
-    fn send(&mut self, to: NodeId, message: Between) {
+    fn send(&mut self, to: NodeId, message: CoordinatorMessage) {
         if let Some(sender) = self.senders.get(&to) {
             sender.send(message);
         }
@@ -364,8 +364,8 @@
     }
 
     /// Has all entries told now and then what this replica holds.
-    fn hold(&mut self, summary: Summary) {
-        if let Some(bytes) = subscribers::encode(&ToEntry::Alive(summary)) {
+    fn hold(&mut self, summary: StateSummary) {
+        if let Some(bytes) = subscribers::encode(&ToEntry::Heartbeat(summary)) {
             self.alive.send_replace(bytes);
         }
     }
--- a/sesamebeam/src/group/links.rs
+++ b/sesamebeam/src/group/links.rs
@@ -3,13 +3,13 @@
 use bytes::Bytes;
 use sesamebeam_core::gateway::{
     coordinator::{
-        EntryLife,
+        EntryId,
         Event, //
     },
-    feed::{
+    messages::{
         FromEntry,
         Hello,
-        Question, //
+        MembershipRequest, //
     },
 };
 use smol_str::SmolStr;
@@ -82,9 +82,9 @@
 ) -> Result<(), FrameError> {
     let (back, mut rx) = frames::split(stream)?;
     match rx.next::<Hello>().await? {
-        Hello::Entry { life, name } => serve_entry(back, rx, tx, alive, life, name).await,
+        Hello::Entry { id, name } => serve_entry(back, rx, tx, alive, id, name).await,
         Hello::Replica { node } => serve_replica(back, rx, tx, node).await,
-        Hello::Asker => serve_asker(back, rx, tx).await,
+        Hello::NonMember => serve_asker(back, rx, tx).await,
     }
 }
 
@@ -131,7 +131,7 @@
     mut rx: Receiver,
     tx: Inputs,
     alive: watch::Receiver<Bytes>,
-    life: EntryLife,
+    life: EntryId,
     name: SmolStr,
 ) -> Result<(), FrameError> {
     let (push, queue) = channel(MAX_WAITING);
@@ -142,13 +142,13 @@
     let reading = async {
         loop {
             let event = match rx.next().await? {
-                FromEntry::Follow(held) => Event::Follows(life, held),
-                FromEntry::Unfollow => Event::Unfollows(life),
-                FromEntry::Lacks(held) => Event::Lacks(life, held),
-                FromEntry::LacksSections(sections) => Event::LacksSections(life, sections),
+                FromEntry::Follow(held) => Event::EntryFollows(life, held),
+                FromEntry::Unfollow => Event::EntryUnfollows(life),
+                FromEntry::RequestUpdate(held) => Event::UpdateRequested(life, held),
+                FromEntry::RequestSections(sections) => Event::SectionsRequested(life, sections),
                 FromEntry::Servers(servers) => Event::Servers(servers),
-                FromEntry::Report(report) => Event::Reported(report),
-                FromEntry::Alive => continue,
+                FromEntry::Report(report) => Event::EntryReported(report),
+                FromEntry::Heartbeat => continue,
             };
             if tx.send(Input::Event(event)).is_err() {
                 return Ok(());
@@ -185,7 +185,7 @@
 }
 
 async fn serve_asker(mut back: Sender, mut rx: Receiver, tx: Inputs) -> Result<(), FrameError> {
-    let question = rx.next::<Question>().await?;
+    let question = rx.next::<MembershipRequest>().await?;
     let (reply_tx, reply) = oneshot::channel();
     let _ = tx.send(Input::Asked(question, reply_tx));
     match reply.await {
--- a/sesamebeam_core/src/gateway/balance.rs
+++ b/sesamebeam_core/src/gateway/balance.rs
@@ -12,22 +12,22 @@
 
 use super::{
     directory::{
-        Known,
-        ServerId, //
+        ServerId,
+        ServerRecord, //
     },
     loads::{
-        self,
+        self, //
         Loads,
         ServerKey,
-        ServerLoad, //
+        ServerLoad,
     },
     outliers::{
         AnswerCounts,
         Doubt, //
     },
     prefill::{
-        self,
-        PrefillQueue, //
+        self, //
+        PrefillQueue,
     },
     reachability::Reachability,
     request::Load,
@@ -38,7 +38,7 @@
         DomainId,
         MonoTime, //
     },
-    policy::hash, //
+    policy::hash,
 };
 
 /// How far the load of a backend server may exceed the mean, as a share of the mean,
@@ -199,20 +199,23 @@
     pub fn choose<'a>(
         &mut self,
         now: MonoTime,
-        candidates: &[&'a Known],
+        candidates: &[&'a ServerRecord],
         params: &ChoiceParams<'_>,
-    ) -> Option<&'a Known> {
+    ) -> Option<&'a ServerRecord> {
         let eligible = self.eligible(now, candidates, params.tried);
         let chosen = match params.affinity {
             Some(affinity) => self.choose_by_prompt(now, &eligible, affinity, params),
             None => self.choose_by_load(now, &eligible, params),
         }?;
-        let stats = self.servers.entry(chosen.said.id.clone()).or_default();
+        let stats = self
+            .servers
+            .entry(chosen.announcement.id.clone())
+            .or_default();
         stats.in_flight += 1;
-        stats.domain = chosen.said.domain.clone();
-        self.paths.record_attempt(now, &chosen.said.domain);
+        stats.domain = chosen.announcement.domain.clone();
+        self.paths.record_attempt(now, &chosen.announcement.domain);
         if params.prefill_time >= prefill::LONG_PREFILL {
-            self.record_prefill(now, &chosen.said.id, params.prefill_time);
+            self.record_prefill(now, &chosen.announcement.id, params.prefill_time);
         }
         Some(chosen)
     }
@@ -396,14 +399,14 @@
     }
 
     /// Returns whether a backend server is neither paused nor behind a partition.
-    pub fn is_reachable(&self, now: MonoTime, known: &Known) -> bool {
-        let stats = self.servers.get(&known.said.id);
+    pub fn is_reachable(&self, now: MonoTime, known: &ServerRecord) -> bool {
+        let stats = self.servers.get(&known.announcement.id);
         let is_unpaused = stats.is_none_or(|s| s.pause.is_over(now));
-        is_unpaused && !self.paths.is_avoided(now, &known.said.domain)
+        is_unpaused && !self.paths.is_avoided(now, &known.announcement.domain)
     }
 
     /// Returns the mean share of occupied slots of backend servers.
-    pub fn utilization(&self, now: MonoTime, servers: &[&Known]) -> f64 {
+    pub fn utilization(&self, now: MonoTime, servers: &[&ServerRecord]) -> f64 {
         let loads: Vec<f64> = servers.iter().map(|k| self.shared_load(now, k)).collect();
         mean(&loads)
     }
@@ -422,16 +425,21 @@
 
     /// Excludes backend servers that were tried, are unreachable or have a high failure
     /// rate, as long as others remain.
-    fn eligible<'a>(&self, now: MonoTime, all: &[&'a Known], tried: &[ServerId]) -> Vec<&'a Known> {
-        let untried: Vec<&Known> = all
+    fn eligible<'a>(
+        &self,
+        now: MonoTime,
+        all: &[&'a ServerRecord],
+        tried: &[ServerId],
+    ) -> Vec<&'a ServerRecord> {
+        let untried: Vec<&ServerRecord> = all
             .iter()
             .copied()
-            .filter(|k| !tried.contains(&k.said.id))
+            .filter(|k| !tried.contains(&k.announcement.id))
             .collect();
-        let reachable = |k: &&Known| self.is_reachable(now, k);
+        let reachable = |k: &&ServerRecord| self.is_reachable(now, k);
         let mean = self.mean_failure_rate(&untried);
-        let is_reliable = |k: &&Known| self.failure_rate(k) <= mean + FAILURE_EXCESS;
-        let best: Vec<&Known> = untried
+        let is_reliable = |k: &&ServerRecord| self.failure_rate(k) <= mean + FAILURE_EXCESS;
+        let best: Vec<&ServerRecord> = untried
             .iter()
             .copied()
             .filter(reachable)
@@ -440,7 +448,7 @@
         if !best.is_empty() {
             return best;
         }
-        let reachable: Vec<&Known> = untried.iter().copied().filter(reachable).collect();
+        let reachable: Vec<&ServerRecord> = untried.iter().copied().filter(reachable).collect();
         if reachable.is_empty() {
             untried
         } else {
@@ -453,11 +461,15 @@
     fn choose_by_prompt<'a>(
         &self,
         now: MonoTime,
-        eligible: &[&'a Known],
+        eligible: &[&'a ServerRecord],
         affinity: Affinity,
         params: &ChoiceParams<'_>,
-    ) -> Option<&'a Known> {
-        let slots = eligible.iter().map(|k| k.said.slots).max().unwrap_or(1);
+    ) -> Option<&'a ServerRecord> {
+        let slots = eligible
+            .iter()
+            .map(|k| k.announcement.slots)
+            .max()
+            .unwrap_or(1);
         let allowance = LOAD_ALLOWANCE / f64::from(slots.max(1));
         let loads: Vec<f64> = eligible.iter().map(|k| self.shared_load(now, k)).collect();
         let bound = mean(&loads) * (1.0 + LOAD_MARGIN) + allowance;
@@ -469,12 +481,17 @@
             *load <= bound && backlog <= MAX_PREFILL_BACKLOG
         });
         let best = within_bound.max_by_key(|(k, _)| {
-            let is_local = prefer_local && k.said.domain == params.domain;
+            let is_local = prefer_local && k.announcement.domain == params.domain;
             let is_reliable = self.doubt_rate(k, params) == 0.0;
-            (is_reliable, is_local, hash::rendezvous(&k.said.id, &key))
+            (
+                is_reliable,
+                is_local,
+                hash::rendezvous(&k.announcement.id, &key),
+            )
         });
         // A second of prefill backlog delays as many requests as a full engine.
-        let delay = |(k, load): &(&Known, f64)| load + self.prefill_backlog(now, k).as_secs_f64();
+        let delay =
+            |(k, load): &(&ServerRecord, f64)| load + self.prefill_backlog(now, k).as_secs_f64();
         let least_delayed = || with_loads().min_by(|a, b| delay(a).total_cmp(&delay(b)));
         best.or_else(least_delayed).map(|(k, _)| k)
     }
@@ -482,17 +499,17 @@
     fn choose_by_load<'a>(
         &self,
         now: MonoTime,
-        eligible: &[&'a Known],
+        eligible: &[&'a ServerRecord],
         params: &ChoiceParams<'_>,
-    ) -> Option<&'a Known> {
+    ) -> Option<&'a ServerRecord> {
         let salt = params.seed.to_string();
-        let cost = |k: &Known| {
-            let distance = if k.said.domain == params.domain {
+        let cost = |k: &ServerRecord| {
+            let distance = if k.announcement.domain == params.domain {
                 0.0
             } else {
                 CROSS_DOMAIN_COST
             };
-            let jitter = hash::unit(k.said.id.as_bytes(), &salt) * 0.05;
+            let jitter = hash::unit(k.announcement.id.as_bytes(), &salt) * 0.05;
             self.own_load(now, k) + distance + jitter + DOUBT_COST * self.doubt_rate(k, params)
         };
         let best = eligible.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
@@ -501,10 +518,10 @@
 
     /// Returns the requests on a backend server as a share of its slots, from own
     /// observations only.
-    fn own_load(&self, now: MonoTime, known: &Known) -> f64 {
-        let stats = self.servers.get(&known.said.id);
+    fn own_load(&self, now: MonoTime, known: &ServerRecord) -> f64 {
+        let stats = self.servers.get(&known.announcement.id);
         stats.map_or(0.0, |stats| {
-            stats.load(now, known.said.slots, stats.own_report)
+            stats.load(now, known.announcement.slots, stats.own_report)
         })
     }
 
@@ -513,38 +530,38 @@
     ///
     /// This only limits which backend servers are eligible and never ranks them: all
     /// entries receive it at the same time and would all choose the same one.
-    fn shared_load(&self, now: MonoTime, known: &Known) -> f64 {
-        let Some(stats) = self.servers.get(&known.said.id) else {
+    fn shared_load(&self, now: MonoTime, known: &ServerRecord) -> f64 {
+        let Some(stats) = self.servers.get(&known.announcement.id) else {
             return 0.0;
         };
-        stats.load(now, known.said.slots, stats.newest_report())
+        stats.load(now, known.announcement.slots, stats.newest_report())
     }
 
     /// Returns the time that an engine still needs for long prompts sent to it.
-    fn prefill_backlog(&self, now: MonoTime, known: &Known) -> Duration {
-        let stats = self.servers.get(&known.said.id);
+    fn prefill_backlog(&self, now: MonoTime, known: &ServerRecord) -> Duration {
+        let stats = self.servers.get(&known.announcement.id);
         stats.map_or(Duration::ZERO, |stats| stats.prefill_queue.remaining(now))
     }
 
     /// Returns the failure rate for which a backend server is avoided.
-    fn doubt_rate(&self, known: &Known, params: &ChoiceParams<'_>) -> f64 {
+    fn doubt_rate(&self, known: &ServerRecord, params: &ChoiceParams<'_>) -> f64 {
         let probes = !params.at_most_once
             && params.tried.is_empty()
             && params.seed.is_multiple_of(DOUBT_PROBE_ONE_IN);
         if self.doubts.is_empty() || probes {
             return 0.0;
         }
-        let doubt = self.doubts.get(&loads::key(&known.said.id));
+        let doubt = self.doubts.get(&loads::key(&known.announcement.id));
         doubt.copied().unwrap_or_default()
     }
 
-    fn failure_rate(&self, known: &Known) -> f64 {
+    fn failure_rate(&self, known: &ServerRecord) -> f64 {
         self.servers
-            .get(&known.said.id)
+            .get(&known.announcement.id)
             .map_or(0.0, |s| s.failure_rate)
     }
 
-    fn mean_failure_rate(&self, eligible: &[&Known]) -> f64 {
+    fn mean_failure_rate(&self, eligible: &[&ServerRecord]) -> f64 {
         let rates: Vec<f64> = eligible.iter().map(|k| self.failure_rate(k)).collect();
         mean(&rates)
     }
--- a/sesamebeam_core/src/gateway/cold.rs
+++ b/sesamebeam_core/src/gateway/cold.rs
@@ -30,10 +30,10 @@
 use super::{
     config::ColdConfig,
     directory::{
-        Known,
-        ServerId, //
+        ServerId,
+        ServerRecord, //
     },
-    entries::EntryCount,
+    entry_count::KnownEntryCount,
 };
 use crate::{
     ids::{
@@ -62,7 +62,7 @@
     /// Name of this entry, which determines the position of its turns.
     name: SmolStr,
     /// Number of entries that share the turns. There are no turns until it is known.
-    entries: EntryCount,
+    entries: KnownEntryCount,
     /// Time at which the evacuation of each failure domain last ended.
     readmitted: BTreeMap<DomainId, MonoTime>,
     /// Number of the last used turn at each backend server.
@@ -74,7 +74,7 @@
     pub fn new(name: SmolStr) -> Self {
         Self {
             name,
-            entries: EntryCount::default(),
+            entries: KnownEntryCount::default(),
             readmitted: BTreeMap::new(),
             used_turns: HashMap::new(),
         }
@@ -82,7 +82,7 @@
 
     /// Sets the number of entries.
     pub fn set_entries(&mut self, now: MonoTime, entries: u32) {
-        self.entries.hear(now, entries);
+        self.entries.record(now, entries);
     }
 
     /// Records that the evacuation of a failure domain has ended.
@@ -95,11 +95,16 @@
     /// In a failure domain whose evacuation has just ended, backend servers may have
     /// restarted a moment before. Their next announcement says so, but can take more than
     /// a second.
-    pub fn is_cold(&self, now: MonoTime, known: &Known, limits: Option<&ColdConfig>) -> bool {
+    pub fn is_cold(
+        &self,
+        now: MonoTime,
+        known: &ServerRecord,
+        limits: Option<&ColdConfig>,
+    ) -> bool {
         let Some(limits) = limits else {
             return false;
         };
-        let readmitted = self.readmitted.get(&known.said.domain);
+        let readmitted = self.readmitted.get(&known.announcement.domain);
         let may_have_restarted = readmitted.is_some_and(|at| now < *at + limits.duration);
         may_have_restarted || now < known.cold_until
     }
@@ -125,7 +130,7 @@
     /// Returns the number of this entry's turn at a backend server, if it is in progress.
     fn turn(&self, now: MonoTime, id: &ServerId, limits: &ColdConfig) -> Option<u64> {
         let rate = limits.per_second * TURN_SHARE;
-        let entries = self.entries.most();
+        let entries = self.entries.max();
         if entries == 0 || rate <= 0.0 {
             return None;
         }
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -1,15 +1,16 @@
-//! A control replica of the gateway: the replicated store, the backend servers'
-//! announcements, the entries that are told of both, and who is in the group.
+//! A control replica of the gateway. It holds the replicated store, collects the
+//! announcements of backend servers, publishes both to the entries, and manages the
+//! membership of the replica group.
 //!
-//! A process without a place in the group (one that has yet to join, or that is
-//! kept in reserve) takes announcements and passes them on, but decides nothing.
+//! A process that is not a member of the group (one that has yet to join, or a standby)
+//! accepts announcements and forwards them, but makes no decisions.
 
 mod announce;
-mod calls;
 mod group;
-mod places;
-mod telling;
-mod trial;
+mod placement;
+mod publisher;
+mod requests;
+mod rollout_monitors;
 
 use std::{
     collections::{
@@ -20,21 +21,20 @@
     time::Duration,
 };
 
-use smol_str::SmolStr;
-
-pub use calls::{
-    Answer,
-    Call, //
-};
 pub use group::Peers;
-pub use telling::MOST_IN_MESSAGE;
+pub use publisher::MAX_ANNOUNCEMENTS_PER_MESSAGE;
+pub use requests::{
+    ApiRequest,
+    ApiResponse, //
+};
+use smol_str::SmolStr;
 
 use self::{
-    announce::Confirming,
-    calls::Waiting,
-    places::Places,
-    telling::Telling,
-    trial::Trials, //
+    announce::PendingConfirmation,
+    placement::VoterPlacement,
+    publisher::Publisher,
+    requests::PendingRequest,
+    rollout_monitors::RolloutMonitors, //
 };
 use super::{
     config::ServiceId,
@@ -45,20 +45,20 @@
         Directory,
         ServerState, //
     },
-    feed::{
-        Between,
-        Held,
-        Question,
-        Reply,
-        Report,
-        Summary,
-        ToEntry, //
-    },
     limits::{
         KnownLimits,
         LimitOf, //
     },
     loads::Loads,
+    messages::{
+        CoordinatorMessage,
+        MembershipReply,
+        MembershipRequest,
+        Report,
+        StateSummary,
+        SyncState,
+        ToEntry, //
+    },
     outliers::{
         Doubt,
         OutlierDetector, //
@@ -94,187 +94,188 @@
     },
 };
 
-/// Longest time between two looks at what is due.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval of the periodic tasks.
+const PERIODIC_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Number that an entry draws at its start.
-pub type EntryLife = u64;
+/// Random number that an entry draws at startup to identify itself.
+pub type EntryId = u64;
 
 /// Settings of a coordinator.
 #[derive(Clone, Debug)]
 pub struct CoordinatorConfig {
-    /// Where this process listens for others.
+    /// Address on which this process accepts connections from other processes.
     pub addr: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of this process.
     pub domain: DomainId,
-    /// Replicas that may be lost at once; twice as many and one vote.
-    pub tolerated: usize,
-    /// Share of a service's requests that a bad version may get until the end of
-    /// its roll-out.
-    pub exposure: f64,
-    /// Longest time for an answer to a caller; it asks another replica then.
-    pub patience: Duration,
-    /// Time for which a write may stay unsynced before the disk counts as
-    /// stalled and another replica leads.
-    pub disk_patience: Duration,
+    /// Number of simultaneous replica failures to survive; the group has `2 * n + 1`
+    /// voters.
+    pub tolerated_failures: usize,
+    /// Share of a service's requests that may be exposed to a bad version by the end of its
+    /// rollout.
+    pub max_exposure: f64,
+    /// Time limit for answering a request; the caller then tries another replica.
+    pub request_timeout: Duration,
+    /// Time a write may stay unsynced before the disk counts as stalled and leadership is
+    /// handed over.
+    pub disk_stall_timeout: Duration,
 }
 
-/// What happens to a coordinator.
+/// Input to a coordinator.
 #[derive(Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// A message of another replica.
+    /// A message from another replica has arrived.
     Peer {
-        /// Its number.
+        /// Id of the sender.
         from: NodeId,
-        /// What it says.
-        message: Between,
+        /// The message.
+        message: CoordinatorMessage,
     },
-    /// A connection to another replica stands.
-    Reached(NodeId),
-    /// Where the first replicas of the settings listen for others.
+    /// A connection to another replica has been established.
+    PeerConnected(NodeId),
+    /// Addresses of the seeds, the first replicas listed in the settings.
     Seeds(BTreeSet<SocketAddr>),
     /// An entry has connected.
-    Subscribed(EntryLife),
-    /// An entry's connection has ended.
-    Unsubscribed(EntryLife),
-    /// An entry, which holds something already, is told of changes from here.
-    Follows(EntryLife, Held),
-    /// It is told from elsewhere.
-    Unfollows(EntryLife),
-    /// An entry lacks something of what is known here.
-    Lacks(EntryLife, Held),
-    /// An entry lacks what is known here of backend servers in these sections.
-    LacksSections(EntryLife, Vec<Section>),
-    /// An entry tells of backend servers.
+    EntryConnected(EntryId),
+    /// An entry's connection has closed.
+    EntryDisconnected(EntryId),
+    /// An entry with the given state subscribes to updates from this replica.
+    EntryFollows(EntryId, SyncState),
+    /// An entry has moved its subscription to another replica.
+    EntryUnfollows(EntryId),
+    /// An entry requests the updates that it is missing relative to this replica.
+    UpdateRequested(EntryId, SyncState),
+    /// An entry requests the backend servers in these sections of the directory.
+    SectionsRequested(EntryId, Vec<Section>),
+    /// An entry has sent the backend servers that it knows.
     Servers(Vec<Announcement>),
-    /// An entry reports what it has seen.
-    Reported(Report),
-    /// A process asks about the group.
-    Asked(Ticket, Question),
-    /// A caller asks for something.
-    Called(Ticket, Call),
-    /// A write is synced.
+    /// An entry has reported its observations.
+    EntryReported(Report),
+    /// A non-member process has sent a membership request.
+    MembershipRequested(Ticket, MembershipRequest),
+    /// A caller has sent a request.
+    RequestReceived(Ticket, ApiRequest),
+    /// A write has been synced.
     Synced(WriteId),
     /// The disk is full, or has space again.
     DiskFull(bool),
 }
 
-/// Entries that are told the same.
+/// Entries that a message is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Receivers {
-    /// All that are connected.
+pub enum Recipients {
+    /// All connected entries.
     All,
-    /// Only these.
-    These(Vec<EntryLife>),
+    /// Only these entries.
+    Only(Vec<EntryId>),
 }
 
-/// What a coordinator wants done.
+/// Output of a coordinator, to be carried out by its caller.
 #[derive(Debug, PartialEq)]
 pub enum Action {
-    /// Sends a message to another replica.
+    /// Send a message to another replica.
     Send {
-        /// Its number.
+        /// Id of the recipient.
         to: NodeId,
         /// The message.
-        message: Between,
+        message: CoordinatorMessage,
     },
-    /// Writes to the disk.
+    /// Write to disk.
     Write {
-        /// Number of the write.
+        /// Id of the write.
         write: WriteId,
-        /// What is written.
+        /// Operations to write.
         ops: Vec<DiskOp>,
     },
-    /// Tells a process that is no member of the group.
-    Tell {
-        /// Where it listens for others.
+    /// Send a membership request to a process outside the group.
+    SendMembershipRequest {
+        /// Address of the recipient.
         to: SocketAddr,
-        /// What it is told.
-        told: Question,
+        /// The request.
+        request: MembershipRequest,
     },
-    /// Answers a question about the group.
-    Reply(Ticket, Reply),
-    /// Answers a caller.
-    Answer(Ticket, Answer),
-    /// Tells entries.
-    Push(Receivers, ToEntry),
-    /// What this replica holds, to be said now and then to all entries.
-    Holds(Summary),
-    /// Backend servers to be kept on the disk, for the next start.
-    KeepServers(Vec<Announcement>),
-    /// The replicas of the group have changed.
+    /// Reply to a membership request.
+    ReplyMembership(Ticket, MembershipReply),
+    /// Respond to a caller.
+    Respond(Ticket, ApiResponse),
+    /// Send a message to entries.
+    Push(Recipients, ToEntry),
+    /// Summary of this replica's state for the periodic heartbeat to all entries.
+    SetSummary(StateSummary),
+    /// Save backend servers to disk for the next startup.
+    SaveServers(Vec<Announcement>),
+    /// The membership of the group has changed.
     Peers(Peers),
-    /// Something that belongs into the log.
-    Note(Note),
+    /// Write an event to the process log.
+    Log(LogEvent),
 }
 
-/// Something that belongs into the log.
+/// Event for the process log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
-    /// The role in the group.
+pub enum LogEvent {
+    /// The replica's role in the group has changed.
     Role(Role),
     /// A configuration was accepted.
     Accepted {
-        /// Its number.
+        /// Version of the configuration.
         version: u64,
-        /// Position in the log.
+        /// Position in the replicated log.
         index: LogIndex,
     },
-    /// A roll-out entered a phase, with the counts that decided.
+    /// A rollout entered a phase, with the counts behind the decision.
     Rollout {
         /// Service.
         service: ServiceId,
-        /// Version that is brought in.
+        /// Version being rolled out.
         target: SmolStr,
-        /// The phase.
+        /// The new phase.
         phase: Phase,
-        /// Good and bad answers of the new version, then of those before.
+        /// Good and bad responses of the new version, then of the previous versions.
         counts: (u32, u32, u32, u32),
     },
-    /// A failure domain is evacuated, or taken back.
+    /// A failure domain was evacuated or readmitted.
     Evacuation {
-        /// Which.
+        /// The failure domain.
         domain: DomainId,
-        /// Whether it is evacuated from now on.
+        /// Whether it is now evacuated.
         evacuated: bool,
-        /// Position in the log.
+        /// Position in the replicated log.
         index: LogIndex,
-        /// Backend servers that are known there.
+        /// Number of known backend servers in the domain that are not gone.
         servers: usize,
     },
     /// A backend server's state changed.
     Server {
-        /// Which.
+        /// Id of the backend server.
         id: SmolStr,
         /// Its service.
         service: ServiceId,
         /// When it started.
-        born: super::directory::Born,
+        started_at: super::directory::StartTime,
         /// Its state.
         state: ServerState,
-        /// Number of the announcement.
+        /// Sequence number of the announcement.
         sequence: u64,
     },
-    /// A replica is added, replaced or removed.
+    /// A replica is being added, replaced or removed.
     Membership {
-        /// Replica that joins.
+        /// Joining replica.
         joins: Option<NodeId>,
-        /// Replica that leaves.
+        /// Leaving replica.
         leaves: Option<NodeId>,
-        /// Failure domains of replicas, as far as they are known here.
+        /// Known failure domains of the replicas.
         domains: BTreeMap<NodeId, DomainId>,
     },
-    /// Limits of backend servers that have come, changed or ended.
+    /// Rate limits reported by backend servers that were added, changed or ended.
     Limits(Vec<LimitOf>),
-    /// Services that cannot serve all, with the share that is admitted.
+    /// Services short of capacity, with the share of requests that is admitted.
     Shares(Vec<ShareOf>),
-    /// Backend servers that fail more often than their service.
+    /// Backend servers that fail more often than the average of their service.
     Doubts(Vec<Doubt>),
-    /// The disk has not synced a write for long.
+    /// The disk has stalled, or has recovered.
     DiskStalled(bool),
-    /// An entry in the log cannot be read.
+    /// A log entry could not be decoded.
     Unreadable(LogIndex),
 }
 
@@ -285,19 +286,19 @@
     now: MonoTime,
     replica: Option<Replica>,
     peers: Peers,
-    /// Where processes ask that know of nobody.
+    /// Addresses that processes without any known replica connect to.
     seeds: BTreeSet<SocketAddr>,
-    /// When those of them that are no members are told of the group.
-    tell_seeds_at: MonoTime,
+    /// When seeds outside the group are next sent the membership.
+    next_seed_update_at: MonoTime,
     store: Store,
     directory: Directory,
-    telling: Telling,
-    trials: Trials,
-    places: Places,
-    /// Who leads, as a process without a place was told, and when.
-    known_leader: Option<(SocketAddr, MonoTime)>,
-    waiting: BTreeMap<Ticket, Waiting>,
-    confirming: BTreeMap<u64, Confirming>,
+    publisher: Publisher,
+    rollout_monitors: RolloutMonitors,
+    placement: VoterPlacement,
+    /// Leader as learned by a non-member process, and when.
+    leader_hint: Option<(SocketAddr, MonoTime)>,
+    pending_requests: BTreeMap<Ticket, PendingRequest>,
+    pending_confirmations: BTreeMap<u64, PendingConfirmation>,
     next_ticket: u64,
     crashes: CrashTracker,
     loads: Loads,
@@ -305,16 +306,16 @@
     pool: OutlierDetector,
     waits: FleetWaits,
     shortages: AdmissionControl,
-    look_at: MonoTime,
-    /// Write that is not synced yet, and since when.
-    writing: Option<(WriteId, MonoTime)>,
+    next_periodic_at: MonoTime,
+    /// Write that is not yet synced, and when it was issued.
+    unsynced_write: Option<(WriteId, MonoTime)>,
     disk_full: bool,
     disk_stalled: bool,
     actions: Vec<Action>,
 }
 
 impl Coordinator {
-    /// Makes a coordinator that has no place in a group yet.
+    /// Creates a coordinator that is not a member of a group yet.
     pub fn new(cfg: CoordinatorConfig, now: MonoTime) -> Self {
         Self {
             cfg,
@@ -322,15 +323,15 @@
             replica: None,
             peers: Peers::default(),
             seeds: BTreeSet::new(),
-            tell_seeds_at: now,
+            next_seed_update_at: now,
             store: Store::default(),
             directory: Directory::default(),
-            telling: Telling::default(),
-            trials: Trials::default(),
-            places: Places::default(),
-            known_leader: None,
-            waiting: BTreeMap::new(),
-            confirming: BTreeMap::new(),
+            publisher: Publisher::default(),
+            rollout_monitors: RolloutMonitors::default(),
+            placement: VoterPlacement::default(),
+            leader_hint: None,
+            pending_requests: BTreeMap::new(),
+            pending_confirmations: BTreeMap::new(),
             next_ticket: 1,
             crashes: CrashTracker::default(),
             loads: Loads::default(),
@@ -338,71 +339,73 @@
             pool: OutlierDetector::default(),
             waits: FleetWaits::default(),
             shortages: AdmissionControl::default(),
-            look_at: now,
-            writing: None,
+            next_periodic_at: now,
+            unsynced_write: None,
             disk_full: false,
             disk_stalled: false,
             actions: Vec::new(),
         }
     }
 
-    /// Takes a place in a group with what the disk holds of it.
+    /// Starts a replica of the group from its saved state.
     pub fn start(&mut self, cfg: ReplicaConfig, saved: Saved, now: MonoTime) -> Vec<Action> {
         self.now = self.now.max(now);
         let (replica, actions) = Replica::new(cfg, saved, self.now);
         self.replica = Some(replica);
-        self.telling.restart();
-        self.carry(actions);
-        self.tell();
+        self.publisher.reset_current();
+        self.execute(actions);
+        self.publish();
         std::mem::take(&mut self.actions)
     }
 
-    /// Gives its place in the group up. What it knows beside the replicated state
-    /// stays; the state comes anew with the next place.
+    /// Leaves the group. The directory and other unreplicated state are kept; the
+    /// replicated state is fetched again on the next join.
     pub fn leave(&mut self) {
         self.replica = None;
         self.store = Store::default();
-        self.waiting.clear();
-        self.writing = None;
+        self.pending_requests.clear();
+        self.unsynced_write = None;
         self.disk_full = false;
         self.disk_stalled = false;
     }
 
-    /// Handles an event at a time that never goes back.
+    /// Handles an event. `now` must not decrease between calls.
     pub fn handle(&mut self, now: MonoTime, event: Event) -> Vec<Action> {
         self.now = self.now.max(now);
         match event {
-            Event::Tick => self.step(ReplicaEvent::Tick),
-            Event::Peer { from, message } => self.peer(from, message),
-            Event::Reached(to) => self.compare_servers(to),
+            Event::Tick => self.step_replica(ReplicaEvent::Tick),
+            Event::Peer { from, message } => self.handle_peer_message(from, message),
+            Event::PeerConnected(to) => self.compare_directories(to),
             Event::Seeds(seeds) => self.seeds = seeds,
-            Event::Subscribed(life) => self.subscribe(life),
-            Event::Unsubscribed(life) => self.unsubscribe(life),
-            Event::Follows(life, held) => self.follow(life, held),
-            Event::Unfollows(life) => self.unfollow(life),
-            Event::Lacks(life, held) => self.lacks(life, held),
-            Event::LacksSections(life, sections) => self.lacks_sections(life, &sections),
-            Event::Servers(servers) => self.take_announcements(servers),
-            Event::Reported(report) => self.reported(report),
-            Event::Asked(ticket, question) => self.asked(ticket, question),
-            Event::Called(ticket, call) => self.called(ticket, call),
+            Event::EntryConnected(entry) => self.add_entry(entry),
+            Event::EntryDisconnected(entry) => self.remove_entry(entry),
+            Event::EntryFollows(entry, sync_state) => self.follow(entry, sync_state),
+            Event::EntryUnfollows(entry) => self.unfollow(entry),
+            Event::UpdateRequested(entry, sync_state) => self.request_update(entry, sync_state),
+            Event::SectionsRequested(entry, sections) => self.send_sections(entry, &sections),
+            Event::Servers(servers) => self.merge_announcements(servers),
+            Event::EntryReported(report) => self.handle_entry_report(report),
+            Event::MembershipRequested(ticket, request) => {
+                self.handle_membership_request(ticket, request)
+            }
+            Event::RequestReceived(ticket, request) => self.handle_request(ticket, request),
             Event::Synced(write) => self.synced(write),
             Event::DiskFull(full) => {
                 self.disk_full = full;
-                self.tell_disk();
+                self.update_disk_state();
             }
         }
-        self.look();
-        self.tell();
+        self.run_periodic();
+        self.publish();
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns when a [`Event::Tick`] is next needed.
+    /// Returns when the next [`Event::Tick`] is due.
     pub fn next_wake(&self) -> MonoTime {
         let replica = self.replica.as_ref().map(Replica::next_wake);
-        let told = self.telling.next_wake();
-        let wakes = [replica, told].into_iter().flatten();
-        wakes.fold(self.look_at, MonoTime::min)
+        let publish_at = self.publisher.next_wake();
+        let wakes = [replica, publish_at].into_iter().flatten();
+        wakes.fold(self.next_periodic_at, MonoTime::min)
     }
 
     /// Returns the replicated state.
@@ -410,12 +413,12 @@
         &self.store
     }
 
-    /// Returns the backend servers.
+    /// Returns the directory of backend servers.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Returns the replicas of the group, as far as this process knows.
+    /// Returns the replicas of the group as known to this process.
     pub fn peers(&self) -> &Peers {
         &self.peers
     }
@@ -427,46 +430,50 @@
             .is_some_and(|r| r.role() == Role::Leader)
     }
 
-    fn peer(&mut self, from: NodeId, message: Between) {
+    fn handle_peer_message(&mut self, from: NodeId, message: CoordinatorMessage) {
         match message {
-            Between::Log(message) => {
+            CoordinatorMessage::Log(message) => {
                 let message = *message;
-                self.step(ReplicaEvent::Message { from, message });
+                self.step_replica(ReplicaEvent::Message { from, message });
             }
-            Between::Servers(servers) => self.take_announcements(servers),
-            Between::Digests { held, domain, ask } => {
-                self.places.learn(from, domain);
-                self.compared(from, &held, ask);
+            CoordinatorMessage::Servers(servers) => self.merge_announcements(servers),
+            CoordinatorMessage::Digests {
+                digests,
+                domain,
+                reply_requested,
+            } => {
+                self.placement.set_domain(from, domain);
+                self.handle_digests(from, &digests, reply_requested);
             }
-            Between::Wants(parts) => self.tell_servers(from, parts),
-            Between::Confirm { ticket, servers } => {
-                self.take_announcements(servers);
-                let message = Between::Confirmed { ticket };
+            CoordinatorMessage::RequestBuckets(buckets) => self.send_buckets(from, buckets),
+            CoordinatorMessage::Confirm { ticket, servers } => {
+                self.merge_announcements(servers);
+                let message = CoordinatorMessage::Confirmed { ticket };
                 self.actions.push(Action::Send { to: from, message });
             }
-            Between::Confirmed { ticket } => self.confirmed(from, ticket),
-            Between::Report(report) => self.take_report(&report),
+            CoordinatorMessage::Confirmed { ticket } => self.handle_confirmation(from, ticket),
+            CoordinatorMessage::Report(report) => self.process_report(&report),
         }
     }
 
-    /// Hands an event to the replica and carries out what it wants.
-    fn step(&mut self, event: ReplicaEvent) {
+    /// Passes an event to the replica and carries out the resulting actions.
+    fn step_replica(&mut self, event: ReplicaEvent) {
         let Some(replica) = &mut self.replica else {
             return;
         };
         let actions = replica.handle(self.now, event);
-        self.carry(actions);
+        self.execute(actions);
     }
 
-    fn carry(&mut self, actions: Vec<ReplicaAction>) {
+    fn execute(&mut self, actions: Vec<ReplicaAction>) {
         for action in actions {
             match action {
                 ReplicaAction::Send { to, message } => {
-                    let message = Between::Log(Box::new(message));
+                    let message = CoordinatorMessage::Log(Box::new(message));
                     self.actions.push(Action::Send { to, message });
                 }
                 ReplicaAction::Write { write, ops } => {
-                    self.writing = Some((write, self.now));
+                    self.unsynced_write = Some((write, self.now));
                     self.actions.push(Action::Write { write, ops });
                 }
                 ReplicaAction::Apply {
@@ -474,7 +481,7 @@
                     ticket,
                     data,
                 } => self.apply(index, ticket, &data),
-                ReplicaAction::Rejected { ticket, reason } => self.rejected(ticket, reason),
+                ReplicaAction::Rejected { ticket, reason } => self.handle_rejection(ticket, reason),
                 ReplicaAction::ReadReady { ticket } => self.read_ready(ticket),
                 ReplicaAction::Changed { .. } => {}
                 ReplicaAction::TakeSnapshot { index } => self.take_snapshot(index),
@@ -488,43 +495,46 @@
     fn apply(&mut self, index: LogIndex, ticket: Option<Ticket>, data: &[u8]) {
         match postcard::from_bytes::<Command>(data) {
             Ok(command) => self.apply_command(index, command),
-            Err(_) => self.note(Note::Unreadable(index)),
+            Err(_) => self.log(LogEvent::Unreadable(index)),
         }
         if let Some(ticket) = ticket {
-            self.done(ticket);
+            self.complete_request(ticket);
         }
     }
 
     fn apply_command(&mut self, index: LogIndex, command: Command) {
-        let note = self.note_of(index, &command);
+        let event = self.log_event_for(index, &command);
         let is_config = matches!(command, Command::Apply(_));
         if !self.store.apply(index, command) {
             return;
         }
-        if let Some(note) = note {
-            self.note(note);
+        if let Some(event) = event {
+            self.log(event);
         }
-        self.trials.follow(self.now, self.store.rollouts());
-        self.note_news(index, is_config);
+        self.rollout_monitors.sync(self.now, self.store.rollouts());
+        self.mark_state_changed(index, is_config);
     }
 
-    /// Returns the line for the log if a command changes anything.
-    fn note_of(&self, index: LogIndex, command: &Command) -> Option<Note> {
+    /// Returns the log event to emit if a command changes the store.
+    fn log_event_for(&self, index: LogIndex, command: &Command) -> Option<LogEvent> {
         match command {
-            Command::Apply(document) => Some(Note::Accepted {
+            Command::Apply(document) => Some(LogEvent::Accepted {
                 version: document.version,
                 index,
             }),
-            Command::Evacuate(domain) => Some(self.evacuation(index, domain, true)),
-            Command::Readmit(domain) => Some(self.evacuation(index, domain, false)),
+            Command::Evacuate(domain) => Some(self.evacuation_event(index, domain, true)),
+            Command::Readmit(domain) => Some(self.evacuation_event(index, domain, false)),
             Command::StartRollout { .. } | Command::SetRolloutPhase { .. } => None,
         }
     }
 
-    fn evacuation(&self, index: LogIndex, domain: &DomainId, evacuated: bool) -> Note {
-        let of_domain = self.directory.all().filter(|k| k.said.domain == *domain);
-        let living = of_domain.filter(|k| k.said.state != ServerState::Gone);
-        Note::Evacuation {
+    fn evacuation_event(&self, index: LogIndex, domain: &DomainId, evacuated: bool) -> LogEvent {
+        let of_domain = self
+            .directory
+            .all()
+            .filter(|k| k.announcement.domain == *domain);
+        let living = of_domain.filter(|k| k.announcement.state != ServerState::Gone);
+        LogEvent::Evacuation {
             domain: domain.clone(),
             evacuated,
             index,
@@ -534,65 +544,65 @@
 
     fn take_snapshot(&mut self, index: LogIndex) {
         let data = postcard::to_stdvec(&self.store).unwrap_or_default();
-        self.step(ReplicaEvent::Snapshot { index, data });
+        self.step_replica(ReplicaEvent::Snapshot { index, data });
     }
 
     fn restore(&mut self, index: LogIndex, data: &[u8]) {
         match Store::decode(data) {
             Ok(store) => self.store = store,
-            Err(_) => self.note(Note::Unreadable(index)),
+            Err(_) => self.log(LogEvent::Unreadable(index)),
         }
-        self.trials.follow(self.now, self.store.rollouts());
-        self.note_news(index, true);
+        self.rollout_monitors.sync(self.now, self.store.rollouts());
+        self.mark_state_changed(index, true);
     }
 
     fn synced(&mut self, write: WriteId) {
-        self.writing.take_if(|(at, _)| *at == write);
-        self.step(ReplicaEvent::Synced { write });
-        self.tell_disk();
+        self.unsynced_write.take_if(|(at, _)| *at == write);
+        self.step_replica(ReplicaEvent::Synced { write });
+        self.update_disk_state();
     }
 
-    /// Treats a disk that has not synced for long like a full one.
+    /// Reports the disk as full if it is full or has stalled.
     ///
-    /// A leader whose disk stalls can write nothing new, so that no change is
-    /// acknowledged while the others could go on. Handing over is enough: the
-    /// others commit without this disk.
-    fn tell_disk(&mut self) {
-        let patience = self.cfg.disk_patience;
+    /// A leader whose disk stalls cannot write anything new, so no change is acknowledged
+    /// although the other replicas could go on. Handing over leadership is sufficient
+    /// because they can commit without this disk.
+    fn update_disk_state(&mut self) {
+        let timeout = self.cfg.disk_stall_timeout;
         let stalled = self
-            .writing
-            .is_some_and(|(_, since)| self.now.saturating_sub(since) > patience);
+            .unsynced_write
+            .is_some_and(|(_, since)| self.now.saturating_sub(since) > timeout);
         if stalled != self.disk_stalled {
             self.disk_stalled = stalled;
-            self.note(Note::DiskStalled(stalled));
+            self.log(LogEvent::DiskStalled(stalled));
         }
-        self.step(ReplicaEvent::DiskFull(self.disk_full || stalled));
+        self.step_replica(ReplicaEvent::DiskFull(self.disk_full || stalled));
     }
 
-    /// Does what is due whatever happened.
-    fn look(&mut self) {
-        if self.now < self.look_at {
+    /// Runs the periodic tasks if they are due.
+    fn run_periodic(&mut self) {
+        if self.now < self.next_periodic_at {
             return;
         }
-        self.look_at = self.now + LOOK_EVERY;
-        if self.writing.is_some() || self.disk_stalled {
-            self.tell_disk();
+        self.next_periodic_at = self.now + PERIODIC_INTERVAL;
+        if self.unsynced_write.is_some() || self.disk_stalled {
+            self.update_disk_state();
         }
-        self.give_up_late();
-        self.mend_group();
-        self.tell_seeds();
-        self.move_rollouts();
-        self.tell_due();
+        self.expire_requests();
+        self.remove_surplus_voter();
+        self.update_seeds();
+        self.advance_rollouts();
+        self.publish_due();
     }
 
-    fn tell_peers(&mut self, message: &Between) {
+    fn broadcast(&mut self, message: &CoordinatorMessage) {
         for to in self.peers.others() {
             let message = message.clone();
             self.actions.push(Action::Send { to, message });
         }
     }
 
-    fn note(&mut self, note: Note) {
-        self.actions.push(Action::Note(note));
+    fn log(&mut self, event: LogEvent) {
+        self.actions.push(Action::Log(event));
     }
 }
--- a/sesamebeam_core/src/gateway/coordinator/announce.rs
+++ b/sesamebeam_core/src/gateway/coordinator/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements of backend servers, and passing them on.
+//! Handling of backend server announcements and their propagation.
 
 use std::{
     collections::BTreeSet,
@@ -7,25 +7,25 @@
 
 use super::{
     Action,
-    Answer,
+    ApiResponse,
     Coordinator,
-    Note,
-    telling::WANT_EVERY, //
+    LogEvent,
+    publisher::PULL_RETRY_DELAY, //
 };
 use crate::{
     gateway::{
         config::ServiceId,
         digests::{
+            BucketSet, //
             Digests,
-            Parts, //
         },
         directory::{
             Announcement,
-            BORN_UNKNOWN,
-            Born,
+            START_TIME_UNKNOWN,
             ServerState, //
+            StartTime,
         },
-        feed::Between,
+        messages::CoordinatorMessage,
     },
     ids::{
         MonoTime,
@@ -35,228 +35,247 @@
     replica::Ticket,
 };
 
-/// An announcement that waits until the other replicas have it.
+/// An announcement that is being confirmed by other replicas.
 #[derive(Debug)]
-pub(super) struct Confirming {
-    /// Who is answered then.
+pub(super) struct PendingConfirmation {
+    /// Request to respond to afterwards.
     ticket: Ticket,
-    /// Replicas that have it.
-    by: BTreeSet<NodeId>,
-    /// Number of other replicas that must have it.
-    wanted: usize,
-    /// When it is given up.
-    until: MonoTime,
+    /// Replicas that have confirmed it.
+    confirmed_by: BTreeSet<NodeId>,
+    /// Number of confirmations required.
+    required: usize,
+    /// When the request is abandoned.
+    deadline: MonoTime,
 }
 
 impl Coordinator {
-    /// Takes announcements that came by way of others.
-    pub(super) fn take_announcements(&mut self, servers: Vec<Announcement>) {
-        let mut news = Vec::new();
-        for said in servers {
-            if self.learn(said.clone()) {
-                self.note_server(&said);
-                news.push(said);
+    /// Merges announcements received through another process.
+    pub(super) fn merge_announcements(&mut self, servers: Vec<Announcement>) {
+        let mut changed = Vec::new();
+        for announcement in servers {
+            if self.merge_announcement(announcement.clone()) {
+                self.log_server(&announcement);
+                changed.push(announcement);
             }
         }
-        self.tell_servers_soon(news);
+        self.queue_announcements(changed);
     }
 
-    /// Takes an announcement and returns whether it tells anything new. Which
-    /// services there are shows by their other backend servers.
-    fn learn(&mut self, said: Announcement) -> bool {
-        let is_named = self.directory.has_other(&said);
-        self.directory.take(self.now, said, is_named)
+    /// Merges an announcement and returns whether it contains anything new. A service
+    /// counts as existing if the directory knows another backend server of it.
+    fn merge_announcement(&mut self, announcement: Announcement) -> bool {
+        let service_exists = self.directory.has_other_server(&announcement);
+        self.directory.merge(self.now, announcement, service_exists)
     }
 
-    /// Compares with a replica that can be reached now what both know of backend servers.
+    /// Compares directories with a replica that has just become reachable.
     ///
-    /// What was announced here while there was no connection went nowhere, and is
-    /// no news when it is announced again. After all processes had been started
-    /// anew, 20 of 78 engines stood unused for good: the replica that they had
-    /// reported to was a moment ahead of its connections. A process in reserve tells all
-    /// that it knows, which is what it was told itself: members have no connection to it.
-    pub(super) fn compare_servers(&mut self, to: NodeId) {
+    /// An announcement received here while there was no connection was forwarded to nobody,
+    /// and repeating it later is not treated as news. After a full restart, 20 of 78
+    /// backend servers stayed unused permanently because the replica they had announced
+    /// themselves to was slightly ahead of its connections. A standby process sends
+    /// everything it knows, which consists of announcements made to it directly: members
+    /// have no connection to it over which they could ask.
+    pub(super) fn compare_directories(&mut self, to: NodeId) {
         if self.peers.is_member() {
-            self.tell_digests(to, true);
+            self.send_digests(to, true);
         } else {
-            self.tell_servers(to, Parts::ALL);
+            self.send_buckets(to, BucketSet::ALL);
         }
     }
 
-    /// Takes what another replica holds, and asks it for what this one lacks.
+    /// Compares the received digests with the local directory and requests the buckets that
+    /// differ.
     ///
-    /// Of several that hold the same only one is asked. Told all by each, a replica that
-    /// starts among 24 would take each backend server 24 times.
-    pub(super) fn compared(&mut self, from: NodeId, held: &Digests, ask: bool) {
-        let differing = self.directory.digests().differing(held);
+    /// If several replicas hold the same data, only one of them is asked. If each sent
+    /// everything, a replica that starts in a group of 24 would receive every backend
+    /// server 24 times.
+    pub(super) fn handle_digests(
+        &mut self,
+        from: NodeId,
+        digests: &Digests,
+        reply_requested: bool,
+    ) {
+        let differing = self.directory.digests().differing_buckets(digests);
         if differing.is_empty() {
             return;
         }
-        if ask {
-            self.tell_digests(from, false);
+        if reply_requested {
+            self.send_digests(from, false);
         }
-        let (wanted, later) = self.claim_parts(differing, held.filled());
-        if !wanted.is_empty() {
-            let message = Between::Wants(wanted);
+        let (requested, postponed) = self.claim_buckets(differing, digests.non_empty_buckets());
+        if !requested.is_empty() {
+            let message = CoordinatorMessage::RequestBuckets(requested);
             self.actions.push(Action::Send { to: from, message });
         }
-        if later {
-            self.telling.compare_at.insert(from, self.now + WANT_EVERY);
+        if postponed {
+            self.publisher
+                .next_comparison_at
+                .insert(from, self.now + PULL_RETRY_DELAY);
         }
     }
 
-    /// Tells a replica of the backend servers in some parts of the directory.
-    pub(super) fn tell_servers(&mut self, to: NodeId, parts: Parts) {
-        let servers: Vec<Announcement> = self.directory.tell_parts(self.now, parts).collect();
+    /// Sends a replica the backend servers in some buckets of the directory.
+    pub(super) fn send_buckets(&mut self, to: NodeId, buckets: BucketSet) {
+        let servers: Vec<Announcement> = self
+            .directory
+            .announcements_in_buckets(self.now, buckets)
+            .collect();
         if !servers.is_empty() {
-            let message = Between::Servers(servers);
+            let message = CoordinatorMessage::Servers(servers);
             self.actions.push(Action::Send { to, message });
         }
     }
 
-    /// Compares once more with the replicas that were not asked while others were.
-    pub(super) fn compare_due(&mut self) {
-        let (now, due) = (self.now, &mut self.telling.compare_at);
+    /// Repeats the comparison with replicas that were skipped while another one was being
+    /// asked.
+    pub(super) fn repeat_comparisons(&mut self) {
+        let (now, due) = (self.now, &mut self.publisher.next_comparison_at);
         let due: Vec<NodeId> = due
             .extract_if(.., |_, at| *at <= now)
             .map(|d| d.0)
             .collect();
         for to in due {
-            self.compare_servers(to);
+            self.compare_directories(to);
         }
     }
 
-    fn tell_digests(&mut self, to: NodeId, ask: bool) {
-        let message = Between::Digests {
-            held: self.directory.digests().clone(),
+    fn send_digests(&mut self, to: NodeId, reply_requested: bool) {
+        let message = CoordinatorMessage::Digests {
+            digests: self.directory.digests().clone(),
             domain: self.cfg.domain.clone(),
-            ask,
+            reply_requested,
         };
         self.actions.push(Action::Send { to, message });
     }
 
-    /// Takes an announcement from a backend server itself.
+    /// Handles an announcement made by a backend server directly.
     ///
-    /// One that leaves is answered only once most other replicas have it as
-    /// well. Otherwise an entry that is connected to them alone would go on
-    /// sending it work after it was told that it is free to go.
-    pub(super) fn announced(&mut self, ticket: Ticket, said: Announcement) {
-        let news = self.learn(said.clone());
-        let leaves = said.state != ServerState::Ready;
-        let known = self.directory.get(&said.id);
-        let told = known.map_or(said, |k| k.tell(self.now));
-        if news {
-            self.note_server(&told);
-            self.tell_servers_soon([told.clone()]);
+    /// A backend server that is leaving gets its response only once most other replicas
+    /// have the announcement too. Otherwise an entry that is connected only to those
+    /// replicas would keep sending it requests after it was told that it may exit.
+    pub(super) fn handle_announcement(&mut self, ticket: Ticket, announcement: Announcement) {
+        let is_new = self.merge_announcement(announcement.clone());
+        let is_leaving = announcement.state != ServerState::Ready;
+        let record = self.directory.get(&announcement.id);
+        let current = record.map_or(announcement, |k| k.to_announcement(self.now));
+        if is_new {
+            self.log_server(&current);
+            self.queue_announcements([current.clone()]);
         }
-        if leaves {
-            self.confirm(ticket, told);
+        if is_leaving {
+            self.request_confirmation(ticket, current);
             return;
         }
-        if news {
-            self.tell_peers(&Between::Servers(vec![told]));
+        if is_new {
+            self.broadcast(&CoordinatorMessage::Servers(vec![current]));
         }
-        self.actions.push(Action::Answer(ticket, Answer::Done));
+        self.actions
+            .push(Action::Respond(ticket, ApiResponse::Done));
     }
 
-    /// Takes the word of a backend server that it leaves, by its id and, if it
-    /// says, when it started. An older life of it leaves in vain.
+    /// Handles the notice of a backend server that it is leaving, identified by its id and
+    /// optionally its start time. A notice from an older incarnation is ignored.
     ///
-    /// One that is unknown here may be known to all others: this replica has just
-    /// started, or has no place in the group. Said yes to without telling them,
-    /// it left while entries went on sending it work, 41 requests in one case.
-    pub(super) fn left(&mut self, ticket: Ticket, id: &str, born: Option<Born>) {
-        let said = match self.directory.leave(self.now, id, born) {
-            Some(said) => said,
+    /// A backend server that is unknown here may be known to all other replicas, because
+    /// this replica has just started or is not a member. When such a notice was
+    /// acknowledged without informing the others, entries kept sending requests to a server
+    /// that had exited; 41 requests were lost in one case.
+    pub(super) fn handle_leave(&mut self, ticket: Ticket, id: &str, started_at: Option<StartTime>) {
+        let announcement = match self.directory.mark_gone(self.now, id, started_at) {
+            Some(announcement) => announcement,
             None => {
-                let said = gone(id, born.unwrap_or(BORN_UNKNOWN));
-                if !self.learn(said.clone()) {
-                    self.actions.push(Action::Answer(ticket, Answer::Done));
+                let announcement = gone_announcement(id, started_at.unwrap_or(START_TIME_UNKNOWN));
+                if !self.merge_announcement(announcement.clone()) {
+                    self.actions
+                        .push(Action::Respond(ticket, ApiResponse::Done));
                     return;
                 }
-                said
+                announcement
             }
         };
-        self.note_server(&said);
-        self.tell_servers_soon([said.clone()]);
-        self.confirm(ticket, said);
+        self.log_server(&announcement);
+        self.queue_announcements([announcement.clone()]);
+        self.request_confirmation(ticket, announcement);
     }
 
-    /// Notes that a replica has what it was asked to confirm.
-    pub(super) fn confirmed(&mut self, from: NodeId, number: u64) {
-        let Some(confirming) = self.confirming.get_mut(&number) else {
+    /// Records that a replica has confirmed an announcement.
+    pub(super) fn handle_confirmation(&mut self, from: NodeId, number: u64) {
+        let Some(confirming) = self.pending_confirmations.get_mut(&number) else {
             return;
         };
-        confirming.by.insert(from);
-        if confirming.by.len() >= confirming.wanted {
+        confirming.confirmed_by.insert(from);
+        if confirming.confirmed_by.len() >= confirming.required {
             let ticket = confirming.ticket;
-            self.confirming.remove(&number);
-            self.actions.push(Action::Answer(ticket, Answer::Done));
+            self.pending_confirmations.remove(&number);
+            self.actions
+                .push(Action::Respond(ticket, ApiResponse::Done));
         }
     }
 
-    /// Gives up announcements that others did not confirm in time; the backend
-    /// server asks another replica.
-    pub(super) fn give_up_confirming(&mut self) {
+    /// Abandons announcements that were not confirmed in time; the backend server then
+    /// tries another replica.
+    pub(super) fn expire_confirmations(&mut self) {
         let now = self.now;
-        let late: Vec<u64> = self
-            .confirming
+        let expired: Vec<u64> = self
+            .pending_confirmations
             .iter()
-            .filter(|(_, c)| now >= c.until)
+            .filter(|(_, c)| now >= c.deadline)
             .map(|(&number, _)| number)
             .collect();
-        for number in late {
-            if let Some(c) = self.confirming.remove(&number) {
+        for number in expired {
+            if let Some(c) = self.pending_confirmations.remove(&number) {
                 self.actions
-                    .push(Action::Answer(c.ticket, Answer::Unavailable));
+                    .push(Action::Respond(c.ticket, ApiResponse::Unavailable));
             }
         }
     }
 
-    fn confirm(&mut self, ticket: Ticket, said: Announcement) {
-        // Others do not confirm anything to a process that is no member.
+    fn request_confirmation(&mut self, ticket: Ticket, announcement: Announcement) {
+        // Replicas do not confirm announcements of a non-member.
         if !self.peers.is_member() {
-            let answer = self.elsewhere();
-            self.actions.push(Action::Answer(ticket, answer));
+            let response = self.redirect();
+            self.actions.push(Action::Respond(ticket, response));
             return;
         }
-        let wanted = self.peers.count() / 2;
-        if wanted == 0 {
-            self.actions.push(Action::Answer(ticket, Answer::Done));
+        let required = self.peers.count() / 2;
+        if required == 0 {
+            self.actions
+                .push(Action::Respond(ticket, ApiResponse::Done));
             return;
         }
         let number = self.next_ticket;
         self.next_ticket += 1;
-        let confirming = Confirming {
+        let confirming = PendingConfirmation {
             ticket,
-            by: BTreeSet::new(),
-            wanted,
-            until: self.now + self.cfg.patience,
+            confirmed_by: BTreeSet::new(),
+            required,
+            deadline: self.now + self.cfg.request_timeout,
         };
-        self.confirming.insert(number, confirming);
-        self.tell_peers(&Between::Confirm {
+        self.pending_confirmations.insert(number, confirming);
+        self.broadcast(&CoordinatorMessage::Confirm {
             ticket: number,
-            servers: vec![said],
+            servers: vec![announcement],
         });
     }
 
-    fn note_server(&mut self, said: &Announcement) {
-        self.note(Note::Server {
-            id: said.id.clone(),
-            service: said.service.clone(),
-            born: said.born,
-            state: said.state,
-            sequence: said.sequence,
+    fn log_server(&mut self, announcement: &Announcement) {
+        self.log(LogEvent::Server {
+            id: announcement.id.clone(),
+            service: announcement.service.clone(),
+            started_at: announcement.started_at,
+            state: announcement.state,
+            sequence: announcement.sequence,
         });
     }
 }
 
-/// Returns the announcement of a backend server that left and of which nothing
-/// else is known.
-fn gone(id: &str, born: Born) -> Announcement {
+/// Returns the announcement of a backend server that has left and about which nothing else
+/// is known.
+fn gone_announcement(id: &str, started_at: StartTime) -> Announcement {
     Announcement {
         id: id.into(),
-        born,
+        started_at,
         service: ServiceId::default(),
         addr: ServerAddr::from(([0, 0, 0, 0], 0)),
         domain: Default::default(),
--- a/sesamebeam_core/src/gateway/coordinator/group.rs
+++ b/sesamebeam_core/src/gateway/coordinator/group.rs
@@ -1,4 +1,4 @@
-//! Who is in the group, and mending it without an operator.
+//! Membership of the replica group and its automatic repair.
 
 use std::{
     collections::BTreeMap,
@@ -9,12 +9,12 @@
 use super::{
     Action,
     Coordinator,
-    Note, //
+    LogEvent, //
 };
 use crate::{
-    gateway::feed::{
-        Question,
-        Reply, //
+    gateway::messages::{
+        MembershipReply, //
+        MembershipRequest,
     },
     ids::{
         DomainId,
@@ -32,27 +32,27 @@
     },
 };
 
-/// Silence after which a replica's place may be given to another that asks for
-/// one. Longer than a restart takes, well within the time in which a replaced
-/// replica must be back in full.
-const SILENT_FOR: Duration = Duration::from_secs(2);
+/// Silence after which a replica may be replaced by a process that asks to join. It is
+/// longer than a restart takes, and well within the time in which a replaced replica must
+/// be fully operational again.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause between two times that seeds without a place are told of the group.
-/// Entries that know of nobody else ask them; with this and the round trip they
-/// are served again within a second, an eighth of the shortest time that users
-/// give a recovery. Each time costs the leader one connection to each such seed.
-const TELL_SEEDS_EVERY: Duration = Duration::from_millis(500);
+/// Interval at which seeds outside the group are sent the membership. Entries that know no
+/// other process ask the seeds; with this interval plus the round trip they are served
+/// again within a second, an eighth of the shortest recovery time that users specify. Each
+/// round costs the leader one connection per such seed.
+const SEED_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time for which a process in reserve sends callers to the leader that it asked last: a
-/// few of its rounds of questions, within which a lost leader has a successor.
-const LEADER_KNOWN_FOR: Duration = Duration::from_millis(1000);
+/// Time for which a standby process redirects callers to the last known leader: a few of
+/// its polling rounds, within which a lost leader has a successor.
+const LEADER_HINT_TTL: Duration = Duration::from_millis(1000);
 
-/// Replicas of a group with their addresses.
+/// Replicas of a group and their addresses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Peers {
-    /// This process, if it has a number.
+    /// Id of this process, if it has one.
     own: Option<NodeId>,
-    /// Where each listens.
+    /// Listen address of each replica.
     addrs: BTreeMap<NodeId, SocketAddr>,
 }
 
@@ -62,7 +62,7 @@
         self.addrs.values().copied().collect()
     }
 
-    /// Returns where a replica listens.
+    /// Returns the address of a replica.
     pub fn addr(&self, node: NodeId) -> Option<SocketAddr> {
         self.addrs.get(&node).copied()
     }
@@ -77,12 +77,12 @@
         self.addrs.len()
     }
 
-    /// Returns whether this process is one of them.
+    /// Returns whether this process is a member.
     pub(super) fn is_member(&self) -> bool {
         self.own.is_some_and(|own| self.addrs.contains_key(&own))
     }
 
-    /// Returns the numbers of the others.
+    /// Returns the ids of the other replicas.
     pub(super) fn others(&self) -> Vec<NodeId> {
         let nodes = self.addrs.keys().copied();
         nodes.filter(|&node| Some(node) != self.own).collect()
@@ -90,7 +90,8 @@
 }
 
 impl Coordinator {
-    /// Takes what another process told of the group, for one that is no member.
+    /// Sets the replicas as reported by another process, unless this process knows the
+    /// members itself.
     pub fn learn_peers(&mut self, peers: impl IntoIterator<Item = (NodeId, SocketAddr)>) {
         if self
             .replica
@@ -103,17 +104,17 @@
         }
     }
 
-    /// Takes which process leads the group, as that one has answered itself.
+    /// Records the address of a process that has reported itself as the leader.
     pub fn learn_leader(&mut self, now: MonoTime, leader: SocketAddr) {
-        self.known_leader = Some((leader, now));
+        self.leader_hint = Some((leader, now));
     }
 
-    /// Returns this process's number, if it has one.
+    /// Returns the replica id of this process, if it has one.
     pub fn id(&self) -> Option<NodeId> {
         self.replica.as_ref().map(Replica::id)
     }
 
-    /// Returns whether this process has a place in the group as it knows it.
+    /// Returns whether this process is a member of the group according to its own state.
     pub fn is_member(&self) -> bool {
         let own = self.replica.as_ref();
         own.is_some_and(|r| r.members().get(r.id()).is_some())
@@ -124,18 +125,18 @@
         self.replica.as_ref().is_some_and(|r| r.leader().is_some())
     }
 
-    /// Answers a question about the group.
-    pub(super) fn asked(&mut self, ticket: Ticket, question: Question) {
-        let reply = match (&self.replica, question) {
-            (_, Question::Told { replicas, .. }) => {
+    /// Handles a membership request.
+    pub(super) fn handle_membership_request(&mut self, ticket: Ticket, request: MembershipRequest) {
+        let reply = match (&self.replica, request) {
+            (_, MembershipRequest::Members { replicas, .. }) => {
                 self.learn_peers(replicas);
-                Reply::None
+                MembershipReply::None
             }
-            (None, _) => Reply::None,
-            (Some(_), Question::Group) => self.group_reply(),
+            (None, _) => MembershipReply::None,
+            (Some(_), MembershipRequest::Group) => self.membership_reply(),
             (
                 Some(_),
-                Question::Join {
+                MembershipRequest::Join {
                     node,
                     incarnation,
                     addr,
@@ -143,111 +144,120 @@
                 },
             ) => self.join(node, incarnation, addr, domain),
         };
-        self.actions.push(Action::Reply(ticket, reply));
+        self.actions.push(Action::ReplyMembership(ticket, reply));
     }
 
-    /// Follows a change of the membership.
+    /// Applies a membership change.
     pub(super) fn members_changed(&mut self, members: &Members) {
         let own = self.replica.as_ref().map(|r| r.id());
-        self.places.retain(|node| members.get(node).is_some());
+        self.placement.retain(|node| members.get(node).is_some());
         let addr = |(&node, m): (&NodeId, &crate::replica::Member)| Some((node, m.addr?));
         let addrs = members.members.iter().filter_map(addr).collect();
         self.set_peers(Peers { own, addrs });
     }
 
-    /// Notes a change of role.
+    /// Handles a change of role.
     pub(super) fn role_changed(&mut self, role: Role) {
-        self.note(Note::Role(role));
+        self.log(LogEvent::Role(role));
         if role == Role::Leader {
-            self.tell_seeds_at = self.now;
-            self.trials.follow(self.now, self.store.rollouts());
+            self.next_seed_update_at = self.now;
+            self.rollout_monitors.sync(self.now, self.store.rollouts());
         }
     }
 
-    /// Returns where the leader listens. A process in reserve knows it from its answers.
+    /// Returns the address of the leader. A standby process knows it from the leader's
+    /// replies.
     pub(super) fn leader_addr(&self) -> Option<SocketAddr> {
         if self.is_member() {
             let replica = self.replica.as_ref()?;
             return self.peers.addr(replica.leader()?);
         }
-        let (leader, at) = self.known_leader?;
-        (self.now < at + LEADER_KNOWN_FOR).then_some(leader)
+        let (leader, at) = self.leader_hint?;
+        (self.now < at + LEADER_HINT_TTL).then_some(leader)
     }
 
-    /// Tells seeds without a place who is in the group.
+    /// Sends the membership to seeds that are not members.
     ///
-    /// Over time other processes take the places of seeds. When all processes
-    /// have lost their power then, with the disks of some, every process that
-    /// starts without a place asks the seeds, and none of them knows the members:
-    /// the group led and committed, and no entry ever heard of it. The leader
-    /// knows the seeds from its settings, so that it is the one to speak first.
-    pub(super) fn tell_seeds(&mut self) {
+    /// Over time other processes replace the seeds as members. If all processes then lose
+    /// power, and some of them their disks, every process that starts as a non-member asks
+    /// the seeds, and none of these knows the members: the group had a leader and
+    /// committed, but no entry ever learned of it. The leader knows the seeds from its
+    /// settings, so it contacts them first.
+    pub(super) fn update_seeds(&mut self) {
         let Some(replica) = &self.replica else {
             return;
         };
-        if !replica.has_lease(self.now) || self.now < self.tell_seeds_at {
+        if !replica.has_lease(self.now) || self.now < self.next_seed_update_at {
             return;
         }
-        self.tell_seeds_at = self.now + TELL_SEEDS_EVERY;
-        let told = Question::Told {
+        self.next_seed_update_at = self.now + SEED_UPDATE_INTERVAL;
+        let request = MembershipRequest::Members {
             group: replica.group(),
             replicas: self.peers.all().collect(),
         };
         let members = self.peers.addrs();
         for &to in self.seeds.iter().filter(|seed| !members.contains(seed)) {
-            let told = told.clone();
-            self.actions.push(Action::Tell { to, told });
+            let request = request.clone();
+            self.actions
+                .push(Action::SendMembershipRequest { to, request });
         }
     }
 
-    /// Takes out a silent replica that is not needed any more.
+    /// Removes a silent voter that is no longer needed.
     ///
-    /// A replica that was added before its forerunner left makes the group one
-    /// larger; kept, the forerunner would count as a loss for ever.
-    pub(super) fn mend_group(&mut self) {
+    /// A replica that was added before its predecessor was removed makes the group one
+    /// larger. If the predecessor stayed, it would permanently count as a failed voter.
+    pub(super) fn remove_surplus_voter(&mut self) {
         if !self.leads() {
             return;
         }
         let voters = self.voters();
-        if voters.len() <= self.wanted() {
+        if voters.len() <= self.target_voters() {
             return;
         }
         if let Some(gone) = self.silent_voter() {
             let change = MemberChange::Remove { node: gone };
-            self.change(change, None, Some(gone));
+            self.change_members(change, None, Some(gone));
         }
     }
 
-    /// Gives a process a place in the group, if there is one.
+    /// Admits a process to the group if there is a vacancy.
     fn join(
         &mut self,
         node: NodeId,
         incarnation: u128,
         addr: SocketAddr,
         domain: DomainId,
-    ) -> Reply {
+    ) -> MembershipReply {
         let Some(replica) = self.replica.as_ref().filter(|_| self.leads()) else {
-            return self.group_reply();
+            return self.membership_reply();
         };
         if replica.members().get(node).is_some() {
-            return Reply::Joining;
+            return MembershipReply::Joining;
         }
         let addr = Some(addr);
         let members = &replica.members().members;
-        let same_place = members
+        let same_addr = members
             .iter()
             .find(|(_, m)| m.addr == addr)
             .map(|(&n, _)| n);
-        let gone = same_place.or_else(|| self.silent_voter());
-        self.places.learn(replica.id(), self.cfg.domain.clone());
-        let placed = self.placed();
-        let lacks_replicas = placed.len() < self.wanted();
-        let is_free = gone.is_some() || lacks_replicas;
-        let stay = placed.iter().filter(|&&node| Some(node) != gone);
-        if same_place.is_none() && !self.places.admits(self.now, &domain, is_free, stay) {
-            return self.group_reply();
+        let gone = same_addr.or_else(|| self.silent_voter());
+        self.placement
+            .set_domain(replica.id(), self.cfg.domain.clone());
+        let voters_and_joining = self.voters_and_joining();
+        let lacks_replicas = voters_and_joining.len() < self.target_voters();
+        let is_vacant = gone.is_some() || lacks_replicas;
+        let remaining = voters_and_joining
+            .iter()
+            .filter(|&&node| Some(node) != gone);
+        if same_addr.is_none()
+            && !self
+                .placement
+                .may_join(self.now, &domain, is_vacant, remaining)
+        {
+            return self.membership_reply();
         }
-        self.places.learn(node, domain);
+        self.placement.set_domain(node, domain);
         let change = match gone {
             Some(gone) => MemberChange::Replace {
                 gone,
@@ -261,38 +271,45 @@
                 addr,
                 promote: true,
             },
-            None => return self.group_reply(),
+            None => return self.membership_reply(),
         };
-        self.change(change, Some(node), gone);
-        Reply::Joining
+        self.change_members(change, Some(node), gone);
+        MembershipReply::Joining
     }
 
-    fn change(&mut self, change: MemberChange, joins: Option<NodeId>, leaves: Option<NodeId>) {
-        let ticket = self.own_ticket();
-        self.note(Note::Membership {
+    fn change_members(
+        &mut self,
+        change: MemberChange,
+        joins: Option<NodeId>,
+        leaves: Option<NodeId>,
+    ) {
+        let ticket = self.internal_ticket();
+        self.log(LogEvent::Membership {
             joins,
             leaves,
-            domains: self.places.domains().clone(),
+            domains: self.placement.domains().clone(),
         });
-        self.step(ReplicaEvent::Change { ticket, change });
+        self.step_replica(ReplicaEvent::Change { ticket, change });
     }
 
-    fn group_reply(&self) -> Reply {
+    fn membership_reply(&self) -> MembershipReply {
         let Some(replica) = &self.replica else {
-            return Reply::None;
+            return MembershipReply::None;
         };
-        Reply::Group {
+        MembershipReply::Group {
             group: replica.group(),
             replicas: self.peers.addrs.iter().map(|(&n, &a)| (n, a)).collect(),
             leads: replica.has_lease(self.now),
         }
     }
 
-    /// Returns the voter that has been silent for longest, if it is for long.
+    /// Returns the voter that has been silent for longest, if beyond the timeout.
     fn silent_voter(&self) -> Option<NodeId> {
         let replica = self.replica.as_ref()?;
         let progress = replica.progress(self.now);
-        let silent = progress.iter().filter(|s| s.voter && s.silent > SILENT_FOR);
+        let silent = progress
+            .iter()
+            .filter(|s| s.voter && s.silent > SILENCE_TIMEOUT);
         silent
             .max_by_key(|s| s.silent)
             .map(|s: &ReplicaStatus| s.node)
@@ -306,17 +323,18 @@
         members.unwrap_or_default()
     }
 
-    /// Returns the replicas that vote, and those that are being let in.
-    fn placed(&self) -> Vec<NodeId> {
+    /// Returns the voters and the replicas that are joining.
+    fn voters_and_joining(&self) -> Vec<NodeId> {
         let progress = self.replica.as_ref().map(|r| r.progress(self.now));
-        let placed = progress.into_iter().flatten();
-        let placed = placed.filter(|s| s.voter || s.silent <= SILENT_FOR);
-        placed.map(|s| s.node).collect()
+        let voters_and_joining = progress.into_iter().flatten();
+        let voters_and_joining =
+            voters_and_joining.filter(|s| s.voter || s.silent <= SILENCE_TIMEOUT);
+        voters_and_joining.map(|s| s.node).collect()
     }
 
-    /// Returns how many replicas should vote.
-    fn wanted(&self) -> usize {
-        2 * self.cfg.tolerated + 1
+    /// Returns the intended number of voters.
+    fn target_voters(&self) -> usize {
+        2 * self.cfg.tolerated_failures + 1
     }
 
     fn set_peers(&mut self, peers: Peers) {
@@ -325,6 +343,6 @@
         }
         self.peers = peers.clone();
         self.actions.push(Action::Peers(peers));
-        self.tell_fleet();
+        self.publish_fleet();
     }
 }
--- a/sesamebeam_core/src/gateway/crashes.rs
+++ b/sesamebeam_core/src/gateway/crashes.rs
@@ -11,8 +11,8 @@
 };
 
 use super::{
-    directory::Life,
-    feed::Crash, //
+    directory::ServerIncarnation,
+    messages::Crash, //
 };
 use crate::ids::Digest;
 
@@ -27,7 +27,7 @@
 /// Crashed backend servers by running request.
 #[derive(Clone, Debug, Default)]
 pub struct CrashTracker {
-    tracked: VecDeque<(Digest, BTreeSet<Life>)>,
+    tracked: VecDeque<(Digest, BTreeSet<ServerIncarnation>)>,
 }
 
 impl CrashTracker {
--- a/sesamebeam_core/src/gateway/directory.rs
+++ b/sesamebeam_core/src/gateway/directory.rs
@@ -1,8 +1,8 @@
-//! What backend servers say of themselves.
+//! Directory of backend servers, built from their announcements.
 //!
-//! Announcements reach any control replica, are passed on to all of them and to
-//! every entry, and arrive in any order. Their sequence numbers make merging
-//! them independent of the order.
+//! An announcement is made to any control replica, forwarded to all replicas and entries,
+//! and may arrive in any order. Sequence numbers make the result of merging independent of
+//! that order.
 
 mod index;
 
@@ -19,19 +19,19 @@
 use smol_str::SmolStr;
 
 use self::index::Index;
-pub(super) use self::index::Indexed;
+pub(super) use self::index::IndexedServer;
 pub use self::index::{
-    Group,
+    ServerGroup,
     Window, //
 };
 use super::{
     config::ServiceId,
     digests::{
         self,
+        BucketSet,
         Digests,
-        PartDetail,
-        Parts,
         Section, //
+        SectionDigests,
     },
     loads::ServerKey, //
 };
@@ -41,296 +41,319 @@
     MonoTime, //
 };
 
-/// Name of a backend server. One that starts again may have another or the same.
+/// Id of a backend server. A restarted server may have the same id or another one.
 pub type ServerId = SmolStr;
 
-/// When a backend server started, in Unix milliseconds by its own clock; 0 if it
-/// does not say.
-pub type Born = u64;
+/// Start time of a backend server in Unix milliseconds by its own clock; 0 if it does not
+/// provide one.
+pub type StartTime = u64;
 
-/// Start of a life that left and of which nothing else is known: no announcement
-/// of that name may bring it back.
-pub const BORN_UNKNOWN: Born = Born::MAX;
+/// Start time of an incarnation that left and about which nothing else is known. No
+/// announcement with the same id can bring it back.
+pub const START_TIME_UNKNOWN: StartTime = StartTime::MAX;
 
-/// One life of a backend server. What it holds, and the numbers of what it says,
-/// end with it.
+/// One incarnation of a backend server. Its state and its sequence numbers end with it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
-    /// Its name.
+pub struct ServerIncarnation {
+    /// Id of the backend server.
     pub id: ServerId,
-    /// When it started.
-    pub born: Born,
+    /// Start time.
+    pub started_at: StartTime,
 }
 
-/// Lives that have ended and are remembered, so that a late announcement does
-/// not bring one back. 8,192 are an hour of replacing two a second; each takes
-/// some 200 bytes.
-const MAX_ENDED: usize = 8192;
+/// Number of ended incarnations that are remembered, so that a late announcement does not
+/// revive one. 8,192 cover an hour at two replacements per second; each takes about 200
+/// bytes.
+const MAX_GONE: usize = 8192;
 
-/// By how much longer a backend server must be cold than it said before for that to
-/// be news: more than what delays announcements on a lossy way, less than the time for
-/// which any stays cold.
+/// How much later than previously announced the end of the cold phase must be to count as
+/// news. It exceeds the delay of announcements over a lossy network, and is less than any
+/// cold phase.
 const COLD_MARGIN: Duration = Duration::from_millis(1000);
 
-/// Whether a backend server takes work.
+/// Whether a backend server accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServerState {
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Leaves soon and takes no new work.
+    /// Will leave soon and accepts no new requests.
     Draining,
-    /// Has left, or is about to without another word.
+    /// Has left, or may leave without further notice.
     Gone,
 }
 
-/// What a backend server said of itself.
+/// Announcement of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Name of the backend server.
+    /// Id of the backend server.
     pub id: ServerId,
-    /// When this life of it started.
-    pub born: Born,
+    /// Start time of this incarnation.
+    pub started_at: StartTime,
     /// Service that it belongs to.
     pub service: ServiceId,
-    /// Where it takes requests.
+    /// Address for requests.
     pub addr: SocketAddr,
     /// Failure domain.
     pub domain: DomainId,
     /// Version of its software.
     pub version: SmolStr,
-    /// Requests that it runs together.
+    /// Number of requests it runs concurrently.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub state: ServerState,
-    /// Time for which it stays cold: slow, and sensitive to more than a few requests.
+    /// Remaining time for which it is cold: slow, and sensitive to more than a few
+    /// requests.
     pub cold: Duration,
-    /// Models that it holds.
+    /// Models that it has loaded.
     pub models: Vec<ModelId>,
-    /// Grows with each announcement of this life.
+    /// Increases with each announcement of this incarnation.
     pub sequence: u64,
 }
 
-/// A backend server as this process knows it.
+/// A backend server as known to this process.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct ServerRecord {
     /// The newest announcement.
-    pub said: Announcement,
-    /// When anything was last heard of it, from itself or from others.
-    pub heard_at: MonoTime,
-    /// Until when it is cold, by what it says.
+    pub announcement: Announcement,
+    /// When it was last heard of, directly or through others.
+    pub last_heard_at: MonoTime,
+    /// When its cold phase ends, according to its announcement.
     pub cold_until: MonoTime,
 }
 
-/// All backend servers that were heard of.
+/// All known backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    servers: BTreeMap<ServerId, Known>,
+    servers: BTreeMap<ServerId, ServerRecord>,
     index: Index,
-    /// Digests of what is held.
+    /// Digests of the directory's contents.
     digests: Digests,
-    /// Backend servers that were looked at to take announcements.
-    examined: u64,
+    /// Number of records examined to merge announcements.
+    examined_records: u64,
 }
 
 impl Directory {
-    /// Takes an announcement and returns whether it tells anything new beyond
-    /// that the backend server lives.
+    /// Merges an announcement and returns whether it contains anything new beyond showing
+    /// that the backend server is alive.
     ///
-    /// A life that has left stays gone, and a new life at an address ends the
-    /// older one there: an announcement held up by a cut would otherwise send
-    /// work to a process that is not there any more. A name that starts again is
-    /// another life, told apart by when it started: its numbers start anew, and
-    /// what an older life said arrives in vain.
+    /// An incarnation that has left stays gone, and a new incarnation at an address ends
+    /// the older one there: otherwise an announcement delayed by a network partition would
+    /// direct requests to a process that no longer exists. A server that restarts under the
+    /// same id is a new incarnation, identified by its start time. Its sequence numbers
+    /// start again, and announcements of older incarnations are ignored.
     ///
-    /// `is_named` tells whether its service is one that there is. What another
-    /// writer says under a service that nobody has must not end a life that works.
-    pub fn take(&mut self, now: MonoTime, said: Announcement, is_named: bool) -> bool {
-        self.examined += 1;
-        let born = self.servers.get(&said.id).map(|known| known.said.born);
-        match born {
-            Some(born) if said.born < born => return false,
-            Some(born) if said.born == born => {
-                let id = said.id.clone();
-                return self.change(&id, |known| known.update(now, said)) == Some(true);
+    /// `service_exists` tells whether the service is a known one. An announcement by a
+    /// third party for a service that nobody provides must not end a working incarnation.
+    pub fn merge(
+        &mut self,
+        now: MonoTime,
+        announcement: Announcement,
+        service_exists: bool,
+    ) -> bool {
+        self.examined_records += 1;
+        let started_at = self
+            .servers
+            .get(&announcement.id)
+            .map(|record| record.announcement.started_at);
+        match started_at {
+            Some(started_at) if announcement.started_at < started_at => return false,
+            Some(started_at) if announcement.started_at == started_at => {
+                let id = announcement.id.clone();
+                return self.modify(&id, |record| record.update(now, announcement)) == Some(true);
             }
             Some(_) | None => {}
         }
-        let mut said = said;
-        if said.state != ServerState::Gone && self.is_outlived(&said) {
-            said.state = ServerState::Gone;
+        let mut announcement = announcement;
+        if announcement.state != ServerState::Gone && self.is_superseded(&announcement) {
+            announcement.state = ServerState::Gone;
         }
-        if said.state != ServerState::Gone && is_named {
-            self.end_at(now, &said);
+        if announcement.state != ServerState::Gone && service_exists {
+            self.end_older_at_address(now, &announcement);
         }
-        self.put(Known {
-            cold_until: now + said.cold,
-            heard_at: now,
-            said,
+        self.insert(ServerRecord {
+            cold_until: now + announcement.cold,
+            last_heard_at: now,
+            announcement,
         });
-        self.forget_ended();
+        self.evict_oldest_gone();
         true
     }
 
-    /// Returns the digests of the lives that have not ended.
+    /// Returns the digests of the incarnations that are not gone.
     pub fn digests(&self) -> &Digests {
         &self.digests
     }
 
-    /// Returns whether a service has any other backend server.
-    pub fn has_other(&self, said: &Announcement) -> bool {
-        let this = self.servers.get(&said.id);
-        let is_of_it = this.is_some_and(|k| k.said.service == said.service);
-        self.index.known(&said.service) > usize::from(is_of_it)
+    /// Returns whether the announced service has any other backend server.
+    pub fn has_other_server(&self, announcement: &Announcement) -> bool {
+        let this = self.servers.get(&announcement.id);
+        let is_of_it = this.is_some_and(|k| k.announcement.service == announcement.service);
+        self.index.count_of_service(&announcement.service) > usize::from(is_of_it)
     }
 
-    /// Notes that a backend server has left, by its id and, if it says, when it
-    /// started.
-    pub fn leave(&mut self, now: MonoTime, id: &str, born: Option<Born>) -> Option<Announcement> {
-        let known = self.servers.get(id)?;
-        if born.is_some_and(|born| born != known.said.born) {
+    /// Marks a backend server as gone, identified by its id and optionally its start time.
+    pub fn mark_gone(
+        &mut self,
+        now: MonoTime,
+        id: &str,
+        started_at: Option<StartTime>,
+    ) -> Option<Announcement> {
+        let record = self.servers.get(id)?;
+        if started_at.is_some_and(|started_at| started_at != record.announcement.started_at) {
             return None;
         }
-        let mut said = known.said.clone();
-        said.state = ServerState::Gone;
-        said.sequence += 1;
-        self.change(id, |known| known.update(now, said.clone()));
-        Some(said)
+        let mut announcement = record.announcement.clone();
+        announcement.state = ServerState::Gone;
+        announcement.sequence += 1;
+        self.modify(id, |record| record.update(now, announcement.clone()));
+        Some(announcement)
     }
 
     /// Returns a backend server.
-    pub fn get(&self, id: &str) -> Option<&Known> {
+    pub fn get(&self, id: &str) -> Option<&ServerRecord> {
         self.servers.get(id)
     }
 
-    /// Iterates over the backend servers that share a key, mostly one.
-    pub fn with_key(&self, key: ServerKey) -> impl Iterator<Item = &Known> {
+    /// Iterates over the backend servers that share a key, usually one.
+    pub fn with_key(&self, key: ServerKey) -> impl Iterator<Item = &ServerRecord> {
         self.with_keys((key, key))
     }
 
-    fn with_keys(&self, keys: (ServerKey, ServerKey)) -> impl Iterator<Item = &Known> {
+    fn with_keys(&self, keys: (ServerKey, ServerKey)) -> impl Iterator<Item = &ServerRecord> {
         let ids = self.index.with_keys(keys);
         ids.filter_map(|id| self.servers.get(id))
     }
 
-    /// Iterates over what others are told now of the backend servers in some parts, those
-    /// that have left included.
-    pub fn tell_parts(&self, now: MonoTime, parts: Parts) -> impl Iterator<Item = Announcement> {
-        let keys = parts.numbers().map(digests::keys_of_part);
-        let known = keys.flat_map(|keys| self.with_keys(keys));
-        known.map(move |known| known.tell(now))
+    /// Iterates over current announcements of the backend servers in some buckets,
+    /// including those that are gone.
+    pub fn announcements_in_buckets(
+        &self,
+        now: MonoTime,
+        buckets: BucketSet,
+    ) -> impl Iterator<Item = Announcement> {
+        let keys = buckets.iter().map(digests::bucket_keys);
+        let records = keys.flat_map(|keys| self.with_keys(keys));
+        records.map(move |record| record.to_announcement(now))
     }
 
-    /// Iterates over the same of some sections.
-    pub fn tell_sections<'a>(
+    /// Iterates over current announcements of the backend servers in some sections,
+    /// including those that are gone.
+    pub fn announcements_in_sections<'a>(
         &'a self,
         now: MonoTime,
         sections: &'a [Section],
     ) -> impl Iterator<Item = Announcement> + 'a {
-        let keys = sections.iter().map(|&s| digests::keys_of_section(s));
-        let known = keys.flat_map(|keys| self.with_keys(keys));
-        known.map(move |known| known.tell(now))
+        let keys = sections.iter().map(|&s| digests::section_keys(s));
+        let records = keys.flat_map(|keys| self.with_keys(keys));
+        records.map(move |record| record.to_announcement(now))
     }
 
-    /// Returns how many backend servers are in a part, those that have left included.
-    pub fn count_part(&self, part: usize) -> usize {
-        self.with_keys(digests::keys_of_part(part)).count()
+    /// Returns the number of backend servers in a bucket, including those that are gone.
+    pub fn count_in_bucket(&self, bucket: usize) -> usize {
+        self.with_keys(digests::bucket_keys(bucket)).count()
     }
 
-    /// Returns the digests of the sections of some parts.
-    pub fn details(&self, parts: Parts) -> Vec<PartDetail> {
-        parts.numbers().map(|part| self.detail(part)).collect()
+    /// Returns the section digests of some buckets.
+    pub fn section_digests(&self, buckets: BucketSet) -> Vec<SectionDigests> {
+        buckets
+            .iter()
+            .map(|bucket| self.digests_of_bucket(bucket))
+            .collect()
     }
 
-    /// Returns the sections in which another directory differs.
-    pub fn differing_sections(&self, details: &[PartDetail]) -> Vec<Section> {
-        let pairs = details.iter().filter_map(|theirs| {
-            let own = self.detail(theirs.part()?);
-            Some(own.differing(theirs).collect::<Vec<_>>())
+    /// Returns the sections that differ from those of another directory.
+    pub fn differing_sections(&self, details: &[SectionDigests]) -> Vec<Section> {
+        let differing = details.iter().filter_map(|other| {
+            let own = self.digests_of_bucket(other.bucket()?);
+            Some(own.differing(other).collect::<Vec<_>>())
         });
-        pairs.flatten().collect()
+        differing.flatten().collect()
     }
 
-    fn detail(&self, part: usize) -> PartDetail {
-        let known = self.with_keys(digests::keys_of_part(part));
-        PartDetail::of(part, known.map(Indexed::of))
+    fn digests_of_bucket(&self, bucket: usize) -> SectionDigests {
+        let records = self.with_keys(digests::bucket_keys(bucket));
+        SectionDigests::compute(bucket, records.map(IndexedServer::from_record))
     }
 
-    /// Iterates over what others are told now of all, those that have left included.
-    pub fn tell(&self, now: MonoTime) -> impl Iterator<Item = Announcement> + '_ {
-        self.servers.values().map(move |known| known.tell(now))
+    /// Iterates over current announcements of all backend servers, including those that are
+    /// gone.
+    pub fn announcements(&self, now: MonoTime) -> impl Iterator<Item = Announcement> + '_ {
+        self.servers
+            .values()
+            .map(move |record| record.to_announcement(now))
     }
 
-    /// Iterates over all that were heard of, those that have left included.
-    pub fn all(&self) -> impl Iterator<Item = &Known> + '_ {
+    /// Iterates over all known backend servers, including those that are gone.
+    pub fn all(&self) -> impl Iterator<Item = &ServerRecord> + '_ {
         self.servers.values()
     }
 
-    /// Returns how many were heard of, those that have left included.
+    /// Returns the number of known backend servers, including those that are gone.
     pub fn count(&self) -> usize {
         self.servers.len()
     }
 
-    /// Iterates over those of a service that take work, in groups.
-    pub fn groups<'a>(&'a self, service: &str) -> impl Iterator<Item = Group<'a>> + use<'a> {
+    /// Iterates over the ready backend servers of a service in groups.
+    pub fn groups<'a>(&'a self, service: &str) -> impl Iterator<Item = ServerGroup<'a>> + use<'a> {
         self.index.groups(service)
     }
 
-    /// Iterates over those of a group with a key in a window.
+    /// Iterates over the backend servers of a group with a key in a window.
     pub fn members<'a>(
         &'a self,
-        group: &Group<'a>,
+        group: &ServerGroup<'a>,
         window: Window,
-    ) -> impl Iterator<Item = &'a Known> + use<'a> {
-        let ids = group.within(window);
+    ) -> impl Iterator<Item = &'a ServerRecord> + use<'a> {
+        let ids = group.in_window(window);
         ids.filter_map(|id| self.servers.get(id))
     }
 
-    /// Iterates over those of a service that take work.
-    pub fn ready<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a Known> + use<'a> {
+    /// Iterates over the ready backend servers of a service.
+    pub fn ready<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a ServerRecord> + use<'a> {
         let groups = self.groups(service);
         groups.flat_map(|group| self.members(&group, Window::ALL))
     }
 
-    /// Returns how many backend servers were looked at to take announcements.
-    pub fn examined(&self) -> u64 {
-        self.examined
+    /// Returns the number of records examined to merge announcements.
+    pub fn examined_records(&self) -> u64 {
+        self.examined_records
     }
 
-    /// Returns whether a life that started later is at its address.
-    fn is_outlived(&mut self, said: &Announcement) -> bool {
-        let there = self.index.at(said.addr);
-        self.examined += there.len() as u64;
-        let mut lives = there.iter().filter_map(|id| self.servers.get(id));
-        lives.any(|k| k.said.born > said.born)
+    /// Returns whether an incarnation that started later is at the same address.
+    fn is_superseded(&mut self, announcement: &Announcement) -> bool {
+        let at_address = self.index.by_address(announcement.addr);
+        self.examined_records += at_address.len() as u64;
+        let mut records = at_address.iter().filter_map(|id| self.servers.get(id));
+        records.any(|k| k.announcement.started_at > announcement.started_at)
     }
 
-    fn end_at(&mut self, now: MonoTime, newer: &Announcement) {
-        let there = self.index.at(newer.addr).to_vec();
-        self.examined += there.len() as u64;
-        for id in there.into_iter().filter(|id| *id != newer.id) {
-            self.change(&id, |known| {
-                if known.said.born <= newer.born {
-                    known.said.state = ServerState::Gone;
-                    known.heard_at = now;
+    fn end_older_at_address(&mut self, now: MonoTime, newer: &Announcement) {
+        let at_address = self.index.by_address(newer.addr).to_vec();
+        self.examined_records += at_address.len() as u64;
+        for id in at_address.into_iter().filter(|id| *id != newer.id) {
+            self.modify(&id, |record| {
+                if record.announcement.started_at <= newer.started_at {
+                    record.announcement.state = ServerState::Gone;
+                    record.last_heard_at = now;
                 }
             });
         }
     }
 
-    fn forget_ended(&mut self) {
-        let (ended, oldest) = self.index.ended();
-        let oldest = oldest.filter(|_| ended > MAX_ENDED).cloned();
+    fn evict_oldest_gone(&mut self) {
+        let (ended, oldest) = self.index.gone();
+        let oldest = oldest.filter(|_| ended > MAX_GONE).cloned();
         if let Some(id) = oldest {
             self.remove(&id);
         }
     }
 
-    /// Changes a backend server and what is indexed of it.
-    fn change<T>(&mut self, id: &str, change: impl FnOnce(&mut Known) -> T) -> Option<T> {
-        let known = self.servers.get_mut(id)?;
-        let before = Indexed::of(known);
-        let result = change(known);
-        let after = Indexed::of(known);
+    /// Modifies a record and keeps the index and digests in sync.
+    fn modify<T>(&mut self, id: &str, modify: impl FnOnce(&mut ServerRecord) -> T) -> Option<T> {
+        let record = self.servers.get_mut(id)?;
+        let before = IndexedServer::from_record(record);
+        let result = modify(record);
+        let after = IndexedServer::from_record(record);
         if before != after {
             self.index.remove(&before);
             self.index.insert(&after);
@@ -340,78 +363,81 @@
         Some(result)
     }
 
-    /// Puts a life in place of any before it under its name.
-    fn put(&mut self, known: Known) {
-        self.remove(&known.said.id);
-        let indexed = Indexed::of(&known);
+    /// Inserts a record in place of any previous incarnation with the same id.
+    fn insert(&mut self, record: ServerRecord) {
+        self.remove(&record.announcement.id);
+        let indexed = IndexedServer::from_record(&record);
         self.index.insert(&indexed);
         self.digests.toggle(&indexed);
-        self.servers.insert(known.said.id.clone(), known);
+        self.servers.insert(record.announcement.id.clone(), record);
     }
 
     fn remove(&mut self, id: &str) {
-        if let Some(known) = self.servers.remove(id) {
-            let indexed = Indexed::of(&known);
+        if let Some(record) = self.servers.remove(id) {
+            let indexed = IndexedServer::from_record(&record);
             self.index.remove(&indexed);
             self.digests.toggle(&indexed);
         }
     }
 }
 
-impl Known {
-    /// Returns the life that is known.
-    pub fn life(&self) -> Life {
-        Life {
-            id: self.said.id.clone(),
-            born: self.said.born,
+impl ServerRecord {
+    /// Returns the incarnation.
+    pub fn incarnation(&self) -> ServerIncarnation {
+        ServerIncarnation {
+            id: self.announcement.id.clone(),
+            started_at: self.announcement.started_at,
         }
     }
 
-    /// Returns what others are told of it now: of the time for which it was cold a
-    /// part has passed since it said so.
-    pub fn tell(&self, now: MonoTime) -> Announcement {
+    /// Returns the announcement to pass on now, with the cold time reduced by the time that
+    /// has passed since it was received.
+    pub fn to_announcement(&self, now: MonoTime) -> Announcement {
         Announcement {
             cold: self.cold_until.saturating_sub(now),
-            ..self.said.clone()
+            ..self.announcement.clone()
         }
     }
 
-    /// Returns whether it has become cold again, by a newer word of its own.
+    /// Updates the end of the cold phase from a newer announcement, and returns whether the
+    /// server has become cold again.
     ///
-    /// Its announcements say the same rest in each: what is later than that by less
-    /// than [`COLD_MARGIN`] was on its way for longer.
-    fn cools(&mut self, now: MonoTime, said: &Announcement) -> bool {
-        if said.sequence <= self.said.sequence {
+    /// Announcements repeat the same remaining time, so an end that is later by less than
+    /// [`COLD_MARGIN`] only shows that the announcement was delayed for longer.
+    fn update_cold(&mut self, now: MonoTime, announcement: &Announcement) -> bool {
+        if announcement.sequence <= self.announcement.sequence {
             return false;
         }
-        let before = std::mem::replace(&mut self.cold_until, now + said.cold);
-        !said.cold.is_zero() && self.cold_until > before + COLD_MARGIN
+        let before = std::mem::replace(&mut self.cold_until, now + announcement.cold);
+        !announcement.cold.is_zero() && self.cold_until > before + COLD_MARGIN
     }
 
-    /// Takes a newer announcement of the same life and returns whether it tells
-    /// anything new. A life stays where it is and what it is: one that is said to
-    /// be of another service or elsewhere was not announced by itself.
-    fn update(&mut self, now: MonoTime, said: Announcement) -> bool {
-        let older = said.sequence <= self.said.sequence && said.state <= self.said.state;
-        let moved = said.state != ServerState::Gone
-            && (&said.service, said.addr) != (&self.said.service, self.said.addr);
-        if self.said.state == ServerState::Gone || older || moved {
+    /// Merges a newer announcement of the same incarnation and returns whether it contains
+    /// anything new. The service and address of an incarnation never change; an
+    /// announcement that differs in them was not made by the server itself.
+    fn update(&mut self, now: MonoTime, announcement: Announcement) -> bool {
+        let is_older = announcement.sequence <= self.announcement.sequence
+            && announcement.state <= self.announcement.state;
+        let has_moved = announcement.state != ServerState::Gone
+            && (&announcement.service, announcement.addr)
+                != (&self.announcement.service, self.announcement.addr);
+        if self.announcement.state == ServerState::Gone || is_older || has_moved {
             return false;
         }
-        self.heard_at = now;
-        let cools = self.cools(now, &said);
-        let sequence = self.said.sequence.max(said.sequence);
-        let state = self.said.state.max(said.state);
-        let same = Announcement {
-            sequence: self.said.sequence,
-            cold: self.said.cold,
-            ..said.clone()
-        } == self.said;
-        self.said = Announcement {
+        self.last_heard_at = now;
+        let is_cold_again = self.update_cold(now, &announcement);
+        let sequence = self.announcement.sequence.max(announcement.sequence);
+        let state = self.announcement.state.max(announcement.state);
+        let is_same = Announcement {
+            sequence: self.announcement.sequence,
+            cold: self.announcement.cold,
+            ..announcement.clone()
+        } == self.announcement;
+        self.announcement = Announcement {
             sequence,
             state,
-            ..said
+            ..announcement
         };
-        !same || cools
+        !is_same || is_cold_again
     }
 }
--- a/sesamebeam_core/src/gateway/directory/index.rs
+++ b/sesamebeam_core/src/gateway/directory/index.rs
@@ -1,5 +1,5 @@
-//! Indexes of the backend servers, so that taking an announcement and drawing candidates
-//! cost the same however many there are.
+//! Indexes of the directory, which keep the cost of merging announcements and of sampling
+//! candidates independent of its size.
 
 use std::{
     collections::{
@@ -14,9 +14,9 @@
 use smol_str::SmolStr;
 
 use super::{
-    Known,
-    Life,
     ServerId,
+    ServerIncarnation,
+    ServerRecord,
     ServerState, //
 };
 use crate::{
@@ -33,36 +33,36 @@
     },
 };
 
-/// Backend servers in the order of their keys, which is the same in every process.
-type Members = BTreeSet<(ServerKey, ServerId)>;
+/// Backend servers ordered by key, which gives the same order in every process.
+type ServerSet = BTreeSet<(ServerKey, ServerId)>;
 
-/// What the indexes hold of a backend server.
+/// Indexed properties of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(in crate::gateway) struct Indexed {
+pub(in crate::gateway) struct IndexedServer {
     key: ServerKey,
-    pub(in crate::gateway) life: Life,
+    pub(in crate::gateway) incarnation: ServerIncarnation,
     pub(in crate::gateway) state: ServerState,
     pub(in crate::gateway) version: SmolStr,
     service: ServiceId,
     domain: DomainId,
     addr: SocketAddr,
-    /// When it was last heard of, once it has left.
-    ended_at: Option<MonoTime>,
+    /// When it was last heard of, once it is gone.
+    gone_at: Option<MonoTime>,
 }
 
-impl Indexed {
-    /// Collects what is indexed of a backend server.
-    pub(super) fn of(known: &Known) -> Self {
-        let said = &known.said;
+impl IndexedServer {
+    /// Extracts the indexed properties of a record.
+    pub(super) fn from_record(record: &ServerRecord) -> Self {
+        let announcement = &record.announcement;
         Self {
-            key: loads::key(&said.id),
-            life: known.life(),
-            state: said.state,
-            version: said.version.clone(),
-            service: said.service.clone(),
-            domain: said.domain.clone(),
-            addr: said.addr,
-            ended_at: (said.state == ServerState::Gone).then_some(known.heard_at),
+            key: loads::key(&announcement.id),
+            incarnation: record.incarnation(),
+            state: announcement.state,
+            version: announcement.version.clone(),
+            service: announcement.service.clone(),
+            domain: announcement.domain.clone(),
+            addr: announcement.addr,
+            gone_at: (announcement.state == ServerState::Gone).then_some(record.last_heard_at),
         }
     }
 
@@ -71,14 +71,14 @@
     }
 
     fn member(&self) -> (ServerKey, ServerId) {
-        (self.key, self.life.id.clone())
+        (self.key, self.incarnation.id.clone())
     }
 }
 
 /// Number of keys.
 const KEY_SPACE: u64 = 1 << ServerKey::BITS;
 
-/// Part of the key space, which wraps round.
+/// Range of the key space, which may wrap around.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
     from: ServerKey,
@@ -86,52 +86,55 @@
 }
 
 impl Window {
-    /// All of the key space.
+    /// The whole key space.
     pub const ALL: Self = Self {
         from: 0,
         width: KEY_SPACE,
     };
 
-    /// Returns the part from a point on that is expected to hold `most` of `all` backend
-    /// servers, or half as many at the least.
+    /// Returns the range from a key on that is expected to hold between `max_servers / 2`
+    /// and `max_servers` of `total` backend servers.
     ///
-    /// Its width changes by powers of two, so that processes that differ by a few
-    /// backend servers use the same.
-    pub fn new(from: ServerKey, most: usize, all: usize) -> Self {
-        let parts = all.div_ceil(most.max(1)).max(1).next_power_of_two();
-        match parts {
+    /// Its width changes in powers of two, so that processes whose directories differ by a
+    /// few backend servers use the same range.
+    pub fn new(from: ServerKey, max_servers: usize, total: usize) -> Self {
+        let window_count = total
+            .div_ceil(max_servers.max(1))
+            .max(1)
+            .next_power_of_two();
+        match window_count {
             1 => Self::ALL,
             _ => Self {
                 from,
-                width: (KEY_SPACE / parts as u64).max(1),
+                width: (KEY_SPACE / window_count as u64).max(1),
             },
         }
     }
 
-    /// Returns whether it is all of the key space.
+    /// Returns whether the window covers the whole key space.
     pub fn is_all(&self) -> bool {
         self.width >= KEY_SPACE
     }
 }
 
-/// Backend servers of a service that take work, of one version in one failure domain.
+/// Ready backend servers of a service with the same version and failure domain.
 #[derive(Clone, Copy, Debug)]
-pub struct Group<'a> {
+pub struct ServerGroup<'a> {
     /// Failure domain.
     pub domain: &'a DomainId,
     /// Version.
     pub version: &'a SmolStr,
-    members: &'a Members,
+    members: &'a ServerSet,
 }
 
-impl<'a> Group<'a> {
-    /// Returns how many there are.
+impl<'a> ServerGroup<'a> {
+    /// Returns the number of backend servers.
     pub fn count(&self) -> usize {
         self.members.len()
     }
 
-    /// Iterates over those with a key in a window.
-    pub(super) fn within(&self, window: Window) -> impl Iterator<Item = &'a ServerId> + use<'a> {
+    /// Iterates over the backend servers with a key in a window.
+    pub(super) fn in_window(&self, window: Window) -> impl Iterator<Item = &'a ServerId> + use<'a> {
         let at = |point| (point, ServerId::default());
         let from = u64::from(window.from);
         let end = from + window.width;
@@ -148,30 +151,33 @@
     }
 }
 
-/// All indexes.
+/// All indexes of a directory.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Index {
-    /// Those that take work.
-    ready: BTreeMap<ServiceId, BTreeMap<(DomainId, SmolStr), Members>>,
-    /// How many of each service are known, those that have left included.
-    services: BTreeMap<ServiceId, usize>,
-    /// Those at an address that have not left.
-    at: HashMap<SocketAddr, Vec<ServerId>>,
-    keys: Members,
-    /// Those that have left, the oldest first.
-    ended: BTreeSet<(MonoTime, ServerId)>,
+    /// Ready backend servers.
+    ready: BTreeMap<ServiceId, BTreeMap<(DomainId, SmolStr), ServerSet>>,
+    /// Number of known backend servers of each service, including those that are gone.
+    server_counts: BTreeMap<ServiceId, usize>,
+    /// Backend servers at an address that are not gone.
+    by_address: HashMap<SocketAddr, Vec<ServerId>>,
+    by_key: ServerSet,
+    /// Backend servers that are gone, oldest first.
+    gone: BTreeSet<(MonoTime, ServerId)>,
 }
 
 impl Index {
-    pub(super) fn insert(&mut self, indexed: &Indexed) {
-        self.keys.insert(indexed.member());
-        *self.services.entry(indexed.service.clone()).or_default() += 1;
-        if let Some(at) = indexed.ended_at {
-            self.ended.insert((at, indexed.life.id.clone()));
+    pub(super) fn insert(&mut self, indexed: &IndexedServer) {
+        self.by_key.insert(indexed.member());
+        *self
+            .server_counts
+            .entry(indexed.service.clone())
+            .or_default() += 1;
+        if let Some(at) = indexed.gone_at {
+            self.gone.insert((at, indexed.incarnation.id.clone()));
             return;
         }
-        let at = self.at.entry(indexed.addr).or_default();
-        at.push(indexed.life.id.clone());
+        let at = self.by_address.entry(indexed.addr).or_default();
+        at.push(indexed.incarnation.id.clone());
         if indexed.state == ServerState::Ready {
             let groups = self.ready.entry(indexed.service.clone()).or_default();
             let group = (indexed.domain.clone(), indexed.version.clone());
@@ -179,21 +185,21 @@
         }
     }
 
-    pub(super) fn remove(&mut self, indexed: &Indexed) {
-        let id = &indexed.life.id;
-        self.keys.remove(&indexed.member());
-        if let Some(count) = self.services.get_mut(&indexed.service) {
+    pub(super) fn remove(&mut self, indexed: &IndexedServer) {
+        let id = &indexed.incarnation.id;
+        self.by_key.remove(&indexed.member());
+        if let Some(count) = self.server_counts.get_mut(&indexed.service) {
             *count -= 1;
         }
-        self.services.retain(|_, count| *count > 0);
-        if let Some(at) = indexed.ended_at {
-            self.ended.remove(&(at, id.clone()));
+        self.server_counts.retain(|_, count| *count > 0);
+        if let Some(at) = indexed.gone_at {
+            self.gone.remove(&(at, id.clone()));
             return;
         }
-        if let Some(at) = self.at.get_mut(&indexed.addr) {
+        if let Some(at) = self.by_address.get_mut(&indexed.addr) {
             at.retain(|there| there != id);
             if at.is_empty() {
-                self.at.remove(&indexed.addr);
+                self.by_address.remove(&indexed.addr);
             }
         }
         if let Some(groups) = self.ready.get_mut(&indexed.service) {
@@ -205,38 +211,42 @@
         }
     }
 
-    /// Returns how many of a service are known, those that have left included.
-    pub(super) fn known(&self, service: &str) -> usize {
-        self.services.get(service).copied().unwrap_or_default()
+    /// Returns the number of known backend servers of a service, including those that are
+    /// gone.
+    pub(super) fn count_of_service(&self, service: &str) -> usize {
+        self.server_counts.get(service).copied().unwrap_or_default()
     }
 
-    /// Returns those at an address that have not left.
-    pub(super) fn at(&self, addr: SocketAddr) -> &[ServerId] {
-        self.at.get(&addr).map_or(&[], Vec::as_slice)
+    /// Returns the backend servers at an address that are not gone.
+    pub(super) fn by_address(&self, addr: SocketAddr) -> &[ServerId] {
+        self.by_address.get(&addr).map_or(&[], Vec::as_slice)
     }
 
-    /// Iterates over those with a key from the first to the last one given.
+    /// Iterates over the backend servers in an inclusive range of keys.
     pub(super) fn with_keys(
         &self,
         (first, last): (ServerKey, ServerKey),
     ) -> impl Iterator<Item = &ServerId> {
-        let from = self.keys.range((first, ServerId::default())..);
+        let from = self.by_key.range((first, ServerId::default())..);
         from.take_while(move |(k, _)| *k <= last).map(|(_, id)| id)
     }
 
     /// Iterates over the groups of a service.
-    pub(super) fn groups<'a>(&'a self, service: &str) -> impl Iterator<Item = Group<'a>> + use<'a> {
+    pub(super) fn groups<'a>(
+        &'a self,
+        service: &str,
+    ) -> impl Iterator<Item = ServerGroup<'a>> + use<'a> {
         let groups = self.ready.get(service).into_iter().flatten();
-        groups.map(|((domain, version), members)| Group {
+        groups.map(|((domain, version), members)| ServerGroup {
             domain,
             version,
             members,
         })
     }
 
-    /// Returns how many have left, and the one that left first.
-    pub(super) fn ended(&self) -> (usize, Option<&ServerId>) {
-        let oldest = self.ended.first().map(|(_, id)| id);
-        (self.ended.len(), oldest)
+    /// Returns the number of backend servers that are gone, and the one that went first.
+    pub(super) fn gone(&self) -> (usize, Option<&ServerId>) {
+        let oldest = self.gone.first().map(|(_, id)| id);
+        (self.gone.len(), oldest)
     }
 }
--- a/sesamebeam_core/src/gateway/limits.rs
+++ b/sesamebeam_core/src/gateway/limits.rs
@@ -29,7 +29,7 @@
 };
 use super::{
     directory::ServerId,
-    entries::EntryCount,
+    entry_count::KnownEntryCount,
     loads::{
         self,
         ServerKey, //
@@ -49,7 +49,7 @@
 pub struct ServerLimits {
     /// Name of this entry, which determines the phase of its turns.
     name: SmolStr,
-    entries: EntryCount,
+    entries: KnownEntryCount,
     servers: HashMap<ServerId, LimitedServer>,
     /// Limits to report.
     unreported: HashMap<ServerKey, LimitOf>,
@@ -74,7 +74,7 @@
     pub fn new(name: SmolStr) -> Self {
         Self {
             name,
-            entries: EntryCount::default(),
+            entries: KnownEntryCount::default(),
             servers: HashMap::new(),
             unreported: HashMap::new(),
         }
@@ -82,9 +82,9 @@
 
     /// Sets the number of entries.
     pub fn set_entries(&mut self, now: MonoTime, entries: u32) {
-        if self.entries.hear(now, entries) {
+        if self.entries.record(now, entries) {
             for limited in self.servers.values_mut() {
-                limited.pace = Pace::of(limited.limit, self.entries.most());
+                limited.pace = Pace::of(limited.limit, self.entries.max());
             }
         }
     }
@@ -185,7 +185,7 @@
         let before = self.servers.get(id).copied();
         let pace = match before {
             Some(before) if before.limit == limit => before.pace,
-            _ => Pace::of(limit, self.entries.most()),
+            _ => Pace::of(limit, self.entries.max()),
         };
         let limited = LimitedServer {
             limit,
--- a/sesamebeam_core/src/gateway/outliers.rs
+++ b/sesamebeam_core/src/gateway/outliers.rs
@@ -233,7 +233,7 @@
 
 /// Returns the announcement of a backend server that is not gone.
 fn find_present(directory: &Directory, key: ServerKey) -> Option<&Announcement> {
-    let mut with_key = directory.with_key(key).map(|k| &k.said);
+    let mut with_key = directory.with_key(key).map(|k| &k.announcement);
     with_key.find(|said| said.state != ServerState::Gone)
 }
 
--- a/sesamebeam_core/src/gateway/quarantine.rs
+++ b/sesamebeam_core/src/gateway/quarantine.rs
@@ -5,8 +5,8 @@
 use indexmap::IndexSet;
 
 use super::{
-    directory::Life,
-    feed::Crash, //
+    directory::ServerIncarnation,
+    messages::Crash, //
 };
 use crate::ids::Digest;
 
@@ -49,7 +49,7 @@
     }
 
     /// Records that a request was running when a backend server crashed.
-    pub(super) fn record_crash(&mut self, fingerprint: Digest, server: Life) {
+    pub(super) fn record_crash(&mut self, fingerprint: Digest, server: ServerIncarnation) {
         if self.completed.contains(&fingerprint) {
             return;
         }
--- a/sesamebeam_core/src/gateway/response_counts.rs
+++ b/sesamebeam_core/src/gateway/response_counts.rs
@@ -13,7 +13,7 @@
         RouteId,
         ServiceId, //
     },
-    feed::Evidence,
+    messages::Evidence,
 };
 use crate::ids::ModelId;
 
@@ -68,8 +68,8 @@
     ) {
         let slowness = relative_to_mean(&mut self.first_byte_means, key, model, time, is_canary);
         let counts = self.counts_mut(key);
-        counts.timed += 1;
-        counts.slowness += slowness;
+        counts.timed_responses += 1;
+        counts.latency_ratio_sum += slowness;
     }
 
     /// Counts the mean time between the events of a stream.
@@ -88,8 +88,8 @@
             is_canary,
         );
         let counts = self.counts_mut(key);
-        counts.paced += 1;
-        counts.pace += slowness;
+        counts.timed_streams += 1;
+        counts.interval_ratio_sum += slowness;
     }
 
     /// Takes the counts since the last call.
--- a/sesamebeam_core/src/gateway/retry_budget.rs
+++ b/sesamebeam_core/src/gateway/retry_budget.rs
@@ -15,7 +15,7 @@
 
 use super::{
     config::ServiceId,
-    entries::EntryCount, //
+    entry_count::KnownEntryCount, //
 };
 use crate::ids::MonoTime;
 
@@ -52,7 +52,7 @@
 pub struct RetryBudget {
     cfg: RetryBudgetConfig,
     /// Number of entries that share the slack.
-    entries: EntryCount,
+    entries: KnownEntryCount,
     services: HashMap<ServiceId, VecDeque<Bucket>>,
 }
 
@@ -61,19 +61,19 @@
     pub fn new(cfg: RetryBudgetConfig) -> Self {
         Self {
             cfg,
-            entries: EntryCount::default(),
+            entries: KnownEntryCount::default(),
             services: HashMap::new(),
         }
     }
 
     /// Sets the number of entries.
     pub fn set_entries(&mut self, now: MonoTime, entries: u32) {
-        self.entries.hear(now, entries);
+        self.entries.record(now, entries);
     }
 
     /// Returns the highest known number of entries.
     pub fn entries(&self) -> u32 {
-        self.entries.most()
+        self.entries.max()
     }
 
     /// Counts a request.
@@ -85,7 +85,7 @@
     pub fn try_retry(&mut self, now: MonoTime, service: &ServiceId) -> bool {
         self.current_bucket(now, service);
         let (requests, retries) = self.totals(service);
-        let slack = match self.entries.most() {
+        let slack = match self.entries.max() {
             0 => 0.0,
             n => self.cfg.slack / f64::from(n),
         };
--- a/sesamebeam_core/src/gateway/rollout.rs
+++ b/sesamebeam_core/src/gateway/rollout.rs
@@ -24,7 +24,7 @@
         RouteId,
         ServiceId, //
     },
-    feed::Evidence,
+    messages::Evidence,
 };
 use crate::ids::MonoTime;
 
@@ -193,10 +193,10 @@
         let counts = side.entry(evidence.route.clone()).or_default();
         counts.good += evidence.good;
         counts.bad += evidence.bad;
-        counts.timed += evidence.timed;
-        counts.slowness += evidence.slowness;
-        counts.paced += evidence.paced;
-        counts.pace += evidence.pace;
+        counts.timed += evidence.timed_responses;
+        counts.slowness += evidence.latency_ratio_sum;
+        counts.paced += evidence.timed_streams;
+        counts.pace += evidence.interval_ratio_sum;
     }
 
     /// Returns the phase in which the rollout should be now. `exposure` is the share of
--- a/sesamebeam_core/src/gateway/router.rs
+++ b/sesamebeam_core/src/gateway/router.rs
@@ -37,17 +37,17 @@
     },
     directory::{
         Announcement,
-        Born,
         Directory,
-        Known,
-        Life,
-        ServerId, //
-    },
-    feed::{
-        Age,
-        Kept, //
+        ServerId,
+        ServerIncarnation,
+        ServerRecord,
+        StartTime, //
     },
     limits::ServerLimits,
+    messages::{
+        RetainedSessions,
+        RolloutAge, //
+    },
     prefill::PrefillTimes,
     prompt_lengths::PromptLengths,
     quarantine::Quarantine,
@@ -196,7 +196,7 @@
     /// Identifier of the backend server.
     pub id: ServerId,
     /// Start time of the chosen incarnation.
-    pub born: Born,
+    pub born: StartTime,
     /// Address of the backend server.
     pub addr: SocketAddr,
     /// Version that the backend server runs.
@@ -209,10 +209,10 @@
 
 impl Choice {
     /// Returns the chosen incarnation.
-    pub fn incarnation(&self) -> Life {
-        Life {
+    pub fn incarnation(&self) -> ServerIncarnation {
+        ServerIncarnation {
             id: self.id.clone(),
-            born: self.born,
+            started_at: self.born,
         }
     }
 }
@@ -337,10 +337,13 @@
         let table = self.table.as_ref();
         let is_configured =
             table.is_some_and(|t| t.config().service(&announcement.service).is_some());
-        let before = self.directory.get(&announcement.id).map(Known::life);
+        let before = self
+            .directory
+            .get(&announcement.id)
+            .map(ServerRecord::incarnation);
         let id = announcement.id.clone();
-        let changed = self.directory.take(now, announcement, is_configured);
-        let after = self.directory.get(&id).map(Known::life);
+        let changed = self.directory.merge(now, announcement, is_configured);
+        let after = self.directory.get(&id).map(ServerRecord::incarnation);
         if before.is_some() && before != after {
             self.balancer.reset(&id);
             self.limits.forget(&id);
@@ -561,23 +564,23 @@
     /// Marks the chosen incarnation as gone because another process answers at its
     /// address.
     pub fn mark_replaced(&mut self, now: MonoTime, choice: &Choice) {
-        self.directory.leave(now, &choice.id, Some(choice.born));
+        self.directory.mark_gone(now, &choice.id, Some(choice.born));
     }
 
     /// Returns whether the chosen incarnation is still the current one of its backend
     /// server.
     fn is_current_incarnation(&self, choice: &Choice) -> bool {
         let known = self.directory.get(&choice.id);
-        known.is_none_or(|k| k.said.born == choice.born)
+        known.is_none_or(|k| k.announcement.started_at == choice.born)
     }
 
     /// Records sessions that must stay on the versions from before a roll-out.
-    pub fn pin_sessions(&mut self, now: MonoTime, kept: &Kept, all: bool) {
+    pub fn pin_sessions(&mut self, now: MonoTime, kept: &RetainedSessions, all: bool) {
         self.sessions.exclude(now, kept, all);
     }
 
     /// Returns how long each roll-out has been running.
-    pub fn rollout_ages(&self, now: MonoTime) -> Vec<Age> {
+    pub fn rollout_ages(&self, now: MonoTime) -> Vec<RolloutAge> {
         self.sessions.ages(now)
     }
 
--- a/sesamebeam_core/src/gateway/router/canary.rs
+++ b/sesamebeam_core/src/gateway/router/canary.rs
@@ -8,8 +8,8 @@
     gateway::{
         config::ServiceId,
         directory::{
-            Known,
-            ServerId, //
+            ServerId,
+            ServerRecord, //
         },
         rollout::{
             Allowed,
@@ -41,14 +41,17 @@
     /// without evidence against it. All entries select the same backend servers.
     pub(super) fn retain_canary_servers(
         &self,
-        eligible: &mut Vec<&Known>,
+        eligible: &mut Vec<&ServerRecord>,
         plan: &Plan,
         tried: &[ServerId],
     ) {
         let canary_count = self.canary_server_count(self.count_stable(&plan.service));
-        eligible.retain(|k| !tried.contains(&k.said.id));
+        eligible.retain(|k| !tried.contains(&k.announcement.id));
         eligible.sort_by_key(|k| {
-            std::cmp::Reverse(hash::rendezvous(&k.said.version, k.said.id.as_bytes()))
+            std::cmp::Reverse(hash::rendezvous(
+                &k.announcement.version,
+                k.announcement.id.as_bytes(),
+            ))
         });
         eligible.truncate(canary_count);
     }
--- a/sesamebeam_core/src/gateway/router/choosing.rs
+++ b/sesamebeam_core/src/gateway/router/choosing.rs
@@ -15,9 +15,9 @@
         cold,
         config::ColdConfig,
         directory::{
-            Group,
-            Known,
+            ServerGroup,
             ServerId,
+            ServerRecord,
             Window, //
         },
         loads::ServerKey,
@@ -78,15 +78,15 @@
         let orders = &self.orders;
         let groups = self.directory.groups(&plan.service);
         let groups = groups.filter(|g| orders.admits(g.domain) && allowed.includes(g.version));
-        let mut eligible: Vec<&Known> = groups
+        let mut eligible: Vec<&ServerRecord> = groups
             .flat_map(|g| self.directory.members(&g, window))
             .collect();
         let candidates = eligible.len();
-        eligible.retain(|k| !self.backoffs.is_leaving(&k.said.id));
+        eligible.retain(|k| !self.backoffs.is_leaving(&k.announcement.id));
         let staying_count = eligible.len();
-        eligible.retain(|k| self.accepts(now, &k.said.id));
+        eligible.retain(|k| self.accepts(now, &k.announcement.id));
         let are_limited = eligible.len() < staying_count;
-        if are_limited && eligible.iter().all(|k| tried.contains(&k.said.id)) {
+        if are_limited && eligible.iter().all(|k| tried.contains(&k.announcement.id)) {
             return Err(ChooseError::Limited);
         }
         if plan.in_canary && self.is_canary(&plan.service) {
@@ -115,14 +115,14 @@
         let chosen = self.balancer.choose(now, &eligible, &params);
         let chosen = chosen.ok_or(ChooseError::NoneLeft)?;
         if let Some(cold) = cold.filter(|cold| self.cold.is_cold(now, chosen, Some(cold))) {
-            self.cold.use_turn(now, &chosen.said.id, cold);
+            self.cold.use_turn(now, &chosen.announcement.id, cold);
         }
-        self.limits.record_send(now, &chosen.said.id);
+        self.limits.record_send(now, &chosen.announcement.id);
         let choice = Choice {
-            id: chosen.said.id.clone(),
-            born: chosen.said.born,
-            addr: chosen.said.addr,
-            version: chosen.said.version.clone(),
+            id: chosen.announcement.id.clone(),
+            born: chosen.announcement.started_at,
+            addr: chosen.announcement.addr,
+            version: chosen.announcement.version.clone(),
             prefill_time,
             candidates,
         };
@@ -140,7 +140,7 @@
         current: &ServerId,
     ) -> bool {
         let mut untried = self.untried(now, plan, tried);
-        untried.any(|k| &k.said.id != current)
+        untried.any(|k| &k.announcement.id != current)
     }
 
     /// Returns whether any backend server that was not tried yet accepts a request now.
@@ -154,12 +154,14 @@
         now: MonoTime,
         plan: &'a Plan,
         tried: &'a [ServerId],
-    ) -> impl Iterator<Item = &'a Known> + 'a {
+    ) -> impl Iterator<Item = &'a ServerRecord> + 'a {
         let allowed = self.allowed_versions(plan);
         let servers = self.open_servers(&plan.service);
         servers.filter(move |k| {
-            let id = &k.said.id;
-            !tried.contains(id) && allowed.includes(&k.said.version) && self.accepts(now, id)
+            let id = &k.announcement.id;
+            !tried.contains(id)
+                && allowed.includes(&k.announcement.version)
+                && self.accepts(now, id)
         })
     }
 
@@ -168,7 +170,7 @@
     pub(super) fn open_servers<'a>(
         &'a self,
         service: &'a str,
-    ) -> impl Iterator<Item = &'a Known> + 'a {
+    ) -> impl Iterator<Item = &'a ServerRecord> + 'a {
         let groups = self.open_groups(service);
         groups.flat_map(|g| self.directory.members(&g, Window::ALL))
     }
@@ -177,7 +179,7 @@
     pub(super) fn open_groups<'a>(
         &'a self,
         service: &'a str,
-    ) -> impl Iterator<Item = Group<'a>> + 'a {
+    ) -> impl Iterator<Item = ServerGroup<'a>> + 'a {
         let groups = self.directory.groups(service);
         groups.filter(|g| self.orders.admits(g.domain))
     }
@@ -188,7 +190,7 @@
         let window = self.window(plan, None, &self.allowed_versions(plan), MAX_CANDIDATES);
         let groups = self.open_groups(&plan.service);
         let members = groups.flat_map(|g| self.directory.members(&g, window));
-        let servers: Vec<&Known> = members.collect();
+        let servers: Vec<&ServerRecord> = members.collect();
         self.balancer.utilization(now, &servers)
     }
 
@@ -231,24 +233,26 @@
     fn retain_warm(
         &self,
         now: MonoTime,
-        eligible: &mut Vec<&Known>,
+        eligible: &mut Vec<&ServerRecord>,
         limits: Option<&ColdConfig>,
         tried: &[ServerId],
     ) {
         let Some(limits) = limits else {
             return;
         };
-        let is_cold = |k: &Known| self.cold.is_cold(now, k, Some(limits));
-        let has_turn = |k: &&Known| {
-            is_cold(k) && !tried.contains(&k.said.id) && self.cold.has_turn(now, &k.said.id, limits)
+        let is_cold = |k: &ServerRecord| self.cold.is_cold(now, k, Some(limits));
+        let has_turn = |k: &&ServerRecord| {
+            is_cold(k)
+                && !tried.contains(&k.announcement.id)
+                && self.cold.has_turn(now, &k.announcement.id, limits)
         };
         if !eligible.iter().any(|k| is_cold(k)) {
             return;
         }
-        let is_usable = |k: &&&Known| {
-            !is_cold(k) && !tried.contains(&k.said.id) && self.balancer.is_reachable(now, k)
+        let is_usable = |k: &&&ServerRecord| {
+            !is_cold(k) && !tried.contains(&k.announcement.id) && self.balancer.is_reachable(now, k)
         };
-        let warm: Vec<&Known> = eligible.iter().filter(is_usable).copied().collect();
+        let warm: Vec<&ServerRecord> = eligible.iter().filter(is_usable).copied().collect();
         let is_loaded =
             warm.is_empty() || self.balancer.utilization(now, &warm) >= cold::OVERFLOW_LOAD;
         if is_loaded && eligible.iter().any(has_turn) {
--- a/sesamebeam_core/src/gateway/router/exchange.rs
+++ b/sesamebeam_core/src/gateway/router/exchange.rs
@@ -5,14 +5,14 @@
 use crate::{
     gateway::{
         directory::ServerId,
-        feed::{
+        limits::LimitOf,
+        loads::ServerLoad,
+        messages::{
             Evidence,
-            Held,
             Report,
-            Unreached, //
+            SyncState,
+            UnreachableServer, //
         },
-        limits::LimitOf,
-        loads::ServerLoad,
         outliers::Doubt,
         rollout::Phase,
         shortage::ShareOf,
@@ -24,8 +24,8 @@
 
 impl Router {
     /// Returns the versions and digests of the control state that this entry has.
-    pub fn held(&mut self) -> Held {
-        Held {
+    pub fn held(&mut self) -> SyncState {
+        SyncState {
             config: self.version(),
             servers: self.directory.digests().clone(),
             entries: self.budget.entries(),
@@ -37,7 +37,7 @@
         LocalSummary {
             config: self.version(),
             index: self.log_index,
-            servers: self.directory.digests().whole(),
+            servers: self.directory.digests().combined(),
         }
     }
 
@@ -46,7 +46,7 @@
         self.cascade.set_fleet_means(now, waits);
         for load in loads {
             for known in self.directory.with_key(load.server) {
-                self.balancer.apply_load(now, &known.said.id, load);
+                self.balancer.apply_load(now, &known.announcement.id, load);
             }
         }
     }
@@ -56,7 +56,7 @@
     pub fn apply_limits(&mut self, now: MonoTime, limits: &[LimitOf]) -> Vec<ServerId> {
         let mut changed = Vec::new();
         for LimitOf { server, limit } in limits {
-            for id in self.directory.with_key(*server).map(|k| &k.said.id) {
+            for id in self.directory.with_key(*server).map(|k| &k.announcement.id) {
                 if self.limits.apply(now, id, *limit) {
                     changed.push(id.clone());
                 }
@@ -77,9 +77,13 @@
 
     /// Applies reports of other entries in this failure domain about unreachable backend
     /// servers.
-    pub fn apply_unreached(&mut self, now: MonoTime, reports: &[Unreached]) {
+    pub fn apply_unreached(&mut self, now: MonoTime, reports: &[UnreachableServer]) {
         for unreached in reports.iter().filter(|u| u.from == self.cfg.domain) {
-            for announcement in self.directory.with_key(unreached.server).map(|k| &k.said) {
+            for announcement in self
+                .directory
+                .with_key(unreached.server)
+                .map(|k| &k.announcement)
+            {
                 self.balancer.apply_unreached(
                     now,
                     &announcement.id,
@@ -102,19 +106,19 @@
             loads: self.balancer.take_loads(now).unwrap_or_default(),
             limits: self.limits.take_unreported(),
             outcomes: self.balancer.take_outcomes(),
-            unreached: self.take_unreached(),
+            unreachable: self.take_unreached(),
             waits: self.cascade.take_unreported(),
             work: self.admission.take_unreported(),
             crashes: self.suspects.take_crashes(),
-            kept: self.sessions.take_unreported(),
-            ages: Vec::new(),
+            retained_sessions: self.sessions.take_unreported(),
+            rollout_ages: Vec::new(),
         }
     }
 
     /// Takes the unreachable backend servers.
-    fn take_unreached(&mut self) -> Vec<Unreached> {
+    fn take_unreached(&mut self) -> Vec<UnreachableServer> {
         let from = &self.cfg.domain;
-        let unreached = |(server, is_down)| Unreached {
+        let unreached = |(server, is_down)| UnreachableServer {
             from: from.clone(),
             server,
             is_down,
--- a/sesamebeam_core/src/gateway/router/retry_after.rs
+++ b/sesamebeam_core/src/gateway/router/retry_after.rs
@@ -12,9 +12,7 @@
         directory::ServerId, //
     },
     ids::MonoTime,
-    policy::{
-        hash, //
-    },
+    policy::hash,
 };
 
 /// `Retry-After` time if it cannot be computed when a backend server accepts requests
@@ -43,8 +41,8 @@
         let allowed = self.allowed_versions(plan);
         let may_run = self.open_servers(&plan.service);
         let may_run = may_run
-            .filter(|k| allowed.includes(&k.said.version))
-            .map(|k| &k.said.id);
+            .filter(|k| allowed.includes(&k.announcement.version))
+            .map(|k| &k.announcement.id);
         let mut staying = may_run
             .filter(|id| !self.backoffs.is_leaving(id))
             .peekable();
--- a/sesamebeam_core/src/gateway/sessions.rs
+++ b/sesamebeam_core/src/gateway/sessions.rs
@@ -20,9 +20,9 @@
 
 use super::{
     config::ServiceId,
-    feed::{
-        Age,
-        Kept, //
+    messages::{
+        RetainedSessions,
+        RolloutAge, //
     },
 };
 use crate::{
@@ -118,7 +118,7 @@
 
     /// Adds sessions that other entries have reported. `all` is set if the reports of all
     /// entries are included.
-    pub fn exclude(&mut self, now: MonoTime, kept: &Kept, all: bool) {
+    pub fn exclude(&mut self, now: MonoTime, kept: &RetainedSessions, all: bool) {
         self.track_rollout(now, &kept.service, &kept.target);
         if let Some(canary) = self.canaries.get_mut(&kept.service)
             && canary.target == kept.target
@@ -131,8 +131,8 @@
     }
 
     /// Returns the age of each rollout.
-    pub fn ages(&self, now: MonoTime) -> Vec<Age> {
-        let age = |(service, canary): (&ServiceId, &Canary)| Age {
+    pub fn ages(&self, now: MonoTime) -> Vec<RolloutAge> {
+        let age = |(service, canary): (&ServiceId, &Canary)| RolloutAge {
             service: service.clone(),
             target: canary.target.clone(),
             age: now.saturating_sub(canary.since),
@@ -141,12 +141,12 @@
     }
 
     /// Takes the sampled sessions to report.
-    pub fn take_unreported(&mut self) -> Vec<Kept> {
+    pub fn take_unreported(&mut self) -> Vec<RetainedSessions> {
         let with_unreported = self
             .canaries
             .iter_mut()
             .filter(|(_, t)| !t.unreported.is_empty());
-        let report = |(service, canary): (&ServiceId, &mut Canary)| Kept {
+        let report = |(service, canary): (&ServiceId, &mut Canary)| RetainedSessions {
             service: service.clone(),
             target: canary.target.clone(),
             sessions: std::mem::take(&mut canary.unreported),
--- a/sesamebeam_core/src/gateway/subscription.rs
+++ b/sesamebeam_core/src/gateway/subscription.rs
@@ -14,7 +14,7 @@
 
 use super::{
     config::ConfigVersion,
-    feed::Summary, //
+    messages::StateSummary, //
 };
 use crate::{
     ids::{
@@ -80,7 +80,7 @@
     connected_at: MonoTime,
     /// Failure domain of the replica, once known.
     domain: Option<DomainId>,
-    summary: Summary,
+    summary: StateSummary,
     /// Start of the period in which the replica has known no leader.
     leaderless_since: Option<MonoTime>,
     /// Start of the period in which the replica has been ahead of the entry.
@@ -125,7 +125,7 @@
         let replica = Replica {
             connected_at: now,
             domain: None,
-            summary: Summary::default(),
+            summary: StateSummary::default(),
             leaderless_since: Some(now),
             ahead_since: None,
             next_resync_at: MonoTime::ZERO,
@@ -153,7 +153,7 @@
         &mut self,
         now: MonoTime,
         addr: ProcessAddr,
-        summary: Summary,
+        summary: StateSummary,
         local: &LocalSummary,
     ) {
         let Some(replica) = self.replicas.get_mut(&addr) else {
--- a/sesamebeam_core/tests/gateway/backoff.rs
+++ b/sesamebeam_core/tests/gateway/backoff.rs
@@ -21,12 +21,12 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     choice,
-    entry_of,
     ms,
     plan,
+    router_of_entry,
     send, //
 };
 
@@ -37,7 +37,7 @@
 const START: u64 = 50_000;
 
 fn entry(servers: u8) -> Router {
-    entry_of("entry-1", 3, servers)
+    router_of_entry("entry-1", 3, servers)
 }
 
 fn rejection(pause: u64) -> ResponseHead {
@@ -174,7 +174,7 @@
     let mut router = entry(1);
     router.record_backoff(ms(START), &choice(0), &leaving());
     let mut restarted = announcement(0);
-    (restarted.born, restarted.sequence) = (5, 1);
+    (restarted.started_at, restarted.sequence) = (5, 1);
     router.apply_announcement(ms(START + 10), restarted);
     assert!(send(&mut router, ms(START + 20), "caller").is_ok());
     assert!(!pause(&mut router, START + 30, 0, PAUSE), "the older life");
--- a/sesamebeam_core/tests/gateway/balance.rs
+++ b/sesamebeam_core/tests/gateway/balance.rs
@@ -14,7 +14,7 @@
     },
     directory::{
         Announcement,
-        Known, //
+        ServerRecord, //
     },
     loads::{
         self,
@@ -24,7 +24,7 @@
     request::Load,
 };
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     ms, //
 };
@@ -43,29 +43,29 @@
     Affinity { key, tokens: 5_000 }
 }
 
-fn known(said: Announcement) -> Known {
-    Known {
-        said,
-        heard_at: ms(0),
+fn known(said: Announcement) -> ServerRecord {
+    ServerRecord {
+        announcement: said,
+        last_heard_at: ms(0),
         cold_until: ms(0),
     }
 }
 
-fn servers(count: u8) -> Vec<Known> {
+fn servers(count: u8) -> Vec<ServerRecord> {
     (0..count).map(|n| known(announcement(n))).collect()
 }
 
 fn choose(
     balance: &mut LoadBalancer,
     now: u64,
-    servers: &[Known],
+    servers: &[ServerRecord],
     need: &ChoiceParams<'_>,
 ) -> String {
-    let all: Vec<&Known> = servers.iter().collect();
+    let all: Vec<&ServerRecord> = servers.iter().collect();
     let chosen = balance.choose(ms(now), &all, need);
     chosen
         .expect("a backend server is eligible")
-        .said
+        .announcement
         .id
         .to_string()
 }
@@ -108,8 +108,8 @@
 #[test]
 fn local_domain_first() {
     let mut servers = servers(4);
-    servers[3].said.domain = "hall-2".into();
-    servers[0].said.domain = "hall-2".into();
+    servers[3].announcement.domain = "hall-2".into();
+    servers[0].announcement.domain = "hall-2".into();
     let mut balance = LoadBalancer::default();
     for _ in 0..4 {
         let chosen = choose(&mut balance, 0, &servers, &NEED);
@@ -120,7 +120,7 @@
 #[test]
 fn remote_domain_when_local_is_full() {
     let mut servers = servers(2);
-    servers[1].said.domain = "hall-2".into();
+    servers[1].announcement.domain = "hall-2".into();
     let mut balance = LoadBalancer::default();
     let full = Load {
         running: 10,
@@ -156,13 +156,13 @@
     let mut balance = LoadBalancer::default();
     for n in 0..40 {
         for server in &servers {
-            let bad = server.said.id == "server-2";
+            let bad = server.announcement.id == "server-2";
             let outcome = match n % 10 {
                 0 => Outcome::Failed,
                 k if bad && k % 2 == 0 => Outcome::Failed,
                 _ => Outcome::Good,
             };
-            balance.record_outcome(ms(n), &server.said.id, outcome);
+            balance.record_outcome(ms(n), &server.announcement.id, outcome);
         }
     }
     let chosen: Vec<String> = (0..20)
@@ -250,15 +250,15 @@
 }
 
 /// Returns the failure domains that requests with different prompts go to.
-fn domains(balance: &mut LoadBalancer, times: &[u64], servers: &[Known]) -> Vec<String> {
+fn domains(balance: &mut LoadBalancer, times: &[u64], servers: &[ServerRecord]) -> Vec<String> {
     let domain = |&now: &u64| {
         let need = ChoiceParams {
             affinity: Some(long_prompt(now * 7919)),
             ..NEED
         };
         let chosen = choose(balance, now, servers, &need);
-        let chosen = servers.iter().find(|k| k.said.id == chosen);
-        chosen.expect("one of them").said.domain.to_string()
+        let chosen = servers.iter().find(|k| k.announcement.id == chosen);
+        chosen.expect("one of them").announcement.domain.to_string()
     };
     times.iter().map(domain).collect()
 }
@@ -270,7 +270,7 @@
     // failure domain are enough.
     let mut servers = servers(20);
     for known in &mut servers[2..] {
-        known.said.domain = "hall-2".into();
+        known.announcement.domain = "hall-2".into();
     }
     let mut balance = LoadBalancer::default();
     for id in ["server-5", "server-9"] {
@@ -287,7 +287,7 @@
     // others in their failure domain still get requests.
     let mut servers = servers(20);
     for known in &mut servers[2..] {
-        known.said.domain = "hall-2".into();
+        known.announcement.domain = "hall-2".into();
     }
     let mut balance = LoadBalancer::default();
     for id in ["server-5", "server-9", "server-11"] {
@@ -321,15 +321,15 @@
     // probes the path until one gets a response.
     let mut servers = servers(20);
     for known in &mut servers[2..] {
-        known.said.domain = "hall-2".into();
+        known.announcement.domain = "hall-2".into();
     }
     let mut balance = LoadBalancer::default();
-    let far: Vec<&Known> = servers[2..].iter().collect();
+    let far: Vec<&ServerRecord> = servers[2..].iter().collect();
     for _ in 0..2 {
         let chosen = balance
             .choose(ms(0), &far, &NEED)
             .expect("a backend server is eligible");
-        balance.record_outcome(ms(0), &chosen.said.id, Outcome::Unreachable);
+        balance.record_outcome(ms(0), &chosen.announcement.id, Outcome::Unreachable);
     }
     let soon: Vec<u64> = (1..240).collect();
     let soon = domains(&mut balance, &soon, &servers);
@@ -338,9 +338,16 @@
     let later = domains(&mut balance, &later, &servers);
     let tries = later.iter().filter(|d| *d == "hall-2").count();
     assert_eq!(tries, 1, "{later:?}");
-    let tried = servers.iter().find(|k| k.said.domain == "hall-2");
-    let tried = tried.expect("a backend server is eligible").said.id.clone();
-    let only: Vec<&Known> = servers.iter().filter(|k| k.said.id == tried).collect();
+    let tried = servers.iter().find(|k| k.announcement.domain == "hall-2");
+    let tried = tried
+        .expect("a backend server is eligible")
+        .announcement
+        .id
+        .clone();
+    let only: Vec<&ServerRecord> = servers
+        .iter()
+        .filter(|k| k.announcement.id == tried)
+        .collect();
     balance
         .choose(ms(801), &only, &NEED)
         .expect("a backend server is eligible");
@@ -356,21 +363,24 @@
     // others in its failure domain respond.
     let mut servers = servers(8);
     for known in &mut servers[2..] {
-        known.said.domain = "hall-2".into();
+        known.announcement.domain = "hall-2".into();
     }
     let mut balance = LoadBalancer::default();
-    let far: Vec<&Known> = servers[2..].iter().collect();
+    let far: Vec<&ServerRecord> = servers[2..].iter().collect();
     for _ in 0..4 {
         let chosen = balance
             .choose(ms(0), &far, &NEED)
             .expect("a backend server is eligible");
-        let id = chosen.said.id.clone();
+        let id = chosen.announcement.id.clone();
         balance.record_outcome(ms(0), &id, Outcome::Unreachable);
-        let other = far.iter().find(|k| k.said.id != id).expect("another");
+        let other = far
+            .iter()
+            .find(|k| k.announcement.id != id)
+            .expect("another");
         balance
             .choose(ms(0), &[other], &NEED)
             .expect("a backend server is eligible");
-        balance.record_response(ms(1), &other.said.id, None);
+        balance.record_response(ms(1), &other.announcement.id, None);
     }
     let soon: Vec<u64> = (2..100).collect();
     let soon = domains(&mut balance, &soon, &servers);
@@ -426,7 +436,7 @@
     // a few milliseconds.
     let mut servers = servers(8);
     for known in &mut servers[..6] {
-        known.said.domain = "hall-2".into();
+        known.announcement.domain = "hall-2".into();
     }
     let far = |tokens| {
         let mut balance = LoadBalancer::default();
--- a/sesamebeam_core/tests/gateway/budget.rs
+++ b/sesamebeam_core/tests/gateway/budget.rs
@@ -1,14 +1,14 @@
 //! The retry budget.
 
 use sesamebeam_core::gateway::{
-    entries::Counted,
+    entry_count::EntryCounter,
     retry_budget::{
         RetryBudget,
         RetryBudgetConfig, //
     },
 };
 
-use crate::make::ms;
+use crate::fixtures::ms;
 
 fn budget(entries: u32) -> RetryBudget {
     let mut budget = RetryBudget::new(RetryBudgetConfig {
@@ -80,14 +80,14 @@
     // a second, while the service fails every request. When each entry took itself for
     // one of the few that were connected so far, they sent 26 retries where 20 are
     // allowed.
-    let mut counted = Counted::default();
+    let mut counted = EntryCounter::default();
     let mut entries: Vec<RetryBudget> = (0..15).map(|_| budget(0)).collect();
     let mut spent = 0;
     for now in (0..8000).step_by(50) {
         let connected = (now / 50 + 1).min(15);
-        counted.connected(ms(now), connected as u32);
+        counted.record_connected(ms(now), connected as u32);
         for budget in entries.iter_mut().take(connected as usize) {
-            budget.set_entries(ms(now), counted.known(ms(now)));
+            budget.set_entries(ms(now), counted.count(ms(now)));
             spent += usize::from(budget.try_retry(ms(now), &"pool".into()));
         }
     }
@@ -102,9 +102,9 @@
 fn single_restart() {
     // A single entry restarts. The replica has counted all entries before, so the entry
     // has its part of the slack from its first request.
-    let mut counted = Counted::default();
-    counted.connected(ms(0), 10);
+    let mut counted = EntryCounter::default();
+    counted.record_connected(ms(0), 10);
     let mut budget = budget(0);
-    budget.set_entries(ms(20_000), counted.known(ms(20_000)));
+    budget.set_entries(ms(20_000), counted.count(ms(20_000)));
     assert!(budget.try_retry(ms(20_000), &"pool".into()));
 }
--- a/sesamebeam_core/tests/gateway/crashes.rs
+++ b/sesamebeam_core/tests/gateway/crashes.rs
@@ -2,16 +2,16 @@
 
 use sesamebeam_core::gateway::{
     crashes::CrashTracker,
-    directory::Life,
-    feed::Crash, //
+    directory::ServerIncarnation,
+    messages::Crash, //
 };
 
 fn crash(fingerprint: u128, server: &str) -> Crash {
     Crash {
         fingerprint,
-        server: Life {
+        server: ServerIncarnation {
             id: server.into(),
-            born: 1,
+            started_at: 1,
         },
     }
 }
--- a/sesamebeam_core/tests/gateway/directory.rs
+++ b/sesamebeam_core/tests/gateway/directory.rs
@@ -1,4 +1,4 @@
-//! Merging what backend servers say of themselves.
+//! Merging of backend server announcements.
 
 use proptest::{
     prelude::*,
@@ -10,240 +10,245 @@
     ServerState, //
 };
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     ms, //
 };
 
 fn ready(directory: &Directory) -> Vec<String> {
     let ready = directory.ready("pool");
-    ready.map(|k| k.said.id.to_string()).collect()
+    ready.map(|k| k.announcement.id.to_string()).collect()
 }
 
 #[test]
-fn old_draining_word() {
-    // A backend server says that it drains; its word from before is held up on
-    // another path and comes later. It must not count as ready again.
+fn late_ready_announcement() {
+    // A draining announcement overtakes an older ready one, which was delayed on another
+    // path. The server must not become ready again.
     let mut directory = Directory::default();
     let mut draining = announcement(1);
     draining.state = ServerState::Draining;
     draining.sequence = 5;
-    assert!(directory.take(ms(0), draining, true));
+    assert!(directory.merge(ms(0), draining, true));
     let mut late = announcement(1);
     late.sequence = 4;
-    assert!(!directory.take(ms(10), late, true));
+    assert!(!directory.merge(ms(10), late, true));
     assert!(ready(&directory).is_empty());
 }
 
 #[test]
 fn gone_stays_gone() {
-    // A backend server leaves; a beat that a cut held up arrives afterwards with
-    // a higher number than anything heard before. It has left all the same.
+    // A backend server leaves. A heartbeat delayed by a network partition arrives later,
+    // with a higher sequence number than any before. The server stays gone.
     let mut directory = Directory::default();
-    directory.take(ms(0), announcement(1), true);
-    assert!(directory.leave(ms(5), "server-1", None).is_some());
+    directory.merge(ms(0), announcement(1), true);
+    assert!(directory.mark_gone(ms(5), "server-1", None).is_some());
     let mut late = announcement(1);
     late.sequence = 99;
-    assert!(!directory.take(ms(10), late, true));
+    assert!(!directory.merge(ms(10), late, true));
     assert!(ready(&directory).is_empty());
 }
 
 #[test]
-fn new_life_at_an_address() {
-    // A backend server crashes and another life starts at its address. The old
-    // life is never heard again, and must not get work meant for it.
+fn new_incarnation_at_an_address() {
+    // A backend server crashes and another one starts at its address. The old one is never
+    // heard from again, and must not receive requests.
     let mut directory = Directory::default();
-    directory.take(ms(0), announcement(1), true);
-    let mut next = announcement(2);
-    next.addr = announcement(1).addr;
-    assert!(directory.take(ms(5), next, true));
+    directory.merge(ms(0), announcement(1), true);
+    let mut newer = announcement(2);
+    newer.addr = announcement(1).addr;
+    assert!(directory.merge(ms(5), newer, true));
     assert_eq!(ready(&directory), ["server-2"]);
     let mut late = announcement(1);
     late.sequence = 7;
-    directory.take(ms(9), late, true);
+    directory.merge(ms(9), late, true);
     assert_eq!(ready(&directory), ["server-2"]);
 }
 
 #[test]
-fn refreshes_are_no_news() {
+fn heartbeats_are_not_news() {
     let mut directory = Directory::default();
-    assert!(directory.take(ms(0), announcement(1), true));
+    assert!(directory.merge(ms(0), announcement(1), true));
     let mut again = announcement(1);
     again.sequence = 2;
-    assert!(!directory.take(ms(9), again, true));
-    assert_eq!(directory.get("server-1").map(|k| k.heard_at), Some(ms(9)));
+    assert!(!directory.merge(ms(9), again, true));
+    assert_eq!(
+        directory.get("server-1").map(|k| k.last_heard_at),
+        Some(ms(9))
+    );
 }
 
-/// Returns one of many backend servers, each at an address of its own.
-fn one_of_many(number: u32) -> Announcement {
-    let mut said = announcement(1);
-    said.id = format!("server-{number}").into();
-    said.addr = (std::net::Ipv4Addr::from(0x0a00_0000 + number), 80).into();
-    said
+/// Returns an announcement of one of many backend servers, each at its own address.
+fn numbered_server(number: u32) -> Announcement {
+    let mut server = announcement(1);
+    server.id = format!("server-{number}").into();
+    server.addr = (std::net::Ipv4Addr::from(0x0a00_0000 + number), 80).into();
+    server
 }
 
 #[test]
-fn same_cost_in_a_fleet() {
-    // Each announcement was compared with all backend servers that are known.
+fn merge_cost_independent_of_size() {
+    // An announcement must not be compared with all known backend servers.
     let examined = |count: u32| {
         let mut directory = Directory::default();
         for number in 0..count {
-            directory.take(ms(0), one_of_many(number), true);
+            directory.merge(ms(0), numbered_server(number), true);
         }
-        directory.examined() / u64::from(count)
+        directory.examined_records() / u64::from(count)
     };
     assert!(examined(20_000) <= examined(300));
 }
 
 #[test]
-fn same_cost_of_forgetting() {
-    // Each life that ended beyond the bound was searched for among all.
+fn eviction_cost_independent_of_size() {
+    // Forgetting an ended incarnation beyond the limit must not search all of them.
     let mut directory = Directory::default();
     for number in 0..20_000 {
-        directory.take(ms(u64::from(number)), one_of_many(number), true);
-        directory.leave(ms(u64::from(number)), &format!("server-{number}"), None);
+        directory.merge(ms(u64::from(number)), numbered_server(number), true);
+        directory.mark_gone(ms(u64::from(number)), &format!("server-{number}"), None);
     }
     assert!(directory.count() <= 8200);
     assert!(directory.get("server-19999").is_some());
     assert!(directory.get("server-0").is_none());
-    assert!(directory.examined() <= 2 * 20_000);
+    assert!(directory.examined_records() <= 2 * 20_000);
 }
 
 #[test]
-fn bounded() {
+fn gone_servers_are_bounded() {
     let mut directory = Directory::default();
     for number in 0..20_000u32 {
-        let mut said = announcement(1);
-        said.id = format!("life-{number}").into();
-        directory.take(ms(u64::from(number)), said, true);
+        let mut server = announcement(1);
+        server.id = format!("server-{number}").into();
+        directory.merge(ms(u64::from(number)), server, true);
     }
     assert!(directory.all().count() <= 8200);
 }
 
-/// Returns what a life says that started at a time.
-fn said_by(born: u64, sequence: u64) -> Announcement {
+/// Returns an announcement of an incarnation with the given start time.
+fn incarnation_started_at(started_at: u64, sequence: u64) -> Announcement {
     Announcement {
-        born,
+        started_at,
         sequence,
         ..announcement(1)
     }
 }
 
 #[test]
-fn starts_again() {
-    // A backend server crashes and starts again under its name; its numbers
-    // start anew. It takes work again, although it had left.
+fn restart_under_the_same_id() {
+    // A backend server crashes and restarts under the same id, and its sequence numbers
+    // start again. It must accept requests again although the id was marked as gone.
     let mut directory = Directory::default();
-    directory.take(ms(0), said_by(100, 40), true);
-    directory.leave(ms(1), "server-1", Some(100));
+    directory.merge(ms(0), incarnation_started_at(100, 40), true);
+    directory.mark_gone(ms(1), "server-1", Some(100));
     assert!(ready(&directory).is_empty());
-    assert!(directory.take(ms(2), said_by(200, 1), true));
+    assert!(directory.merge(ms(2), incarnation_started_at(200, 1), true));
     assert_eq!(ready(&directory), ["server-1"]);
 }
 
 #[test]
-fn old_life_late() {
-    // What an older life said is held up by a cut and arrives after the new one
-    // has announced itself: that it drains, that it left. The new one works on.
+fn late_announcement_of_old_incarnation() {
+    // Announcements of an older incarnation, that it drains and that it leaves, are delayed
+    // by a network partition and arrive after the new one has announced itself. The new one
+    // stays ready.
     let mut directory = Directory::default();
-    directory.take(ms(0), said_by(200, 1), true);
-    let mut draining = said_by(100, 41);
+    directory.merge(ms(0), incarnation_started_at(200, 1), true);
+    let mut draining = incarnation_started_at(100, 41);
     draining.state = ServerState::Draining;
-    assert!(!directory.take(ms(1), draining, true));
-    assert!(directory.leave(ms(2), "server-1", Some(100)).is_none());
+    assert!(!directory.merge(ms(1), draining, true));
+    assert!(directory.mark_gone(ms(2), "server-1", Some(100)).is_none());
     assert_eq!(ready(&directory), ["server-1"]);
 }
 
 #[test]
-fn outlived_at_an_address() {
-    // Two names at one address, and the older one is heard last. It is over.
+fn superseded_at_an_address() {
+    // Of two ids at one address, the announcement of the older incarnation arrives last. It
+    // must not replace the newer one.
     let mut directory = Directory::default();
-    directory.take(ms(0), said_by(200, 1), true);
-    let mut older = said_by(100, 7);
+    directory.merge(ms(0), incarnation_started_at(200, 1), true);
+    let mut older = incarnation_started_at(100, 7);
     older.id = "server-0".into();
-    directory.take(ms(1), older, true);
+    directory.merge(ms(1), older, true);
     assert_eq!(ready(&directory), ["server-1"]);
 }
 
 #[test]
 fn unknown_service() {
-    // Another writer announces a service that nobody has at the address of a
-    // backend server that works. It goes on.
+    // A third party announces an unknown service at the address of a working backend
+    // server. The server stays ready.
     let mut directory = Directory::default();
-    directory.take(ms(0), announcement(1), true);
+    directory.merge(ms(0), announcement(1), true);
     let mut forged = announcement(2);
     forged.addr = announcement(1).addr;
     forged.service = "nowhere".into();
-    directory.take(ms(1), forged, false);
+    directory.merge(ms(1), forged, false);
     assert_eq!(ready(&directory), ["server-1"]);
 }
 
 #[test]
-fn stays_what_it_is() {
-    // A life is said to be of another service, by a writer that copied the rest.
-    // Its callers would be refused while it works.
+fn service_never_changes() {
+    // A third party copies an announcement but changes the service. If the change were
+    // accepted, callers would be rejected although the server works.
     let mut directory = Directory::default();
-    directory.take(ms(0), announcement(1), true);
+    directory.merge(ms(0), announcement(1), true);
     let mut forged = announcement(1);
     forged.sequence = 9;
     forged.service = "nowhere".into();
-    assert!(!directory.take(ms(1), forged, false));
+    assert!(!directory.merge(ms(1), forged, false));
     assert_eq!(ready(&directory), ["server-1"]);
 }
 
-fn lives() -> impl Strategy<Value = Vec<Announcement>> {
+fn announcements() -> impl Strategy<Value = Vec<Announcement>> {
     let state = prop_oneof![Just(ServerState::Ready), Just(ServerState::Draining)];
     let one = (0u8..4, 1u64..20, state).prop_map(|(number, sequence, state)| {
-        let mut said = announcement(number);
-        said.sequence = sequence;
-        said.state = state;
-        said
+        let mut server = announcement(number);
+        server.sequence = sequence;
+        server.state = state;
+        server
     });
     prop::collection::vec(one, 1..30)
 }
 
 proptest! {
-    /// Whatever the order in which announcements arrive, draining is final for a
-    /// life, so that no replica takes a leaving backend server for a ready one
-    /// longer than it takes to hear of it.
+    /// Regardless of the order in which announcements arrive, draining is final for an
+    /// incarnation, so no replica treats a leaving backend server as ready once it has
+    /// received the announcement.
     #[test]
-    fn draining_is_final(said in lives(), at in any::<Index>()) {
+    fn draining_is_final(server in announcements(), at in any::<Index>()) {
         let mut directory = Directory::default();
-        let leaving = said[at.index(said.len())].clone();
-        for (n, said) in said.into_iter().enumerate() {
-            directory.take(ms(n as u64), said, true);
+        let leaving = server[at.index(server.len())].clone();
+        for (n, server) in server.into_iter().enumerate() {
+            directory.merge(ms(n as u64), server, true);
         }
         let mut draining = leaving.clone();
         draining.state = ServerState::Draining;
-        directory.take(ms(100), draining, true);
+        directory.merge(ms(100), draining, true);
         let ready = ready(&directory);
         prop_assert!(!ready.contains(&leaving.id.to_string()));
     }
 }
 
 proptest! {
-    /// Whatever was said in whatever order, indexes and digests are those of a
-    /// directory that was told of the outcome alone.
+    /// Regardless of the announcements and their order, the index and digests equal those
+    /// of a directory built from the final state alone.
     #[test]
-    fn indexes_follow(said in proptest::collection::vec((0u8..6, 0u64..3, 0u8..4, 0u8..3, 0u64..9), 0..60)) {
+    fn indexes_match_records(server in proptest::collection::vec((0u8..6, 0u64..3, 0u8..4, 0u8..3, 0u64..9), 0..60)) {
         let mut directory = Directory::default();
-        for (at, (number, born, place, state, sequence)) in said.into_iter().enumerate() {
-            let mut said = announcement(number);
-            said.addr = announcement(place).addr;
-            said.born = born;
-            said.sequence = sequence;
-            said.state = [ServerState::Ready, ServerState::Draining, ServerState::Gone][usize::from(state)];
-            directory.take(ms(at as u64), said, true);
+        for (at, (number, started_at, address, state, sequence)) in server.into_iter().enumerate() {
+            let mut server = announcement(number);
+            server.addr = announcement(address).addr;
+            server.started_at = started_at;
+            server.sequence = sequence;
+            server.state = [ServerState::Ready, ServerState::Draining, ServerState::Gone][usize::from(state)];
+            directory.merge(ms(at as u64), server, true);
         }
         let mut ids = ready(&directory);
         ids.sort();
-        let working = directory.all().filter(|k| k.said.state == ServerState::Ready);
-        let expected: Vec<String> = working.map(|k| k.said.id.to_string()).collect();
+        let working = directory.all().filter(|k| k.announcement.state == ServerState::Ready);
+        let expected: Vec<String> = working.map(|k| k.announcement.id.to_string()).collect();
         prop_assert_eq!(ids, expected);
-        let mut anew = Directory::default();
-        for known in directory.all().filter(|k| k.said.state != ServerState::Gone) {
-            anew.take(ms(99), known.said.clone(), true);
+        let mut rebuilt = Directory::default();
+        for record in directory.all().filter(|k| k.announcement.state != ServerState::Gone) {
+            rebuilt.merge(ms(99), record.announcement.clone(), true);
         }
-        prop_assert_eq!(directory.digests(), anew.digests());
+        prop_assert_eq!(directory.digests(), rebuilt.digests());
     }
 }
--- a/sesamebeam_core/tests/gateway/evacuations.rs
+++ b/sesamebeam_core/tests/gateway/evacuations.rs
@@ -6,13 +6,13 @@
     gateway::{
         balance::Outcome,
         coordinator::{
-            Answer,
-            Call,
+            ApiRequest,
+            ApiResponse,
             Event, //
         },
         directory::ServerId,
-        feed::{
-            Held,
+        messages::{
+            SyncState,
             ToEntry, //
         },
         rollout::{
@@ -38,13 +38,13 @@
 use yare::parameterized;
 
 use crate::{
-    group::Group,
-    make::{
+    fixtures::{
         announcement,
         head,
         ms,
         router, //
     },
+    group::Group,
 };
 
 /// Maximum time to the acknowledgement of an order while a majority of the replicas is
@@ -52,12 +52,12 @@
 /// misses an acknowledgement that comes after a second.
 const MAX_ACKNOWLEDGEMENT_MS: u64 = 1000;
 
-fn evacuate(domain: &str) -> Call {
-    Call::Evacuate(domain.into())
+fn evacuate(domain: &str) -> ApiRequest {
+    ApiRequest::Evacuate(domain.into())
 }
 
-fn readmit(domain: &str) -> Call {
-    Call::Readmit(domain.into())
+fn readmit(domain: &str) -> ApiRequest {
+    ApiRequest::Readmit(domain.into())
 }
 
 /// Returns the failure domains that are evacuated in the state of a replica.
@@ -68,17 +68,17 @@
 
 /// Sends an order to one replica after another, as an operator does, and returns
 /// the time until one acknowledged it, in milliseconds.
-fn send_order(group: &mut Group, call: &Call) -> u64 {
+fn send_order(group: &mut Group, call: &ApiRequest) -> u64 {
     let since = group.now;
     while group.now < since + ms(30_000) {
         let nodes: Vec<NodeId> = group.processes.keys().copied().collect();
         for node in nodes {
-            let ticket = group.call(node, call.clone());
+            let ticket = group.send_request(node, call.clone());
             let until = group.now + ms(900);
-            while group.now < until && !group.answers.contains_key(&ticket) {
+            while group.now < until && !group.responses.contains_key(&ticket) {
                 group.run(1);
             }
-            if group.answers.get(&ticket) == Some(&Answer::Done) {
+            if group.responses.get(&ticket) == Some(&ApiResponse::Done) {
                 return (group.now - since).as_millis() as u64;
             }
         }
@@ -104,16 +104,16 @@
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     let other = (1..=3).find(|&n| n != leader).expect("there are three");
-    let config = Call::Apply(Document {
+    let config = ApiRequest::Apply(Document {
         version: 5,
         bytes: "five".into(),
     });
-    assert_eq!(group.ask(leader, config), Answer::Done);
-    group.event(other, Event::Subscribed(9));
-    group.event(other, Event::Follows(9, Held::default()));
+    assert_eq!(group.request(leader, config), ApiResponse::Done);
+    group.event(other, Event::EntryConnected(9));
+    group.event(other, Event::EntryFollows(9, SyncState::default()));
     group.run(100);
     group.pushed.clear();
-    assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
+    assert_eq!(group.request(leader, evacuate("hall-1")), ApiResponse::Done);
     group.run(200);
     let is_notified = |group: &Group, node: NodeId, with_config: bool| {
         group.pushed.iter().any(|(from, push)| match push {
@@ -125,8 +125,8 @@
     };
     assert!(is_notified(&group, other, false), "{:?}", group.pushed);
     group.pushed.clear();
-    group.event(leader, Event::Subscribed(10));
-    group.event(leader, Event::Follows(10, Held::default()));
+    group.event(leader, Event::EntryConnected(10));
+    group.event(leader, Event::EntryFollows(10, SyncState::default()));
     group.run(100);
     assert!(is_notified(&group, leader, true), "{:?}", group.pushed);
 }
@@ -137,11 +137,11 @@
     // from a snapshot after further orders, and after a second power loss.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
-    assert_eq!(group.ask(leader, evacuate("hall-2")), Answer::Done);
+    assert_eq!(group.request(leader, evacuate("hall-1")), ApiResponse::Done);
+    assert_eq!(group.request(leader, evacuate("hall-2")), ApiResponse::Done);
     lose_power(&mut group);
     for version in 1..=50 {
-        let config = Call::Apply(Document {
+        let config = ApiRequest::Apply(Document {
             version,
             bytes: "text".into(),
         });
@@ -162,14 +162,14 @@
     // order twice at another replica, gets the same answer, and nothing else changes.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
+    assert_eq!(group.request(leader, evacuate("hall-1")), ApiResponse::Done);
     group.kill(leader);
     let next = group.new_leader(None);
-    assert_eq!(group.ask(next, evacuate("hall-1")), Answer::Done);
-    assert_eq!(group.ask(next, evacuate("hall-1")), Answer::Done);
+    assert_eq!(group.request(next, evacuate("hall-1")), ApiResponse::Done);
+    assert_eq!(group.request(next, evacuate("hall-1")), ApiResponse::Done);
     assert_eq!(evacuated(&group, next), ["hall-1"]);
-    assert_eq!(group.ask(next, readmit("hall-1")), Answer::Done);
-    assert_eq!(group.ask(next, readmit("hall-1")), Answer::Done);
+    assert_eq!(group.request(next, readmit("hall-1")), ApiResponse::Done);
+    assert_eq!(group.request(next, readmit("hall-1")), ApiResponse::Done);
     assert!(evacuated(&group, next).is_empty());
 }
 
@@ -179,8 +179,11 @@
     // known backend servers can be evacuated, as some may be started there.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, readmit("hall-1")), Answer::Done);
-    assert_eq!(group.ask(leader, evacuate("nowhere")), Answer::Done);
+    assert_eq!(group.request(leader, readmit("hall-1")), ApiResponse::Done);
+    assert_eq!(
+        group.request(leader, evacuate("nowhere")),
+        ApiResponse::Done
+    );
     assert_eq!(evacuated(&group, leader), ["nowhere"]);
 }
 
@@ -191,13 +194,16 @@
     // have the domain as readmitted.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    assert_eq!(group.ask(leader, evacuate("hall-1")), Answer::Done);
+    assert_eq!(group.request(leader, evacuate("hall-1")), ApiResponse::Done);
     group.run(300);
     let isolated = (1..=3).find(|&n| n != leader).expect("there are three");
     group.isolate(isolated);
-    assert_eq!(group.ask(leader, readmit("hall-1")), Answer::Done);
+    assert_eq!(group.request(leader, readmit("hall-1")), ApiResponse::Done);
     assert_eq!(evacuated(&group, isolated), ["hall-1"]);
-    assert_ne!(group.ask(isolated, evacuate("hall-1")), Answer::Done);
+    assert_ne!(
+        group.request(isolated, evacuate("hall-1")),
+        ApiResponse::Done
+    );
 }
 
 /// Condition of the leader when an order is given.
@@ -240,7 +246,7 @@
         LeaderFault::CommandBurst => {
             for version in 1..=60 {
                 let bytes = vec![7; 20_000].into();
-                group.call(leader, Call::Apply(Document { version, bytes }));
+                group.send_request(leader, ApiRequest::Apply(Document { version, bytes }));
             }
         }
     }
--- a/sesamebeam_core/tests/gateway/make.rs
+++ b/sesamebeam_core/tests/gateway/fixtures.rs
@@ -1,4 +1,4 @@
-//! Values that the tests start from.
+//! Fixtures shared by the tests.
 
 use std::{
     net::SocketAddr,
@@ -17,7 +17,7 @@
             ServiceConfig, //
         },
         coordinator::{
-            Call,
+            ApiRequest,
             Coordinator,
             CoordinatorConfig, //
         },
@@ -41,7 +41,7 @@
     ids::MonoTime,
 };
 
-use crate::group::listens;
+use crate::group::listen_addr;
 
 /// Returns a point in time.
 pub(crate) fn ms(millis: u64) -> MonoTime {
@@ -53,11 +53,11 @@
     SocketAddr::from(([10, 0, 0, number], 8080))
 }
 
-/// Makes the call by which a backend server leaves.
-pub(crate) fn leave(id: &str) -> Call {
-    Call::Leave {
+/// Creates the request by which a backend server leaves.
+pub(crate) fn leave_request(id: &str) -> ApiRequest {
+    ApiRequest::Leave {
         id: id.into(),
-        born: None,
+        started_at: None,
     }
 }
 
@@ -65,7 +65,7 @@
 pub(crate) fn announcement(number: u8) -> Announcement {
     Announcement {
         id: format!("server-{number}").into(),
-        born: 0,
+        started_at: 0,
         service: "pool".into(),
         addr: addr(number),
         domain: "hall-1".into(),
@@ -173,22 +173,22 @@
     router
 }
 
-/// Returns a control replica of the first of several failure domains, which has no
-/// place in a group yet.
+/// Returns a control replica in the first failure domain that is not a member of a group
+/// yet.
 pub(crate) fn coordinator() -> Coordinator {
     let cfg = CoordinatorConfig {
-        addr: listens(1),
+        addr: listen_addr(1),
         domain: "hall-1".into(),
-        tolerated: 2,
-        exposure: 0.1,
-        patience: ms(800),
-        disk_patience: ms(400),
+        tolerated_failures: 2,
+        max_exposure: 0.1,
+        request_timeout: ms(800),
+        disk_stall_timeout: ms(400),
     };
     Coordinator::new(cfg, ms(0))
 }
 
-/// Makes an entry that knows backend servers and how many entries there are.
-pub(crate) fn entry_of(name: &str, entries: u32, servers: u8) -> Router {
+/// Creates a router of a named entry with a number of entries and backend servers.
+pub(crate) fn router_of_entry(name: &str, entries: u32, servers: u8) -> Router {
     let mut settings = router_config();
     settings.name = name.into();
     let mut router = Router::new(settings);
@@ -205,10 +205,10 @@
 pub(crate) fn plan(router: &mut Router, now: MonoTime, id: &str) -> Plan {
     let mut head = head(id);
     head.prompt.clear();
-    router.admit(now, &head).expect("it is admitted")
+    router.admit(now, &head).expect("the request is admitted")
 }
 
-/// Sends such a request, which is answered at once.
+/// Sends a request that shares no prompt and receives its response immediately.
 pub(crate) fn send(router: &mut Router, now: MonoTime, id: &str) -> Result<Choice, ChooseError> {
     let plan = plan(router, now, id);
     let choice = router.choose(now, &plan, None, &[])?;
@@ -216,14 +216,14 @@
     Ok(choice)
 }
 
-/// Returns the choice of a backend server that the tests announce.
+/// Returns the choice of an announced backend server.
 pub(crate) fn choice(number: u8) -> Choice {
-    let said = announcement(number);
+    let server = announcement(number);
     Choice {
-        id: said.id,
-        born: said.born,
-        addr: said.addr,
-        version: said.version,
+        id: server.id,
+        born: server.started_at,
+        addr: server.addr,
+        version: server.version,
         prefill_time: ms(0),
         candidates: 1,
     }
