--- a/sesamebeam_core/tests/gateway/group.rs
+++ b/sesamebeam_core/tests/gateway/group.rs
@@ -1,4 +1,4 @@
-//! Control replicas with explicit time, and the links and disks between them.
+//! Simulated group of control replicas with a virtual clock, network and disks.
 
 use std::{
     collections::{
@@ -14,16 +14,16 @@
     gateway::{
         coordinator::{
             Action,
-            Answer,
-            Call,
+            ApiRequest,
+            ApiResponse,
             Coordinator,
             CoordinatorConfig,
             Event, //
         },
-        feed::{
-            Between,
-            Question,
-            Reply,
+        messages::{
+            CoordinatorMessage,
+            MembershipReply,
+            MembershipRequest,
             ToEntry, //
         },
     },
@@ -41,61 +41,62 @@
     },
 };
 
-use crate::make::ms;
+use crate::fixtures::ms;
 
-/// Time that a message, or a sync of the disk, takes.
-const HOP: Duration = Duration::from_millis(2);
+/// Duration of a message delivery or a disk sync.
+const DELIVERY_DELAY: Duration = Duration::from_millis(2);
 
-/// Longest virtual time that a test waits for anything.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum virtual time that a test waits for a condition.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
 /// Identity of the group.
 const GROUP: u128 = 77;
 
-/// One process.
+/// A simulated process.
 pub(crate) struct Process {
     pub(crate) core: Coordinator,
     pub(crate) disk: Saved,
     /// Writes that are not synced yet.
     writes: VecDeque<(MonoTime, WriteId, Vec<DiskOp>)>,
-    /// Whether its disk answers.
+    /// Whether its disk is stalled.
     pub(crate) stalled: bool,
-    /// Time that its clock has missed while it was suspended.
+    /// Whether it is suspended.
     pub(crate) suspended: bool,
 }
 
-/// Replicas, and what is on its way between them.
+/// Simulated processes and the messages in flight between them.
 pub(crate) struct Group {
     pub(crate) now: MonoTime,
     pub(crate) processes: BTreeMap<NodeId, Process>,
-    mail: VecDeque<(MonoTime, NodeId, NodeId, Between)>,
-    cut: BTreeSet<(NodeId, NodeId)>,
-    pub(crate) answers: BTreeMap<u64, Answer>,
-    pub(crate) replies: BTreeMap<u64, Reply>,
+    in_flight: VecDeque<(MonoTime, NodeId, NodeId, CoordinatorMessage)>,
+    partitioned: BTreeSet<(NodeId, NodeId)>,
+    pub(crate) responses: BTreeMap<u64, ApiResponse>,
+    pub(crate) replies: BTreeMap<u64, MembershipReply>,
     pub(crate) pushed: Vec<(NodeId, ToEntry)>,
-    /// What processes outside the group were told, with their addresses.
-    pub(crate) told: VecDeque<(SocketAddr, Question)>,
-    /// Backend servers that each replica was told of by others, each time counted.
-    pub(crate) servers_told: BTreeMap<NodeId, usize>,
+    /// Requests sent to processes outside the group, with the recipient's address.
+    pub(crate) membership_requests: VecDeque<(SocketAddr, MembershipRequest)>,
+    /// Number of announcements that each replica has received from others, including
+    /// repeated ones.
+    pub(crate) announcements_received: BTreeMap<NodeId, usize>,
     next_ticket: u64,
     tolerated: usize,
 }
 
-/// Returns where a replica listens.
-pub(crate) fn listens(node: NodeId) -> SocketAddr {
+/// Returns the listen address of a replica.
+pub(crate) fn listen_addr(node: NodeId) -> SocketAddr {
     SocketAddr::from(([10, 9, 0, node as u8], 7000))
 }
 
 fn members(count: u64) -> Members {
     let mut members = Members::default();
     for node in 1..=count {
-        let voter = Member::voter(u128::from(node), Some(listens(node)));
+        let voter = Member::voter(u128::from(node), Some(listen_addr(node)));
         members.members.insert(node, voter);
     }
     members
 }
 
-fn replica(node: NodeId, members: Members) -> ReplicaConfig {
+fn replica_config(node: NodeId, members: Members) -> ReplicaConfig {
     ReplicaConfig {
         id: node,
         group: GROUP,
@@ -115,18 +116,18 @@
 }
 
 impl Group {
-    /// Starts a group of `count` replicas that bears the loss of `tolerated`.
+    /// Starts a group of `count` replicas that survives `tolerated` failures.
     pub(crate) fn start(count: u64, tolerated: usize) -> Self {
         let mut group = Self {
             now: ms(0),
             processes: BTreeMap::new(),
-            mail: VecDeque::new(),
-            cut: BTreeSet::new(),
-            answers: BTreeMap::new(),
+            in_flight: VecDeque::new(),
+            partitioned: BTreeSet::new(),
+            responses: BTreeMap::new(),
             replies: BTreeMap::new(),
             pushed: Vec::new(),
-            told: VecDeque::new(),
-            servers_told: BTreeMap::new(),
+            membership_requests: VecDeque::new(),
+            announcements_received: BTreeMap::new(),
             next_ticket: 1,
             tolerated,
         };
@@ -136,21 +137,24 @@
         group
     }
 
-    /// Starts a process with what its disk holds.
+    /// Starts a process with the contents of its disk.
     pub(crate) fn boot(&mut self, node: NodeId, members: Members, disk: Saved) {
         let known = self.processes.values().map(|p| p.core.peers());
         let known: Vec<_> = known.flat_map(|peers| peers.all()).collect();
         self.start_empty(node);
         let now = self.now;
-        let process = self.processes.get_mut(&node).expect("it was started");
+        let process = self
+            .processes
+            .get_mut(&node)
+            .expect("the process was started");
         process.disk = disk.clone();
-        // Whoever it asks for a place tells it of the members.
+        // Whichever process it asks to join tells it the members.
         process.core.learn_peers(known);
-        let actions = process.core.start(replica(node, members), disk, now);
-        self.carry(node, actions);
+        let actions = process.core.start(replica_config(node, members), disk, now);
+        self.execute(node, actions);
     }
 
-    /// Starts a process with an empty disk, which has no place yet.
+    /// Starts a process with an empty disk, which is not a member yet.
     pub(crate) fn start_empty(&mut self, node: NodeId) {
         let process = Process {
             core: Coordinator::new(self.settings(node), self.now),
@@ -164,40 +168,43 @@
 
     fn settings(&self, node: NodeId) -> CoordinatorConfig {
         CoordinatorConfig {
-            addr: listens(node),
+            addr: listen_addr(node),
             domain: format!("hall-{node}").into(),
-            tolerated: self.tolerated,
-            exposure: 0.15,
-            patience: ms(800),
-            disk_patience: ms(400),
+            tolerated_failures: self.tolerated,
+            max_exposure: 0.15,
+            request_timeout: ms(800),
+            disk_stall_timeout: ms(400),
         }
     }
 
     /// Stops a process and returns its disk.
     pub(crate) fn kill(&mut self, node: NodeId) -> Saved {
-        let process = self.processes.remove(&node).expect("it runs");
+        let process = self
+            .processes
+            .remove(&node)
+            .expect("the process is running");
         process.disk
     }
 
-    /// Starts a process again with its disk.
+    /// Restarts a process with its disk.
     pub(crate) fn restart(&mut self, node: NodeId, disk: Saved) {
         self.boot(node, Members::default(), disk);
     }
 
-    /// Cuts a replica off from the others.
+    /// Partitions a replica from the others.
     pub(crate) fn isolate(&mut self, node: NodeId) {
         for other in 1..=9 {
-            self.cut.insert((node, other));
-            self.cut.insert((other, node));
+            self.partitioned.insert((node, other));
+            self.partitioned.insert((other, node));
         }
     }
 
-    /// Ends all cuts.
+    /// Heals all network partitions.
     pub(crate) fn heal(&mut self) {
-        self.cut.clear();
+        self.partitioned.clear();
     }
 
-    /// Returns the replica that leads.
+    /// Returns the leader.
     pub(crate) fn leader(&self) -> Option<NodeId> {
         let mut leaders = self.processes.iter().filter(|(_, p)| p.core.leads());
         leaders.next().map(|(&node, _)| node)
@@ -215,37 +222,41 @@
         leader.map(|(&n, _)| n).expect("a leader was found")
     }
 
-    /// Calls a replica and returns the ticket.
-    pub(crate) fn call(&mut self, node: NodeId, call: Call) -> u64 {
+    /// Sends a request to a replica and returns its ticket.
+    pub(crate) fn send_request(&mut self, node: NodeId, request: ApiRequest) -> u64 {
         let ticket = self.ticket();
-        self.event(node, Event::Called(ticket, call));
+        self.event(node, Event::RequestReceived(ticket, request));
         ticket
     }
 
-    /// Calls a replica and waits for the answer.
-    pub(crate) fn ask(&mut self, node: NodeId, call: Call) -> Answer {
-        let ticket = self.call(node, call);
-        self.run_until(|g| g.answers.contains_key(&ticket));
-        self.answers[&ticket].clone()
+    /// Sends a request to a replica and waits for the response.
+    pub(crate) fn request(&mut self, node: NodeId, request: ApiRequest) -> ApiResponse {
+        let ticket = self.send_request(node, request);
+        self.run_until(|g| g.responses.contains_key(&ticket));
+        self.responses[&ticket].clone()
     }
 
-    /// Asks a replica about the group.
-    pub(crate) fn question(&mut self, node: NodeId, question: Question) -> Reply {
+    /// Sends a membership request to a replica and returns the reply.
+    pub(crate) fn request_membership(
+        &mut self,
+        node: NodeId,
+        request: MembershipRequest,
+    ) -> MembershipReply {
         let ticket = self.ticket();
-        self.event(node, Event::Asked(ticket, question));
+        self.event(node, Event::MembershipRequested(ticket, request));
         self.replies[&ticket].clone()
     }
 
-    /// Hands an event to a process.
+    /// Passes an event to a process.
     pub(crate) fn event(&mut self, node: NodeId, event: Event) {
         let Some(process) = self.processes.get_mut(&node) else {
             return;
         };
         let actions = process.core.handle(self.now, event);
-        self.carry(node, actions);
+        self.execute(node, actions);
     }
 
-    /// Lets time pass.
+    /// Advances the clock.
     pub(crate) fn run(&mut self, millis: u64) {
         let until = self.now + ms(millis);
         while self.now < until {
@@ -253,11 +264,11 @@
         }
     }
 
-    /// Lets time pass until something holds.
+    /// Advances the clock until a condition holds.
     pub(crate) fn run_until(&mut self, holds: impl Fn(&Group) -> bool) {
-        let until = self.now + PATIENCE;
+        let until = self.now + MAX_WAIT;
         while !holds(self) {
-            assert!(self.now < until, "waited for longer than {PATIENCE:?}");
+            assert!(self.now < until, "waited for longer than {MAX_WAIT:?}");
             self.step();
         }
     }
@@ -269,14 +280,14 @@
 
     fn step(&mut self) {
         self.now += ms(1);
-        let (now, mail) = (self.now, std::mem::take(&mut self.mail));
+        let (now, mail) = (self.now, std::mem::take(&mut self.in_flight));
         for (at, from, to, message) in mail {
             let asleep = self.processes.get(&to).is_some_and(|p| p.suspended);
             if at > now || asleep {
-                self.mail.push_back((at, from, to, message));
-            } else if !self.cut.contains(&(from, to)) {
-                if let Between::Servers(servers) = &message {
-                    *self.servers_told.entry(to).or_default() += servers.len();
+                self.in_flight.push_back((at, from, to, message));
+            } else if !self.partitioned.contains(&(from, to)) {
+                if let CoordinatorMessage::Servers(servers) = &message {
+                    *self.announcements_received.entry(to).or_default() += servers.len();
                 }
                 self.event(to, Event::Peer { from, message });
             }
@@ -306,34 +317,40 @@
         }
     }
 
-    fn connects(&self, node: NodeId, to: NodeId) -> bool {
+    fn is_connected(&self, node: NodeId, to: NodeId) -> bool {
         let process = self.processes.get(&node);
         process.is_some_and(|p| p.core.peers().addr(to).is_some())
     }
 
-    fn carry(&mut self, node: NodeId, actions: Vec<Action>) {
+    fn execute(&mut self, node: NodeId, actions: Vec<Action>) {
         for action in actions {
             match action {
-                // There are connections to members of the group alone.
-                Action::Send { to, .. } if !self.connects(node, to) => {}
+                // Processes are only connected to members of the group.
+                Action::Send { to, .. } if !self.is_connected(node, to) => {}
                 Action::Send { to, message } => {
-                    self.mail.push_back((self.now + HOP, node, to, message));
+                    self.in_flight
+                        .push_back((self.now + DELIVERY_DELAY, node, to, message));
                 }
                 Action::Write { write, ops } => {
-                    let at = self.now + HOP;
+                    let at = self.now + DELIVERY_DELAY;
                     if let Some(process) = self.processes.get_mut(&node) {
                         process.writes.push_back((at, write, ops));
                     }
                 }
-                Action::Tell { to, told } => self.told.push_back((to, told)),
-                Action::Reply(ticket, reply) => {
+                Action::SendMembershipRequest { to, request } => {
+                    self.membership_requests.push_back((to, request))
+                }
+                Action::ReplyMembership(ticket, reply) => {
                     self.replies.insert(ticket, reply);
                 }
-                Action::Answer(ticket, answer) => {
-                    self.answers.insert(ticket, answer);
+                Action::Respond(ticket, response) => {
+                    self.responses.insert(ticket, response);
                 }
                 Action::Push(_, push) => self.pushed.push((node, push)),
-                Action::Holds(_) | Action::KeepServers(_) | Action::Peers(_) | Action::Note(_) => {}
+                Action::SetSummary(_)
+                | Action::SaveServers(_)
+                | Action::Peers(_)
+                | Action::Log(_) => {}
             }
         }
     }
--- a/sesamebeam_core/tests/gateway/limits.rs
+++ b/sesamebeam_core/tests/gateway/limits.rs
@@ -15,7 +15,6 @@
             Event, //
         },
         directory::ServerId,
-        feed::ToEntry,
         limits::{
             KnownLimits,
             LimitOf,
@@ -23,6 +22,7 @@
             max_arrivals, //
         },
         loads,
+        messages::ToEntry,
         request::ResponseHead,
         router::{
             ChooseError,
@@ -33,13 +33,13 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     choice,
     coordinator,
-    entry_of,
     ms,
     plan,
+    router_of_entry,
     send, //
 };
 
@@ -50,7 +50,7 @@
 const CLOCK_OFFSET: u64 = 100_000;
 
 fn entry(number: u64, entries: u32, servers: u8) -> Router {
-    entry_of(&format!("entry-{number}"), entries, servers)
+    router_of_entry(&format!("entry-{number}"), entries, servers)
 }
 
 /// Creates the head of an answer that states a limit, or none.
@@ -316,7 +316,7 @@
 /// Sends an entry's report to a control replica and returns the limits that it publishes.
 fn report(replica: &mut Coordinator, now: u64, router: &mut Router) -> Vec<LimitOf> {
     let report = router.take_report(ms(now));
-    let mut actions = replica.handle(ms(now), Event::Reported(report));
+    let mut actions = replica.handle(ms(now), Event::EntryReported(report));
     for at in (now..now + 400).step_by(20) {
         actions.extend(replica.handle(ms(at), Event::Tick));
     }
@@ -336,8 +336,8 @@
     let mut first = entry(1, 300, 1);
     let mut other = entry(2, 300, 1);
     replica.handle(ms(0), Event::Servers(vec![announcement(0)]));
-    replica.handle(ms(0), Event::Subscribed(1));
-    replica.handle(ms(0), Event::Follows(1, Default::default()));
+    replica.handle(ms(0), Event::EntryConnected(1));
+    replica.handle(ms(0), Event::EntryFollows(1, Default::default()));
     for (at, limit) in [(10_000, Some(4.0)), (20_000, Some(2.0)), (30_000, None)] {
         deliver_limit(&mut first, ms(at), 0, limit);
         let published = report(&mut replica, at + 100, &mut first);
@@ -418,7 +418,7 @@
     let mut router = entry(1, 300, 1);
     deliver_limit(&mut router, ms(CLOCK_OFFSET), 0, Some(0.1));
     let mut restarted = announcement(0);
-    (restarted.born, restarted.sequence) = (5, 2);
+    (restarted.started_at, restarted.sequence) = (5, 2);
     router.apply_announcement(ms(CLOCK_OFFSET + 10), restarted);
     assert_eq!(router.limited_count(), 0);
 }
--- a/sesamebeam_core/tests/gateway/plays.rs
+++ b/sesamebeam_core/tests/gateway/plays.rs
@@ -15,13 +15,13 @@
         coordinator::{
             Action,
             Coordinator,
-            EntryLife,
+            EntryId,
             Event,
-            Receivers, //
+            Recipients, //
         },
         directory::ServerId,
-        feed::{
-            Held,
+        messages::{
+            SyncState,
             ToEntry, //
         },
         router::Router, //
@@ -30,7 +30,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     config,
     coordinator,
@@ -45,7 +45,7 @@
 
 /// Entries of one service, and the replica that they follow.
 struct Fleet {
-    entries: BTreeMap<EntryLife, Router>,
+    entries: BTreeMap<EntryId, Router>,
     core: Coordinator,
     now: u64,
     rng: StdRng,
@@ -70,8 +70,8 @@
                 router.apply_announcement(ms(0), announcement);
             }
             fleet.entries.insert(life, router);
-            fleet.event(Event::Subscribed(life));
-            fleet.event(Event::Follows(life, Held::default()));
+            fleet.event(Event::EntryConnected(life));
+            fleet.event(Event::EntryFollows(life, SyncState::default()));
         }
         fleet
     }
@@ -88,8 +88,8 @@
             };
             for (life, router) in &mut self.entries {
                 let is_told = match &to {
-                    Receivers::All => true,
-                    Receivers::These(lives) => lives.contains(life),
+                    Recipients::All => true,
+                    Recipients::Only(lives) => lives.contains(life),
                 };
                 if is_told && let ToEntry::Doubts(doubts) = &message {
                     router.set_doubts(doubts.clone());
@@ -112,7 +112,7 @@
             }
         }
         for report in reports.into_iter().filter(|r| !r.is_empty()) {
-            self.event(Event::Reported(report));
+            self.event(Event::EntryReported(report));
         }
         if now.is_multiple_of(20) {
             self.event(Event::Tick);
--- a/sesamebeam_core/tests/gateway/rollouts.rs
+++ b/sesamebeam_core/tests/gateway/rollouts.rs
@@ -6,7 +6,7 @@
     rngs::StdRng, //
 };
 use sesamebeam_core::gateway::{
-    feed::Evidence,
+    messages::Evidence,
     rollout::{
         CANARY_PART,
         Phase,
@@ -16,7 +16,7 @@
 };
 use yare::parameterized;
 
-use crate::make::ms;
+use crate::fixtures::ms;
 
 /// Share of the requests that a faulty version may get.
 const SHARE: f64 = 0.15;
@@ -36,8 +36,8 @@
         route: "notes".into(),
         good,
         bad,
-        timed: good,
-        slowness: slowness * f64::from(good),
+        timed_responses: good,
+        latency_ratio_sum: slowness * f64::from(good),
         ..Evidence::default()
     }
 }
@@ -118,8 +118,8 @@
     // slow.
     let mut monitor = RolloutMonitor::new(ms(0));
     let paced = |version, count, pace| Evidence {
-        paced: count,
-        pace: pace * f64::from(count),
+        timed_streams: count,
+        interval_ratio_sum: pace * f64::from(count),
         ..evidence(version, count, 0, 1.0)
     };
     monitor.add(ms(0), "v2", &paced("v1", 200, 1.0));
--- a/sesamebeam_core/tests/gateway/router.rs
+++ b/sesamebeam_core/tests/gateway/router.rs
@@ -18,7 +18,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     config,
     head,
@@ -211,7 +211,7 @@
     }
     roll_out(&mut first, Phase::Canary, 1);
     roll_out(&mut second, Phase::Canary, 1);
-    for kept in first.take_report(ms(300)).kept {
+    for kept in first.take_report(ms(300)).retained_sessions {
         second.pin_sessions(ms(300), &kept, false);
     }
     for n in 0..400 {
@@ -285,9 +285,9 @@
         .directory()
         .get(&choice.id)
         .expect("it is known")
-        .said
+        .announcement
         .clone();
-    again.born += 5000;
+    again.started_at += 5000;
     again.sequence = 1;
     router.apply_announcement(ms(3), again);
     router.record_outcome(ms(4), &plan, &choice, balance::Outcome::Unreachable);
--- a/sesamebeam_core/tests/gateway/shortage.rs
+++ b/sesamebeam_core/tests/gateway/shortage.rs
@@ -25,8 +25,8 @@
         Announcement,
         ServerId, //
     },
-    feed::{
-        Held,
+    messages::{
+        SyncState,
         ToEntry, //
     },
     request::Load,
@@ -38,7 +38,7 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     announcement,
     config,
     coordinator,
@@ -118,8 +118,8 @@
         let mut replica = coordinator();
         let all: Vec<Announcement> = (0..servers).map(serving).collect();
         replica.handle(ms(0), Event::Servers(all.clone()));
-        replica.handle(ms(0), Event::Subscribed(1));
-        replica.handle(ms(0), Event::Follows(1, Held::default()));
+        replica.handle(ms(0), Event::EntryConnected(1));
+        replica.handle(ms(0), Event::EntryFollows(1, SyncState::default()));
         let entry = || {
             let mut router = Router::new(router_config());
             router.set_config(ms(0), plain());
@@ -256,7 +256,7 @@
             if (now + n as u64 * 13).is_multiple_of(200) {
                 let report = router.take_report(ms(now));
                 self.reports
-                    .push_back((now + MESSAGE_DELAY, Event::Reported(report)));
+                    .push_back((now + MESSAGE_DELAY, Event::EntryReported(report)));
             }
         }
         let mut events = Vec::new();
--- a/sesamebeam_core/tests/gateway/subscription.rs
+++ b/sesamebeam_core/tests/gateway/subscription.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use sesamebeam_core::gateway::{
-    feed::Summary,
+    messages::StateSummary,
     subscription::{
         LocalSummary,
         Subscription,
@@ -13,11 +13,11 @@
 use yare::parameterized;
 
 use crate::{
-    group::listens,
-    make::ms, //
+    fixtures::ms,
+    group::listen_addr, //
 };
 
-const SETTLED: Summary = Summary {
+const SETTLED: StateSummary = StateSummary {
     config: Some(5),
     index: 9,
     servers: 77,
@@ -46,7 +46,7 @@
     }
 
     fn connect(&mut self, number: u64) {
-        let addr = listens(number);
+        let addr = listen_addr(number);
         self.subscription.connected(ms(self.now), addr);
         self.subscription
             .set_domain(addr, format!("hall-{number}").into());
@@ -56,7 +56,7 @@
     fn run(
         &mut self,
         millis: u64,
-        replicas: &[(u64, Summary)],
+        replicas: &[(u64, StateSummary)],
         local: &LocalSummary,
     ) -> Vec<SubscriptionAction> {
         let until = self.now + millis;
@@ -64,7 +64,7 @@
         while self.now < until {
             if self.now.is_multiple_of(500) {
                 for &(number, summary) in replicas {
-                    let addr = listens(number);
+                    let addr = listen_addr(number);
                     self.subscription
                         .summary_received(ms(self.now), addr, summary, local);
                 }
@@ -78,7 +78,7 @@
     fn settle(&mut self) {
         (1..=3).for_each(|n| self.connect(n));
         self.run(3000, &[(1, SETTLED), (2, SETTLED), (3, SETTLED)], &LOCAL);
-        assert_eq!(self.subscription.followed(), Some(listens(1)));
+        assert_eq!(self.subscription.followed(), Some(listen_addr(1)));
     }
 }
 
@@ -98,10 +98,10 @@
     let mut entry = Entry::new();
     entry.connect(2);
     let actions = entry.run(100, &[(2, SETTLED)], &LOCAL);
-    assert_eq!(actions, [SubscriptionAction::Follow(listens(2))]);
+    assert_eq!(actions, [SubscriptionAction::Follow(listen_addr(2))]);
     entry.connect(1);
     let actions = entry.run(3000, &[(1, SETTLED), (2, SETTLED)], &LOCAL);
-    let (far, near) = (listens(2), listens(1));
+    let (far, near) = (listen_addr(2), listen_addr(1));
     assert_eq!(
         actions,
         [
@@ -117,14 +117,14 @@
     let mut entry = Entry::new();
     entry.connect(2);
     let actions = entry.run(50, &[(2, SETTLED)], &LOCAL);
-    assert_eq!(actions, [SubscriptionAction::Follow(listens(2))]);
+    assert_eq!(actions, [SubscriptionAction::Follow(listen_addr(2))]);
 }
 
 #[test]
 fn disconnected_replica_replaced() {
     let mut entry = Entry::new();
     entry.settle();
-    entry.subscription.disconnected(listens(1));
+    entry.subscription.disconnected(listen_addr(1));
     let actions = entry.run(50, &[], &LOCAL);
     assert!(
         matches!(actions[..], [SubscriptionAction::Follow(_)]),
@@ -136,7 +136,7 @@
     assert_eq!(entry.run(1000, &summaries, &LOCAL), []);
     let actions = entry.run(1500, &summaries, &LOCAL);
     assert!(
-        matches!(actions[..], [SubscriptionAction::Unfollow(_), SubscriptionAction::Follow(addr)] if addr == listens(1)),
+        matches!(actions[..], [SubscriptionAction::Unfollow(_), SubscriptionAction::Follow(addr)] if addr == listen_addr(1)),
         "{actions:?}"
     );
 }
@@ -148,37 +148,37 @@
     // of them within half a second, and then follows another replica.
     let mut entry = Entry::new();
     entry.settle();
-    let leaderless = Summary {
+    let leaderless = StateSummary {
         settled: false,
         ..SETTLED
     };
-    let newer = Summary {
+    let newer = StateSummary {
         config: Some(6),
         ..SETTLED
     };
     let summaries = [(1, leaderless), (2, newer), (3, newer)];
     let actions = entry.run(500, &summaries, &LOCAL);
     assert!(!resynced(&actions).is_empty(), "{actions:?}");
-    assert!(!resynced(&actions).contains(&listens(1)), "{actions:?}");
+    assert!(!resynced(&actions).contains(&listen_addr(1)), "{actions:?}");
     let actions = entry.run(1000, &summaries, &LOCAL);
     assert!(
-        actions.contains(&SubscriptionAction::Unfollow(listens(1))),
+        actions.contains(&SubscriptionAction::Unfollow(listen_addr(1))),
         "{actions:?}"
     );
 }
 
 #[parameterized(
-    newer_config = { Summary { config: Some(6), ..SETTLED }, true },
-    newer_rollout = { Summary { index: 10, ..SETTLED }, true },
-    other_servers = { Summary { servers: 3, ..SETTLED }, true },
-    older = { Summary { config: Some(4), index: 8, ..SETTLED }, false },
+    newer_config = { StateSummary { config: Some(6), ..SETTLED }, true },
+    newer_rollout = { StateSummary { index: 10, ..SETTLED }, true },
+    other_servers = { StateSummary { servers: 3, ..SETTLED }, true },
+    older = { StateSummary { config: Some(4), index: 8, ..SETTLED }, false },
 )]
-fn asks(summary: Summary, expected: bool) {
+fn asks(summary: StateSummary, expected: bool) {
     let mut entry = Entry::new();
     entry.settle();
     let summaries = [(1, SETTLED), (2, SETTLED), (3, summary)];
     let actions = entry.run(1100, &summaries, &LOCAL);
-    let wanted: &[_] = if expected { &[listens(3)] } else { &[] };
+    let wanted: &[_] = if expected { &[listen_addr(3)] } else { &[] };
     let resynced = resynced(&actions);
     assert!(resynced.iter().all(|a| wanted.contains(a)), "{resynced:?}");
     assert_eq!(!resynced.is_empty(), expected);
@@ -190,7 +190,7 @@
     // requests don't help and become less frequent.
     let mut entry = Entry::new();
     entry.settle();
-    let other = Summary {
+    let other = StateSummary {
         servers: 3,
         ..SETTLED
     };
