--- a/sesamebeam/src/control.rs
+++ b/sesamebeam/src/control.rs
@@ -374,7 +374,7 @@
     fn take(&mut self, input: Input) -> Result<(), ControlError> {
         match input {
             Input::Event(event) => {
-                if let ControlEvent::ClientGone { ticket } = &event {
+                if let ControlEvent::ClientDisconnected { ticket } = &event {
                     self.clients.remove(ticket);
                 }
                 self.event(event)
@@ -435,7 +435,7 @@
         let (client, tx) = (self.engines.clone(), self.tx.clone());
         tokio::spawn(async move {
             let ok = orders::send(&client, &order).await;
-            let event = ControlEvent::Ordered {
+            let event = ControlEvent::OrderResult {
                 server: order.server,
                 fencing: order.fencing,
                 ok,
@@ -512,9 +512,9 @@
     };
     let mut cfg = ControlConfig::new(replica);
     cfg.entry_lease = timings.config_lease;
-    cfg.dispatch_bound = timings.network_bound;
+    cfg.network_bound = timings.network_bound;
     cfg.client_timeout = timings.commit_timeout;
-    cfg.weight_rate = settings.weight_store.bytes_per_second;
+    cfg.weight_store_bandwidth = settings.weight_store.bytes_per_second;
     cfg.retention = (&settings.retention).into();
     cfg
 }
--- a/sesamebeam/src/control/serve.rs
+++ b/sesamebeam/src/control/serve.rs
@@ -108,7 +108,7 @@
     tokio::spawn(async move {
         match answered.await {
             Ok(found) => drop(reply.reply(&found).await),
-            Err(_) => drop(tx.send(Input::Event(ControlEvent::ClientGone { ticket }))),
+            Err(_) => drop(tx.send(Input::Event(ControlEvent::ClientDisconnected { ticket }))),
         }
     });
 }
--- a/sesamebeam_core/src/control.rs
+++ b/sesamebeam_core/src/control.rs
@@ -1,30 +1,34 @@
-//! The control core: clients' requests over the replicated log.
+//! State machine of a control replica: client requests over the replicated log.
 //!
-//! A [`ControlCore`] holds one replica of the log and the state that applying it
-//! gives. Any replica takes requests; the leader serves them. Beside the log the
-//! leader alone holds what its clock tells: leases of entries, dispatch windows,
-//! and which engines have loaded what.
+//! A [`ControlCore`] holds one replica of the log and the state machine that it
+//! is applied to. Every replica accepts requests; only the leader serves them.
+//! State that depends on a clock is not replicated and is held by the leader
+//! alone: leases of entries, dispatch windows, and the versions that engines
+//! have loaded.
 //!
-//! Three waits keep two leaders from contradicting each other:
+//! Three rules prevent two leaders from contradicting each other:
 //!
-//! - A leader answers renewals, and gives orders, only under its lease from the
-//!   other replicas. Cut off, it stops before another can lead.
-//! - A new leader does not know the entries' leases that the one before it gave.
-//!   It takes them for running until an entry lease after its own beginning.
-//! - A new leader gives its first order when the lease of the one before it is
-//!   over on every clock, and an order sent at its end has arrived.
+//! - A leader answers renewals and issues orders only while it holds its lease
+//!   from the other replicas. When it is cut off, it stops before another
+//!   replica can lead.
+//! - A new leader does not know the leases that its predecessor granted to
+//!   entries. It assumes that they are held until one entry lease after the
+//!   start of its own term.
+//! - A new leader issues its first order only when its predecessor's lease has
+//!   expired on every clock and an order sent at the end of that lease has
+//!   arrived.
 
+mod applied_times;
 mod claims;
-mod clients;
 mod leader;
 mod leases;
 mod message;
 mod notices;
 mod orders;
+mod pending;
 mod renewals;
 mod replica;
 mod requests;
-mod windows;
 
 use std::time::Duration;
 
@@ -37,11 +41,11 @@
     StopCause, //
 };
 use self::{
-    clients::Clients,
-    leader::Lead,
-    leases::Polls,
-    notices::Noticed,
-    windows::Windows, //
+    applied_times::AppliedTimes,
+    leader::Leadership,
+    leases::PendingRenewals,
+    notices::LastNotified,
+    pending::PendingRequests, //
 };
 use crate::{
     ids::MonoTime,
@@ -60,27 +64,27 @@
     cfg: ControlConfig,
     replica: Replica,
     state: State,
-    windows: Windows,
-    clients: Clients,
-    polls: Polls,
-    lead: Option<Lead>,
-    noticed: Noticed,
+    applied_times: AppliedTimes,
+    pending: PendingRequests,
+    renewals: PendingRenewals,
+    lead: Option<Leadership>,
+    last_notified: LastNotified,
     stopped: bool,
     now: MonoTime,
     actions: Vec<ControlAction>,
 }
 
 impl ControlCore {
-    /// Makes a control replica from what its disk holds.
+    /// Creates a control replica from its persistent data.
     pub fn new(cfg: ControlConfig, saved: Saved, now: MonoTime) -> (Self, Vec<ControlAction>) {
         let (replica, actions) = Replica::new(cfg.replica.clone(), saved, now);
         let mut core = Self {
             state: State::default(),
-            windows: Windows::default(),
-            clients: Clients::default(),
-            polls: Polls::default(),
+            applied_times: AppliedTimes::default(),
+            pending: PendingRequests::default(),
+            renewals: PendingRenewals::default(),
             lead: None,
-            noticed: Noticed::default(),
+            last_notified: LastNotified::default(),
             stopped: false,
             now,
             actions: Vec::new(),
@@ -88,57 +92,58 @@
             cfg,
         };
         core.state.faults = core.cfg.faults;
-        core.take_up(actions);
+        core.process_replica_actions(actions);
         core.act_as_leader();
         let actions = std::mem::take(&mut core.actions);
         (core, actions)
     }
 
-    /// Handles an event at a time that never goes back.
+    /// Handles an event. A `now` before that of an earlier call is raised to it.
     pub fn handle(&mut self, now: MonoTime, event: ControlEvent) -> Vec<ControlAction> {
         self.now = self.now.max(now);
         match event {
-            ControlEvent::Tick => self.drive(ReplicaEvent::Tick),
+            ControlEvent::Tick => self.step_replica(ReplicaEvent::Tick),
             ControlEvent::Peer { from, message } => {
-                self.drive(ReplicaEvent::Message { from, message });
+                self.step_replica(ReplicaEvent::Message { from, message });
             }
-            ControlEvent::Synced { write } => self.drive(ReplicaEvent::Synced { write }),
-            ControlEvent::DiskFull(full) => self.drive(ReplicaEvent::DiskFull(full)),
-            ControlEvent::Client { ticket, req } => self.serve(ticket, req),
-            ControlEvent::ClientGone { ticket } => {
-                self.polls.remove(ticket);
-                self.clients.drop_client(ticket);
+            ControlEvent::Synced { write } => self.step_replica(ReplicaEvent::Synced { write }),
+            ControlEvent::DiskFull(full) => self.step_replica(ReplicaEvent::DiskFull(full)),
+            ControlEvent::Client { ticket, req } => self.handle_request(ticket, req),
+            ControlEvent::ClientDisconnected { ticket } => {
+                self.renewals.remove(ticket);
+                self.pending.remove_client(ticket);
             }
-            ControlEvent::Ordered {
+            ControlEvent::OrderResult {
                 server,
                 fencing,
                 ok,
-            } => self.note_ordered(server, fencing, ok),
+            } => self.handle_order_result(server, fencing, ok),
         }
-        self.give_up_late();
+        self.reject_expired();
         self.act_as_leader();
-        self.answer_polls();
+        self.answer_renewals();
         std::mem::take(&mut self.actions)
     }
 
     /// Returns when the core next needs a [`ControlEvent::Tick`].
     pub fn next_wake(&self) -> MonoTime {
         let mut wake = self.replica.next_wake();
-        let mut sooner = |at: Option<MonoTime>| wake = wake.min(at.unwrap_or(wake));
-        sooner(self.clients.next_late());
-        sooner(self.polls.next_due());
+        let mut wake_by = |at: Option<MonoTime>| wake = wake.min(at.unwrap_or(wake));
+        wake_by(self.pending.next_deadline());
+        wake_by(self.renewals.next_deadline());
         if let Some(lead) = &self.lead
-            && lead.settled.is_some()
+            && lead.clock_base.is_some()
         {
-            sooner(Some(self.now + self.cfg.clock_every));
-            sooner(lead.leases.next_end(self.now));
-            sooner(lead.orders.next_wake(self.now));
+            wake_by(Some(self.now + self.cfg.clock_interval));
+            wake_by(lead.leases.next_expiry(self.now));
+            wake_by(lead.orders.next_deadline(self.now));
         }
-        // A wake that lies in the past would be called for again and again.
+        // A time in the past would make the caller tick in a busy loop.
         wake.max(self.now + Duration::from_millis(1))
     }
 
-    /// Returns the state of the group and of the entries, as known here.
+    /// Returns the status of the group and of the entries, as known to this
+    /// replica.
     pub fn status(&self, now: MonoTime) -> Status {
         let entries = self.lead.as_ref().map(|lead| lead.leases.status(now));
         Status {
@@ -157,20 +162,20 @@
         }
     }
 
-    /// Returns the replicated state as applied here.
+    /// Returns the replicated state as applied by this replica.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Returns whether this replica leads, under its lease and with a state that
-    /// holds all that was committed before it led.
+    /// Returns whether this replica leads, holds its lease, and has applied
+    /// everything that was committed before its term.
     pub fn leads(&self, now: MonoTime) -> bool {
-        let settled = self.lead.as_ref().is_some_and(|l| l.settled.is_some());
-        settled && (self.replica.has_lease(now) || self.cfg.faults.act_without_lease)
+        let is_ready = self.lead.as_ref().is_some_and(|l| l.clock_base.is_some());
+        is_ready && (self.replica.has_lease(now) || self.cfg.faults.act_without_lease)
     }
 
-    fn drive(&mut self, event: ReplicaEvent) {
+    fn step_replica(&mut self, event: ReplicaEvent) {
         let actions = self.replica.handle(self.now, event);
-        self.take_up(actions);
+        self.process_replica_actions(actions);
     }
 }
--- a/sesamebeam_core/src/control/claims.rs
+++ b/sesamebeam_core/src/control/claims.rs
@@ -1,13 +1,13 @@
-//! Claims, with what only the leader's clock tells.
+//! Claims, and the conditions on them that only the leader's clock can decide.
 
 use crate::{
     control::{
         ControlCore,
-        clients::{
-            Waiting,
-            reply_of, //
-        },
         message::ClientTicket,
+        pending::{
+            Pending,
+            reply_from_outcome, //
+        },
     },
     ids::MonoTime,
     message::{
@@ -30,34 +30,34 @@
 
 impl ControlCore {
     pub(super) fn claim(&mut self, client: ClientTicket, req: ClaimRequest) {
-        let waiting = Waiting::Claim(client, req.key.clone());
-        let retaken = self.state.claim(&req.key).filter(|view| {
+        let pending = Pending::Claim(client, req.key.clone());
+        let retakable = self.state.claim(&req.key).filter(|view| {
             view.state == ClaimState::Open
                 && view.generation == req.replaces
                 && self.window_over(&req.key)
                 && self.claimant_gone(&view.claimant)
         });
         let opening = self.state.opening(&req.key);
-        let command = match (retaken, opening) {
+        let command = match (retakable, opening) {
             (Some(_), Some(opening)) => Command::Retake(Retake {
                 claim: req,
                 opened: opening.opened,
             }),
             _ => Command::Claim(req),
         };
-        self.propose(waiting, &command);
+        self.propose(pending, &command);
     }
 
     pub(super) fn claim_reply(&self, key: &ClaimKey, outcome: Outcome) -> ControlReply {
         match outcome {
             Outcome::Claim(ClaimReply::Existing(view)) => {
-                ControlReply::Claim(ClaimReply::Existing(self.judged(key, view)))
+                ControlReply::Claim(ClaimReply::Existing(self.with_leader_knowledge(key, view)))
             }
-            other => reply_of(other),
+            other => reply_from_outcome(other),
         }
     }
 
-    pub(super) fn judged(&self, key: &ClaimKey, view: ClaimView) -> ClaimView {
+    pub(super) fn with_leader_knowledge(&self, key: &ClaimKey, view: ClaimView) -> ClaimView {
         ClaimView {
             window_over: self.window_over(key),
             claimant_gone: self.claimant_gone(&view.claimant),
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Tells whether the dispatch window of a claim and the network bound after
-    /// it are over. Never true too early.
+    /// Returns whether the dispatch window of a claim and the network bound after
+    /// it are over. Never returns true too early.
     fn window_over(&self, key: &ClaimKey) -> bool {
         if self.cfg.faults.ignore_windows {
             return true;
@@ -74,27 +74,31 @@
         let Some(mut opening) = self.state.opening(key) else {
             return false;
         };
-        opening.window = self.cfg.stretched(opening.window);
-        let after = self.cfg.stretched(self.cfg.dispatch_bound);
-        self.windows.over(&opening, after, self.now)
+        opening.window = self.cfg.scaled_for_drift(opening.window);
+        let network_bound = self.cfg.scaled_for_drift(self.cfg.network_bound);
+        self.applied_times
+            .is_window_over(&opening, network_bound, self.now)
     }
 
-    /// Tells whether no lease of a claimant can still run. Never true too early:
-    /// a new leader waits until the leases that others gave are over.
+    /// Returns whether a claimant can no longer hold a lease. Never returns true
+    /// too early: a new leader waits until the leases granted by its predecessors
+    /// have expired.
     fn claimant_gone(&self, claimant: &Claimant) -> bool {
         let Some(lead) = &self.lead else {
             return false;
         };
-        self.leads(self.now) && self.knows_leases() && lead.leases.ended(claimant, self.now)
+        self.leads(self.now)
+            && self.are_leases_known()
+            && lead.leases.is_expired(claimant, self.now)
     }
 
-    pub(super) fn knows_leases(&self) -> bool {
+    pub(super) fn are_leases_known(&self) -> bool {
         let known_from = self.leases_known_from();
         self.cfg.faults.trust_empty_leases || known_from.is_some_and(|from| from <= self.now)
     }
 
     fn leases_known_from(&self) -> Option<MonoTime> {
         let lead = self.lead.as_ref()?;
-        Some(lead.since + self.cfg.stretched(self.cfg.entry_lease))
+        Some(lead.since + self.cfg.scaled_for_drift(self.cfg.entry_lease))
     }
 }
--- a/sesamebeam_core/src/control/leader.rs
+++ b/sesamebeam_core/src/control/leader.rs
@@ -1,20 +1,20 @@
-//! What the leader does by itself: clock, retention, roll-outs and orders.
+//! Tasks of the leader: clock, retention, roll-outs and orders.
 
 use std::time::Duration;
 
 use crate::{
     control::{
         ControlCore,
-        clients::{
-            Own,
-            Waiting, //
-        },
         leases::Leases,
         message::{
             ControlAction,
             ControlNotice, //
         },
         orders::Orders,
+        pending::{
+            LeaderTask,
+            Pending, //
+        },
     },
     ids::{
         Fencing,
@@ -29,30 +29,31 @@
     },
 };
 
-/// What a replica holds only while it leads.
+/// State that a replica holds only while it leads.
 #[derive(Debug)]
-pub(super) struct Lead {
-    /// Time at which it became the leader.
+pub(super) struct Leadership {
+    /// Time at which it became leader.
     pub(super) since: MonoTime,
-    /// Whether its state holds all that was committed before, and with which
-    /// time of its clock the log's clock goes on.
-    pub(super) settled: Option<ClockBase>,
+    /// Set once everything committed before its term is applied: where the log's
+    /// clock continues.
+    pub(super) clock_base: Option<ClockBase>,
     pub(super) leases: Leases,
     pub(super) orders: Orders,
 }
 
-/// Where the log's clock stood when a leader took it over.
+/// Time of the log's clock when the leader took it over, and its own at that
+/// moment.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClockBase {
-    log: Duration,
-    here: MonoTime,
+    log_time: Duration,
+    local_time: MonoTime,
 }
 
-impl Lead {
+impl Leadership {
     pub(super) fn new(since: MonoTime) -> Self {
         Self {
             since,
-            settled: None,
+            clock_base: None,
             leases: Leases::default(),
             orders: Orders::default(),
         }
@@ -64,68 +65,68 @@
         let Some(lead) = &self.lead else {
             return;
         };
-        if lead.settled.is_none() {
-            if !self.clients.has_own(&Own::Settle) {
-                self.ask_to_read(Waiting::Own(Own::Settle));
+        if lead.clock_base.is_none() {
+            if !self.pending.is_task_pending(&LeaderTask::ReadBarrier) {
+                self.request_read(Pending::Leader(LeaderTask::ReadBarrier));
             }
             return;
         }
         if !self.leads(self.now) {
             return;
         }
-        self.move_clock();
-        self.bring_retention();
-        self.find_in_force();
-        self.step_rollouts();
-        self.give_orders();
+        self.advance_clock();
+        self.replicate_retention();
+        self.update_in_force();
+        self.advance_rollouts();
+        self.issue_orders();
     }
 
-    /// Takes over the log's clock once the state is whole.
-    pub(super) fn settle(&mut self) {
+    /// Takes over the log's clock once everything committed before is applied.
+    pub(super) fn start_clock(&mut self) {
         let base = ClockBase {
-            log: self.state.clock(),
-            here: self.now,
+            log_time: self.state.clock(),
+            local_time: self.now,
         };
         if let Some(lead) = &mut self.lead {
-            lead.settled.get_or_insert(base);
+            lead.clock_base.get_or_insert(base);
         }
     }
 
-    fn move_clock(&mut self) {
-        let Some(base) = self.lead.as_ref().and_then(|lead| lead.settled) else {
+    fn advance_clock(&mut self) {
+        let Some(base) = self.lead.as_ref().and_then(|lead| lead.clock_base) else {
             return;
         };
-        let at = base.log + self.now.saturating_sub(base.here);
-        if at >= self.state.clock() + self.cfg.clock_every {
-            self.decide(Own::Clock, &Command::Clock { at });
+        let at = base.log_time + self.now.saturating_sub(base.local_time);
+        if at >= self.state.clock() + self.cfg.clock_interval {
+            self.propose_task(LeaderTask::Clock, &Command::Clock { at });
         }
     }
 
-    fn bring_retention(&mut self) {
+    fn replicate_retention(&mut self) {
         if *self.state.retention() != self.cfg.retention {
             let command = Command::Retention(self.cfg.retention.clone());
-            self.decide(Own::Retention, &command);
+            self.propose_task(LeaderTask::Retention, &command);
         }
     }
 
-    /// Records the newest revision that every entry has, or whose lease is over.
+    /// Records the newest revision that every entry with a lease has.
     ///
-    /// Told too early, an operator takes a withdrawn version for gone while an
-    /// entry still sends to it. The record in the log keeps what was told once
-    /// from being taken back by a new leader.
-    fn find_in_force(&mut self) {
+    /// If it were recorded too early, operators would consider a withdrawn version
+    /// unused while an entry still sends requests to it. It is recorded in the log
+    /// so that a new leader does not report an older revision.
+    fn update_in_force(&mut self) {
         let Some(lead) = &mut self.lead else {
             return;
         };
-        lead.leases.expire(self.cfg.entry_lease, self.now);
-        let lowest = lead.leases.lowest(self.now);
-        let revision = lowest.unwrap_or(self.state.revision());
-        if self.knows_leases() && revision > self.state.in_force() {
-            self.decide(Own::InForce, &Command::InForce(revision));
+        lead.leases.remove_expired(self.cfg.entry_lease, self.now);
+        let min_revision = lead.leases.min_revision(self.now);
+        let revision = min_revision.unwrap_or(self.state.revision());
+        if self.are_leases_known() && revision > self.state.in_force() {
+            self.propose_task(LeaderTask::InForce, &Command::InForce(revision));
         }
     }
 
-    fn step_rollouts(&mut self) {
+    fn advance_rollouts(&mut self) {
         let mut steps = self.state.due_steps();
         let fleet = self.state.fleet();
         for rollout in &fleet.rollouts {
@@ -145,46 +146,47 @@
             }
         }
         for step in steps {
-            let own = Own::Step(step.version.clone());
-            self.decide(own, &Command::Rollout(step));
+            let task = LeaderTask::Rollout(step.version.clone());
+            self.propose_task(task, &Command::Rollout(step));
         }
     }
 
-    fn give_orders(&mut self) {
-        let may_from = self.orders_from();
+    fn issue_orders(&mut self) {
+        let allowed_from = self.orders_allowed_from();
         let Some(lead) = &mut self.lead else {
             return;
         };
-        lead.orders.expire(&self.cfg, self.now);
-        if may_from > self.now && !self.cfg.faults.order_at_once {
+        lead.orders.remove_expired(&self.cfg, self.now);
+        if allowed_from > self.now && !self.cfg.faults.order_at_once {
             return;
         }
-        // One an event: an order that the log refuses is free to be picked again.
-        if let Some(order) = lead.orders.next(&self.cfg, &self.state, self.now) {
-            let own = Own::Order(order.server);
-            self.decide(own, &Command::Order(order));
+        // One order per event, so that an order rejected by the log can be selected
+        // again.
+        if let Some(order) = lead.orders.next_order(&self.cfg, &self.state, self.now) {
+            let task = LeaderTask::Order(order.server);
+            self.propose_task(task, &Command::Order(order));
         }
     }
 
-    /// Returns from when this leader may give orders.
+    /// Returns the time from which this leader may issue orders.
     ///
-    /// Some engines take an order whatever its fencing number. Such an engine,
-    /// given the old leader's last order after the new leader's first, would end
-    /// as the old leader wanted it.
-    fn orders_from(&self) -> MonoTime {
+    /// Some engines do not check the fencing number. If the last order of the old
+    /// leader reached such an engine after the first one of the new leader, the
+    /// engine would end in the state that the old leader wanted.
+    fn orders_allowed_from(&self) -> MonoTime {
         let since = self.lead.as_ref().map_or(MonoTime::MAX, |lead| lead.since);
-        let lease = self.cfg.stretched(self.cfg.replica.lease);
-        since.saturating_add(lease + self.cfg.dispatch_bound)
+        let lease = self.cfg.scaled_for_drift(self.cfg.replica.lease);
+        since.saturating_add(lease + self.cfg.network_bound)
     }
 
-    fn decide(&mut self, own: Own, command: &Command) {
-        if !self.clients.has_own(&own) {
-            self.propose(Waiting::Own(own), command);
+    fn propose_task(&mut self, task: LeaderTask, command: &Command) {
+        if !self.pending.is_task_pending(&task) {
+            self.propose(Pending::Leader(task), command);
         }
     }
 
-    /// Sends an order whose fencing number the log has just given.
-    pub(super) fn carry_out(&mut self, outcome: Outcome) {
+    /// Sends an order that has just been committed with its fencing number.
+    pub(super) fn send_order(&mut self, outcome: Outcome) {
         let Outcome::Ordered(order) = outcome else {
             return;
         };
@@ -192,18 +194,18 @@
         if let Some(lead) = &mut self.lead
             && leads
         {
-            lead.orders.numbered(&order);
+            lead.orders.set_fencing(&order);
             self.actions.push(ControlAction::Order(order));
         }
     }
 
-    pub(super) fn note_ordered(&mut self, server: ServerAddr, fencing: Fencing, ok: bool) {
+    pub(super) fn handle_order_result(&mut self, server: ServerAddr, fencing: Fencing, ok: bool) {
         if ok {
             return;
         }
         if let Some(lead) = &mut self.lead {
-            lead.orders.failed(server, fencing);
+            lead.orders.mark_failed(server, fencing);
         }
-        self.notice(ControlNotice::OrderFailed { server, fencing });
+        self.notify(ControlNotice::OrderFailed { server, fencing });
     }
 }
--- a/sesamebeam_core/src/control/leases.rs
+++ b/sesamebeam_core/src/control/leases.rs
@@ -1,4 +1,4 @@
-//! Configuration leases of entries and the renewals that wait for news.
+//! Configuration leases of entries, and renewals that wait for an update.
 
 use std::{
     collections::BTreeMap,
@@ -22,32 +22,33 @@
     },
 };
 
-/// Times a lease for which an ended one is still shown to operators.
-const SHOWN_LEASES: u32 = 100;
+/// Number of lease lengths for which an expired lease is still shown to
+/// operators.
+const KEPT_LEASE_LENGTHS: u32 = 100;
 
-/// Leases that this leader has given.
+/// Leases that this leader has granted.
 ///
-/// A leader knows only its own. Those of the leader before it end within a lease
-/// of its becoming the leader; see [`super::ControlCore`].
+/// A leader knows only its own. Those of its predecessor expire within one lease
+/// of the start of its term; see [`super::ControlCore`].
 #[derive(Clone, Debug, Default)]
 pub(super) struct Leases {
     entries: BTreeMap<Claimant, Lease>,
 }
 
-/// Lease of one entry in one of its lives.
+/// Lease of one incarnation of an entry.
 #[derive(Clone, Debug)]
 struct Lease {
     domain: DomainId,
     revision: Revision,
     /// Time at which the entry first reported its revision.
     since: MonoTime,
-    /// Time at which the lease ends on every clock within the bound.
-    ends: MonoTime,
+    /// Time at which the lease has expired on every clock within the drift bound.
+    expires_at: MonoTime,
 }
 
 impl Leases {
-    /// Notes what an entry reports of itself.
-    pub(super) fn note(&mut self, renew: &Renew, now: MonoTime) {
+    /// Records the revision that an entry reports, or that it is leaving.
+    pub(super) fn record(&mut self, renew: &Renew, now: MonoTime) {
         if renew.leaving {
             self.entries.remove(&renew.entry);
             return;
@@ -56,7 +57,7 @@
             domain: renew.domain.clone(),
             revision: renew.revision,
             since: now,
-            ends: now,
+            expires_at: now,
         });
         if lease.revision != renew.revision {
             lease.revision = renew.revision;
@@ -64,131 +65,137 @@
         }
     }
 
-    /// Gives an entry its lease up to `ends`.
-    pub(super) fn grant(&mut self, entry: &Claimant, ends: MonoTime) {
+    /// Extends the lease of an entry to `expires_at`.
+    pub(super) fn grant(&mut self, entry: &Claimant, expires_at: MonoTime) {
         if let Some(lease) = self.entries.get_mut(entry) {
-            lease.ends = lease.ends.max(ends);
+            lease.expires_at = lease.expires_at.max(expires_at);
         }
     }
 
-    /// Tells whether this leader has given no lease to the entry that still runs.
-    pub(super) fn ended(&self, entry: &Claimant, now: MonoTime) -> bool {
+    /// Returns whether the entry holds no lease granted by this leader.
+    pub(super) fn is_expired(&self, entry: &Claimant, now: MonoTime) -> bool {
         self.entries
             .get(entry)
-            .is_none_or(|lease| lease.ends <= now)
+            .is_none_or(|lease| lease.expires_at <= now)
     }
 
-    /// Returns the lowest revision of the entries whose lease runs.
-    pub(super) fn lowest(&self, now: MonoTime) -> Option<Revision> {
-        let running = self.entries.values().filter(|lease| lease.ends > now);
+    /// Returns the lowest revision among the entries that hold a lease.
+    pub(super) fn min_revision(&self, now: MonoTime) -> Option<Revision> {
+        let running = self.entries.values().filter(|lease| lease.expires_at > now);
         running.map(|lease| lease.revision).min()
     }
 
-    /// Returns when the next lease ends.
-    pub(super) fn next_end(&self, now: MonoTime) -> Option<MonoTime> {
-        let ends = self.entries.values().map(|lease| lease.ends);
-        ends.filter(|ends| *ends > now).min()
+    /// Returns when the next lease expires.
+    pub(super) fn next_expiry(&self, now: MonoTime) -> Option<MonoTime> {
+        let expiries = self.entries.values().map(|lease| lease.expires_at);
+        expiries.filter(|expires_at| *expires_at > now).min()
     }
 
-    /// Forgets entries whose lease ended long ago.
-    pub(super) fn expire(&mut self, lease: Duration, now: MonoTime) {
+    /// Removes entries whose lease expired long ago.
+    pub(super) fn remove_expired(&mut self, lease: Duration, now: MonoTime) {
         self.entries
-            .retain(|_, entry| entry.ends + lease * SHOWN_LEASES > now);
+            .retain(|_, entry| entry.expires_at + lease * KEPT_LEASE_LENGTHS > now);
     }
 
-    /// Lists the entries, for operators.
+    /// Returns the status of the entries, for operators.
     pub(super) fn status(&self, now: MonoTime) -> Vec<EntryStatus> {
         let entries = self.entries.iter().map(|(entry, lease)| EntryStatus {
             instance: entry.instance.clone(),
             domain: lease.domain.clone(),
             revision: lease.revision,
             since: now.saturating_sub(lease.since),
-            lease_left: lease.ends.saturating_sub(now),
+            lease_left: lease.expires_at.saturating_sub(now),
         });
         entries.collect()
     }
 }
 
-/// Renewals that wait until there is news or their time has come.
+/// Renewals that wait for an update or their deadline.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Polls {
-    waiting: BTreeMap<ClientTicket, Poll>,
-    /// What the waiting ones were last compared with.
-    seen: News,
-    /// Earliest time at which one must be answered.
-    next_due: Option<MonoTime>,
+pub(super) struct PendingRenewals {
+    renewals: BTreeMap<ClientTicket, PendingRenewal>,
+    /// Position that the pending renewals were last compared with.
+    last_position: ConfigPosition,
+    /// Lower bound of the deadlines; zero if there are new renewals.
+    next_deadline: Option<MonoTime>,
 }
 
-/// A renewal that waits.
+/// A renewal that waits for an update.
 #[derive(Clone, Debug)]
-pub(super) struct Poll {
+pub(super) struct PendingRenewal {
     pub(super) renew: Renew,
-    pub(super) due: MonoTime,
+    pub(super) deadline: MonoTime,
 }
 
-/// Positions of what an entry can have news of.
+/// Versions of the fleet file and of the live state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct News {
+pub(super) struct ConfigPosition {
     pub(super) revision: Revision,
     pub(super) live_at: LogIndex,
 }
 
-impl News {
+impl ConfigPosition {
     fn is_newer_than(self, renew: &Renew) -> bool {
         self.revision > renew.revision || self.live_at > renew.live_at
     }
 }
 
-impl Polls {
-    /// Adds a renewal; it is compared at the next [`Polls::take_ready`].
-    pub(super) fn add(&mut self, ticket: ClientTicket, poll: Poll) {
-        self.waiting.insert(ticket, poll);
-        self.next_due = Some(MonoTime::ZERO);
+impl PendingRenewals {
+    /// Adds a renewal; it is compared at the next [`PendingRenewals::take_ready`].
+    pub(super) fn add(&mut self, ticket: ClientTicket, pending: PendingRenewal) {
+        self.renewals.insert(ticket, pending);
+        self.next_deadline = Some(MonoTime::ZERO);
     }
 
-    /// Removes a renewal whose asker is gone.
+    /// Removes a renewal whose client disconnected.
     pub(super) fn remove(&mut self, ticket: ClientTicket) {
-        self.waiting.remove(&ticket);
+        self.renewals.remove(&ticket);
     }
 
-    /// Takes out every renewal that can be answered now.
-    pub(super) fn take_ready(&mut self, news: News, now: MonoTime) -> Vec<(ClientTicket, Poll)> {
-        let due = self.next_due.is_some_and(|due| due <= now);
-        if !due && self.seen == news {
+    /// Removes and returns the renewals that can be answered now.
+    pub(super) fn take_ready(
+        &mut self,
+        position: ConfigPosition,
+        now: MonoTime,
+    ) -> Vec<(ClientTicket, PendingRenewal)> {
+        let due = self.next_deadline.is_some_and(|deadline| deadline <= now);
+        if !due && self.last_position == position {
             return Vec::new();
         }
-        self.seen = news;
+        self.last_position = position;
         let ready = self
-            .waiting
-            .extract_if(.., |_, poll| {
-                poll.due <= now || news.is_newer_than(&poll.renew)
+            .renewals
+            .extract_if(.., |_, pending| {
+                pending.deadline <= now || position.is_newer_than(&pending.renew)
             })
             .collect();
-        self.next_due = self.waiting.values().map(|poll| poll.due).min();
+        self.next_deadline = self.renewals.values().map(|pending| pending.deadline).min();
         ready
     }
 
-    /// Takes out every renewal.
+    /// Removes all renewals.
     pub(super) fn take_all(&mut self) -> Vec<ClientTicket> {
-        self.next_due = None;
-        std::mem::take(&mut self.waiting).into_keys().collect()
+        self.next_deadline = None;
+        std::mem::take(&mut self.renewals).into_keys().collect()
     }
 
-    /// Takes out the renewals whose time has come.
-    pub(super) fn take_due(&mut self, now: MonoTime) -> Vec<ClientTicket> {
-        let due = self.waiting.extract_if(.., |_, poll| poll.due <= now);
+    /// Removes the renewals past their deadline.
+    pub(super) fn take_expired(&mut self, now: MonoTime) -> Vec<ClientTicket> {
+        let due = self
+            .renewals
+            .extract_if(.., |_, pending| pending.deadline <= now);
         let due = due.map(|(ticket, _)| ticket).collect();
-        self.next_due = self.waiting.values().map(|poll| poll.due).min();
+        self.next_deadline = self.renewals.values().map(|pending| pending.deadline).min();
         due
     }
 
     /// Returns when the next renewal must be answered.
-    pub(super) fn next_due(&self) -> Option<MonoTime> {
-        self.next_due
+    pub(super) fn next_deadline(&self) -> Option<MonoTime> {
+        self.next_deadline
     }
 
-    /// Counts the renewals that wait.
+    /// Returns the number of pending renewals.
     pub(super) fn len(&self) -> usize {
-        self.waiting.len()
+        self.renewals.len()
     }
 }
--- a/sesamebeam_core/src/control/message.rs
+++ b/sesamebeam_core/src/control/message.rs
@@ -1,4 +1,4 @@
-//! Settings, events and actions of the control core.
+//! Configuration, events and actions of the control core.
 
 use std::time::Duration;
 
@@ -34,109 +34,110 @@
     state::Faults,
 };
 
-/// Number that the edge gives to a client's request.
+/// Number that the runtime assigns to a client request.
 pub type ClientTicket = u64;
 
-/// Settings of a control replica.
+/// Configuration of a control replica.
 #[derive(Clone, Debug)]
 pub struct ControlConfig {
-    /// Settings of the replicated log.
+    /// Configuration of the replicated log.
     pub replica: ReplicaConfig,
     /// Length of an entry's configuration lease.
     pub entry_lease: Duration,
-    /// Longest time for which a request stays in the network after its sender's
+    /// Maximum time for which a request can be in transit after its sender's
     /// dispatch window, and an order after its sender's lease.
-    pub dispatch_bound: Duration,
-    /// Bound on the rate error of any clock, as a share of true time.
+    pub network_bound: Duration,
+    /// Bound on the rate error of any clock, as a fraction of true time.
     pub drift: f64,
-    /// How long records are kept.
+    /// Retention of records.
     pub retention: Retention,
-    /// Bytes a second that the weight store gives.
-    pub weight_rate: u64,
-    /// Time between two movements of the log's own clock.
-    pub clock_every: Duration,
-    /// Time after which an order that shows no effect is given again.
+    /// Bandwidth of the weight store, in bytes per second.
+    pub weight_store_bandwidth: u64,
+    /// Interval between updates of the log's own clock.
+    pub clock_interval: Duration,
+    /// Time after which an order without effect is issued again.
     pub order_retry: Duration,
-    /// Silence after which a backend server counts for no order.
-    pub server_silence: Duration,
-    /// Time after which a client's request is answered as unavailable.
+    /// Silence after which a backend server is no longer considered for orders.
+    pub server_timeout: Duration,
+    /// Time after which a client request is answered as unavailable.
     pub client_timeout: Duration,
-    /// Most client requests that wait; a further one is answered as unavailable.
-    pub max_waiting: usize,
-    /// Switches of tests.
+    /// Maximum number of pending client requests. Further ones are answered as
+    /// unavailable.
+    pub max_pending: usize,
+    /// Safeguards disabled by tests.
     #[doc(hidden)]
     pub faults: Faults,
 }
 
 impl ControlConfig {
-    /// Makes settings with defaults round those of the replicated log.
+    /// Creates a default configuration with that of the replicated log.
     pub fn new(replica: ReplicaConfig) -> Self {
         Self {
             drift: replica.drift,
             replica,
             entry_lease: Duration::from_secs(6),
-            dispatch_bound: Duration::from_secs(2),
+            network_bound: Duration::from_secs(2),
             retention: Retention::default(),
-            weight_rate: 1 << 30,
-            clock_every: Duration::from_secs(1),
+            weight_store_bandwidth: 1 << 30,
+            clock_interval: Duration::from_secs(1),
             order_retry: Duration::from_secs(30),
-            server_silence: Duration::from_secs(15),
+            server_timeout: Duration::from_secs(15),
             client_timeout: Duration::from_secs(3),
-            max_waiting: 16_384,
+            max_pending: 16_384,
             faults: Faults::default(),
         }
     }
 
-    /// Returns the longest time that a process with a slow clock takes to
-    /// measure `time`, on a fast clock here.
-    pub(super) fn stretched(&self, time: Duration) -> Duration {
+    /// Returns the maximum time on the local clock in which another process
+    /// measures `time`: if its clock is slow and the local one fast.
+    pub(super) fn scaled_for_drift(&self, time: Duration) -> Duration {
         time.mul_f64((1.0 + self.drift) / (1.0 - self.drift))
     }
 }
 
-/// What happens to a control replica.
+/// Input of a control replica.
 #[derive(Clone, Debug)]
 pub enum ControlEvent {
     /// Time has passed.
     Tick,
-    /// A message came from another replica.
+    /// A message from another replica was received.
     Peer {
-        /// Sender by its certificate.
+        /// Sender according to its certificate.
         from: NodeId,
         /// The message.
         message: ReplicaMessage,
     },
-    /// A client asks.
+    /// A client sent a request.
     Client {
-        /// Number that the reply carries.
+        /// Number that identifies the reply.
         ticket: ClientTicket,
-        /// What it asks.
+        /// The request.
         req: ControlRequest,
     },
-    /// A client no longer waits.
-    ClientGone {
+    /// A client no longer waits for its reply.
+    ClientDisconnected {
         /// Number of its request.
         ticket: ClientTicket,
     },
-    /// A write is on the disk, and synced.
+    /// A write was synced to the disk.
     Synced {
         /// The write.
         write: WriteId,
     },
-    /// The disk is full, or has space again.
+    /// Whether the disk is full.
     DiskFull(bool),
-    /// An engine has answered an order, or the order could not be sent.
-    Ordered {
-        /// Engine that was ordered.
+    /// An engine responded to an order, or the order could not be sent.
+    OrderResult {
+        /// Engine that received the order.
         server: ServerAddr,
         /// Fencing number of the order.
         fencing: Fencing,
-        /// Whether the engine took it.
+        /// Whether the engine accepted the order.
         ok: bool,
     },
 }
 
-/// What a control replica wants done, in this order.
+/// Output of a control replica, to be carried out in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlAction {
     /// Sends a message to another replica; it may be lost.
@@ -146,66 +147,68 @@
         /// The message.
         message: ReplicaMessage,
     },
-    /// Writes to the disk in order and syncs; then [`ControlEvent::Synced`].
+    /// Writes to the disk in order and syncs; answered by
+    /// [`ControlEvent::Synced`].
     Write {
         /// Number of the write.
         write: WriteId,
-        /// What is written.
+        /// Operations of the write.
         ops: Vec<DiskOp>,
     },
-    /// Answers a client.
+    /// Replies to a client.
     Reply {
         /// Number of its request.
         ticket: ClientTicket,
-        /// The answer.
+        /// The reply.
         reply: ControlReply,
     },
-    /// Sends an order to an engine, now or not at all; then
-    /// [`ControlEvent::Ordered`].
+    /// Sends an order to an engine immediately or not at all; answered by
+    /// [`ControlEvent::OrderResult`].
     Order(Order),
-    /// The membership of the group has changed, with the addresses to use.
+    /// The membership of the group, with the addresses to use, has changed.
     Members(Members),
-    /// Something to log.
+    /// Logs a notice.
     Notice(ControlNotice),
 }
 
-/// What a control replica tells the people who run it.
+/// Event of a control replica that operators should know of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlNotice {
     /// The replica's role has changed.
     Role(Role),
-    /// The replica has stopped for good and the process should end.
+    /// The replica has stopped permanently and the process should exit.
     Stopped(StopCause),
     /// A configuration was accepted.
     Accepted(Revision),
     /// A configuration is in force at every entry.
     InForce(Revision),
-    /// A version is held fleet-wide.
+    /// A version is held in the whole fleet.
     Held(VersionId),
-    /// A roll-out has moved.
+    /// The state of a roll-out has changed.
     Rollout {
-        /// Version that is rolled out.
+        /// Version that is being rolled out.
         version: VersionId,
-        /// Where it stands now.
+        /// New state.
         state: RolloutState,
     },
     /// A request that crashes backend servers is quarantined.
     Quarantined(Digest),
-    /// An engine did not take an order.
+    /// An engine did not accept an order.
     OrderFailed {
-        /// Engine that was ordered.
+        /// Engine that received the order.
         server: ServerAddr,
         /// Fencing number of the order.
         fencing: Fencing,
     },
 }
 
-/// Why a replica has stopped for good.
+/// Reason why a replica has stopped permanently.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StopCause {
-    /// A committed command does not decode: it is of a newer release. Passing
-    /// over it would make this replica's state another than the group's.
+    /// A committed command cannot be decoded because it was written by a newer
+    /// release. Skipping it would let the state of this replica diverge from that
+    /// of the group.
     Command(LogIndex),
-    /// A snapshot does not decode.
+    /// A snapshot cannot be decoded.
     Snapshot(LogIndex),
 }
--- a/sesamebeam_core/src/control/notices.rs
+++ b/sesamebeam_core/src/control/notices.rs
@@ -1,4 +1,4 @@
-//! Notices of what changed since the last one.
+//! Notices about changes since the last notification.
 
 use crate::{
     control::{
@@ -12,46 +12,46 @@
     message::control::Live,
 };
 
-/// What was told last.
+/// State at the last notification.
 #[derive(Debug, Default)]
-pub(super) struct Noticed {
+pub(super) struct LastNotified {
     revision: Revision,
     in_force: Revision,
     live: Live,
 }
 
 impl ControlCore {
-    pub(super) fn notice_changes(&mut self) {
-        if self.noticed.revision != self.state.revision() {
-            self.noticed.revision = self.state.revision();
-            self.notice(ControlNotice::Accepted(self.noticed.revision));
+    pub(super) fn notify_changes(&mut self) {
+        if self.last_notified.revision != self.state.revision() {
+            self.last_notified.revision = self.state.revision();
+            self.notify(ControlNotice::Accepted(self.last_notified.revision));
         }
-        if self.noticed.in_force != self.state.in_force() {
-            self.noticed.in_force = self.state.in_force();
-            self.notice(ControlNotice::InForce(self.noticed.in_force));
+        if self.last_notified.in_force != self.state.in_force() {
+            self.last_notified.in_force = self.state.in_force();
+            self.notify(ControlNotice::InForce(self.last_notified.in_force));
         }
-        if self.noticed.live.at != self.state.live().at {
+        if self.last_notified.live.at != self.state.live().at {
             let live = self.state.live().clone();
-            let before = std::mem::replace(&mut self.noticed.live, live.clone());
-            self.notice_live(&before, &live);
+            let before = std::mem::replace(&mut self.last_notified.live, live.clone());
+            self.notify_live(&before, &live);
         }
     }
 
-    fn notice_live(&mut self, before: &Live, after: &Live) {
+    fn notify_live(&mut self, before: &Live, after: &Live) {
         for version in &after.held {
             if !before.held.contains(version) {
-                self.notice(ControlNotice::Held(version.clone()));
+                self.notify(ControlNotice::Held(version.clone()));
             }
         }
-        for print in &after.quarantine {
-            if !before.quarantine.contains(print) {
-                self.notice(ControlNotice::Quarantined(*print));
+        for digest in &after.quarantine {
+            if !before.quarantine.contains(digest) {
+                self.notify(ControlNotice::Quarantined(*digest));
             }
         }
         for view in &after.rollouts {
             let old = before.rollouts.iter().find(|r| r.version == view.version);
             if old.map(|old| old.state) != Some(view.state) {
-                self.notice(ControlNotice::Rollout {
+                self.notify(ControlNotice::Rollout {
                     version: view.version.clone(),
                     state: view.state,
                 });
@@ -59,7 +59,7 @@
         }
     }
 
-    pub(super) fn notice(&mut self, notice: ControlNotice) {
+    pub(super) fn notify(&mut self, notice: ControlNotice) {
         self.actions.push(ControlAction::Notice(notice));
     }
 }
--- a/sesamebeam_core/src/control/orders.rs
+++ b/sesamebeam_core/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Which orders engines need: what is loaded against what should be.
+//! Orders to engines: compares loaded versions with the desired ones.
 
 use std::{
     collections::BTreeMap,
@@ -31,107 +31,109 @@
     state::State,
 };
 
-/// Most backend servers kept; announcements of further ones are passed over.
+/// Maximum number of known backend servers. Announcements of further ones are
+/// ignored.
 const MAX_SERVERS: usize = 20_000;
 
-/// Backend servers as entries report them, and orders under way.
+/// Backend servers as reported by entries, and pending orders.
 ///
-/// Held by the leader alone and never replicated: a new leader hears it anew
-/// within one round of announcements, and an order is a desired state that does
-/// no harm when it is given again.
+/// Held by the leader only and not replicated: a new leader learns the backend
+/// servers within one announcement interval, and orders are idempotent because
+/// they name a desired state.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Orders {
-    servers: BTreeMap<ServerAddr, Seen>,
-    flights: BTreeMap<ServerAddr, Flight>,
-    /// Time until which the weight store is taken.
-    store_free: MonoTime,
-    /// Time from which each withdrawn version was out of force everywhere.
+    servers: BTreeMap<ServerAddr, KnownServer>,
+    pending: BTreeMap<ServerAddr, PendingOrder>,
+    /// Time until which the weight store is in use.
+    store_busy_until: MonoTime,
+    /// Time at which the withdrawal of each version was found to be in force.
     withdrawn: BTreeMap<VersionId, MonoTime>,
 }
 
-/// A backend server as last reported.
+/// Last report about a backend server.
 #[derive(Clone, Debug)]
-struct Seen {
+struct KnownServer {
     announcement: Announcement,
-    at: MonoTime,
+    last_seen: MonoTime,
 }
 
-/// An order under way.
+/// An order whose effect has not been announced yet.
 #[derive(Clone, Debug)]
-struct Flight {
+struct PendingOrder {
     desired: Desired,
     fencing: Option<Fencing>,
-    until: MonoTime,
+    deadline: MonoTime,
     failed: bool,
 }
 
 impl Orders {
-    /// Takes in what an entry reports of its failure domain.
-    pub(super) fn see(&mut self, announcements: Vec<Announcement>, now: MonoTime) {
+    /// Records the backend servers that an entry reports of its failure domain.
+    pub(super) fn record_announcements(&mut self, announcements: Vec<Announcement>, now: MonoTime) {
         for announcement in announcements {
             let addr = announcement.addr;
-            let known = self.servers.get(&addr);
-            let older = known.is_some_and(|seen| {
-                seen.announcement.incarnation == announcement.incarnation
-                    && seen.announcement.seq > announcement.seq
+            let previous = self.servers.get(&addr);
+            let stale = previous.is_some_and(|known| {
+                known.announcement.incarnation == announcement.incarnation
+                    && known.announcement.seq > announcement.seq
             });
-            if older || (known.is_none() && self.servers.len() >= MAX_SERVERS) {
+            if stale || (previous.is_none() && self.servers.len() >= MAX_SERVERS) {
                 continue;
             }
-            let done = self
-                .flights
+            let reached = self
+                .pending
                 .get(&addr)
-                .is_some_and(|flight| flight.desired.is_met_by(&announcement));
-            if done {
-                self.flights.remove(&addr);
+                .is_some_and(|pending| pending.desired.is_reached_in(&announcement));
+            if reached {
+                self.pending.remove(&addr);
             }
-            let seen = Seen {
+            let known = KnownServer {
                 announcement,
-                at: now,
+                last_seen: now,
             };
-            self.servers.insert(addr, seen);
+            self.servers.insert(addr, known);
         }
     }
 
-    /// Drops silent backend servers and orders that showed no effect in time.
-    pub(super) fn expire(&mut self, cfg: &ControlConfig, now: MonoTime) {
+    /// Removes silent backend servers and orders without effect in time.
+    pub(super) fn remove_expired(&mut self, cfg: &ControlConfig, now: MonoTime) {
         self.servers
-            .retain(|_, seen| seen.at + cfg.server_silence > now);
-        self.flights.retain(|_, flight| flight.until > now);
+            .retain(|_, known| known.last_seen + cfg.server_timeout > now);
+        self.pending.retain(|_, pending| pending.deadline > now);
     }
 
-    /// Notes the fencing number that an order was given.
-    pub(super) fn numbered(&mut self, order: &Order) {
-        if let Some(flight) = self.flights.get_mut(&order.server) {
-            flight.fencing = Some(order.fencing);
+    /// Records the fencing number of a committed order.
+    pub(super) fn set_fencing(&mut self, order: &Order) {
+        if let Some(pending) = self.pending.get_mut(&order.server) {
+            pending.fencing = Some(order.fencing);
         }
     }
 
-    /// Notes that an engine did not take an order. It is asked again when the
-    /// order's time is over; until then another engine may be.
-    pub(super) fn failed(&mut self, server: ServerAddr, fencing: Fencing) {
-        if let Some(flight) = self.flights.get_mut(&server)
-            && flight.fencing == Some(fencing)
+    /// Records that an engine did not accept an order. The engine is selected again
+    /// only after the deadline of the order; until then another one may be.
+    pub(super) fn mark_failed(&mut self, server: ServerAddr, fencing: Fencing) {
+        if let Some(pending) = self.pending.get_mut(&server)
+            && pending.fencing == Some(fencing)
         {
-            flight.failed = true;
+            pending.failed = true;
         }
     }
 
     /// Returns whether enough backend servers have a version loaded.
     pub(super) fn has_copies(&self, rollout: &Rollout, model: &Model) -> bool {
-        let loaded = self.pool(&model.pool).filter(|a| a.has(&rollout.version));
+        let loaded = self
+            .pool_servers(&model.pool)
+            .filter(|a| a.has_loaded(&rollout.version));
         loaded.count() >= rollout.copies.max(1) as usize
     }
 
-    /// Picks the next order that is needed and may be given now, and takes it as
-    /// under way.
-    pub(super) fn next(
+    /// Selects the next order that is due and adds it to the pending ones.
+    pub(super) fn next_order(
         &mut self,
         cfg: &ControlConfig,
         state: &State,
         now: MonoTime,
     ) -> Option<Order> {
-        self.follow_withdrawn(state, now);
+        self.update_withdrawn(state, now);
         let order = self
             .next_load(cfg, state, now)
             .or_else(|| self.next_unload(cfg, state, now))?;
@@ -139,31 +141,31 @@
             Desired::Loaded(version) => load_time(cfg, state.fleet(), version),
             Desired::Unloaded(_) | Desired::Role(_) => Duration::ZERO,
         };
-        self.store_free = self.store_free.max(now) + load;
-        let flight = Flight {
+        self.store_busy_until = self.store_busy_until.max(now) + load;
+        let pending = PendingOrder {
             desired: order.desired.clone(),
             fencing: None,
-            until: now + load + cfg.order_retry,
+            deadline: now + load + cfg.order_retry,
             failed: false,
         };
-        self.flights.insert(order.server, flight);
+        self.pending.insert(order.server, pending);
         Some(order)
     }
 
-    /// Takes back an order that the log did not take.
-    pub(super) fn dropped(&mut self, server: ServerAddr) {
-        self.flights.remove(&server);
+    /// Removes an order that the log rejected.
+    pub(super) fn cancel(&mut self, server: ServerAddr) {
+        self.pending.remove(&server);
     }
 
-    /// Returns when an order may next become due by time alone.
-    pub(super) fn next_wake(&self, now: MonoTime) -> Option<MonoTime> {
-        let ends = self.flights.values().map(|flight| flight.until);
-        let free = Some(self.store_free).filter(|free| *free > now);
-        ends.chain(free).min()
+    /// Returns when an order may next become due without another event.
+    pub(super) fn next_deadline(&self, now: MonoTime) -> Option<MonoTime> {
+        let deadlines = self.pending.values().map(|pending| pending.deadline);
+        let store_free = Some(self.store_busy_until).filter(|store_free| *store_free > now);
+        deadlines.chain(store_free).min()
     }
 
     fn next_load(&self, cfg: &ControlConfig, state: &State, now: MonoTime) -> Option<Order> {
-        if self.store_free > now && !cfg.faults.order_unpaced {
+        if self.store_busy_until > now && !cfg.faults.order_unpaced {
             return None;
         }
         let fleet = state.fleet();
@@ -173,73 +175,80 @@
                 RolloutState::Loading | RolloutState::At(_) | RolloutState::Done => true,
             };
             let (model, _) = fleet.version(&rollout.version)?;
-            if !active || self.copies(rollout, model) >= rollout.copies.max(1) as usize {
+            if !active || self.count_copies(rollout, model) >= rollout.copies.max(1) as usize {
                 return None;
             }
             let server = self.server_to_load(cfg, rollout, model)?;
-            Some(order(server, Desired::Loaded(rollout.version.clone())))
+            Some(new_order(server, Desired::Loaded(rollout.version.clone())))
         })
     }
 
-    /// Counts the backend servers that have a version or are loading it.
-    fn copies(&self, rollout: &Rollout, model: &Model) -> usize {
-        let has = |a: &&Announcement| a.has(&rollout.version) || self.loads(a, &rollout.version);
-        self.pool(&model.pool).filter(has).count()
+    /// Returns the number of backend servers that have a version or are loading it.
+    fn count_copies(&self, rollout: &Rollout, model: &Model) -> usize {
+        let has_or_loads = |a: &&Announcement| {
+            a.has_loaded(&rollout.version) || self.is_loading(a, &rollout.version)
+        };
+        self.pool_servers(&model.pool).filter(has_or_loads).count()
     }
 
-    fn loads(&self, announcement: &Announcement, version: &str) -> bool {
-        let flight = self.flights.get(&announcement.addr);
-        flight.is_some_and(|flight| {
-            !flight.failed && matches!(&flight.desired, Desired::Loaded(v) if v == version)
+    fn is_loading(&self, announcement: &Announcement, version: &str) -> bool {
+        let pending = self.pending.get(&announcement.addr);
+        pending.is_some_and(|pending| {
+            !pending.failed && matches!(&pending.desired, Desired::Loaded(v) if v == version)
         })
     }
 
-    /// Picks the backend server to load a version on: in the failure domain with
-    /// the fewest copies, the least loaded.
+    /// Selects the backend server on which a version is loaded: the one with the
+    /// least load in the failure domain with the fewest copies.
     ///
-    /// An engine that loads may take no work meanwhile. With each engine of a
-    /// pool loading at once, the pool answers nobody; so one always stays as it
-    /// is. A pool of a single engine is loaded only while it serves nothing.
+    /// An engine may not serve requests while it loads a version. If all engines
+    /// of a pool loaded at once, the pool would be unavailable, so one engine
+    /// always has no order pending. The only engine of a pool loads only while it
+    /// has no version to serve.
     fn server_to_load(
         &self,
         cfg: &ControlConfig,
         rollout: &Rollout,
         model: &Model,
     ) -> Option<ServerAddr> {
-        let serving = self.pool(&model.pool).count();
-        let busy = self.pool(&model.pool).filter(|a| self.is_busy(a)).count();
+        let serving = self.pool_servers(&model.pool).count();
+        let busy = self
+            .pool_servers(&model.pool)
+            .filter(|a| self.is_busy(a))
+            .count();
         let spare = busy + 1 < serving || cfg.faults.order_unpaced;
-        let candidates = self.pool(&model.pool).filter(|a| {
+        let candidates = self.pool_servers(&model.pool).filter(|a| {
             let alone_and_empty = serving == 1 && a.versions.is_empty();
-            !self.is_busy(a) && !a.has(&rollout.version) && (spare || alone_and_empty)
+            !self.is_busy(a) && !a.has_loaded(&rollout.version) && (spare || alone_and_empty)
         });
         let best = candidates.min_by_key(|a| {
             let domain = &a.domain;
             let same_domain = |other: &&Announcement| {
                 other.domain == *domain
-                    && (other.has(&rollout.version) || self.loads(other, &rollout.version))
+                    && (other.has_loaded(&rollout.version)
+                        || self.is_loading(other, &rollout.version))
             };
-            let copies = self.pool(&model.pool).filter(same_domain).count();
+            let copies = self.pool_servers(&model.pool).filter(same_domain).count();
             (copies, a.load.running + a.load.waiting, a.addr)
         });
         best.map(|a| a.addr)
     }
 
-    /// Picks a withdrawn version to unload, once every request that was sent to
-    /// it before the withdrawal came in force is over.
+    /// Selects a withdrawn version to unload, once all requests that were sent to
+    /// it before the withdrawal came into force are over.
     fn next_unload(&self, cfg: &ControlConfig, state: &State, now: MonoTime) -> Option<Order> {
         let deadlines = state.fleet().classes.iter().map(|class| class.deadline);
-        let grace = deadlines.max().unwrap_or_default() + cfg.dispatch_bound;
-        let over = |since: &MonoTime| *since + grace <= now;
-        let mut versions = self.withdrawn.iter().filter(|(_, since)| over(since));
+        let grace = deadlines.max().unwrap_or_default() + cfg.network_bound;
+        let drained = |since: &MonoTime| *since + grace <= now;
+        let mut versions = self.withdrawn.iter().filter(|(_, since)| drained(since));
         versions.find_map(|(version, _)| {
-            let mut servers = self.servers.values().map(|seen| &seen.announcement);
-            let server = servers.find(|a| a.has(version) && !self.is_busy(a))?;
-            Some(order(server.addr, Desired::Unloaded(version.clone())))
+            let mut servers = self.servers.values().map(|known| &known.announcement);
+            let server = servers.find(|a| a.has_loaded(version) && !self.is_busy(a))?;
+            Some(new_order(server.addr, Desired::Unloaded(version.clone())))
         })
     }
 
-    fn follow_withdrawn(&mut self, state: &State, now: MonoTime) {
+    fn update_withdrawn(&mut self, state: &State, now: MonoTime) {
         let fleet = state.fleet();
         self.withdrawn
             .retain(|version, _| is_withdrawn(fleet, version));
@@ -257,35 +266,35 @@
     }
 
     fn is_busy(&self, announcement: &Announcement) -> bool {
-        self.flights.contains_key(&announcement.addr)
+        self.pending.contains_key(&announcement.addr)
     }
 
-    /// Lists the backend servers of a pool that take work.
-    fn pool<'a>(&'a self, pool: &'a PoolId) -> impl Iterator<Item = &'a Announcement> {
-        let servers = self.servers.values().map(|seen| &seen.announcement);
+    /// Returns the backend servers of a pool that are not leaving.
+    fn pool_servers<'a>(&'a self, pool: &'a PoolId) -> impl Iterator<Item = &'a Announcement> {
+        let servers = self.servers.values().map(|known| &known.announcement);
         servers.filter(move |a| a.pool == *pool && !a.leaving)
     }
 }
 
 impl Announcement {
-    /// Tells whether the backend server has a version loaded.
-    fn has(&self, version: &str) -> bool {
+    /// Returns whether the backend server has a version loaded.
+    fn has_loaded(&self, version: &str) -> bool {
         self.versions.iter().any(|loaded| loaded == version)
     }
 }
 
 impl Desired {
-    /// Tells whether an announcement shows this state.
-    fn is_met_by(&self, announcement: &Announcement) -> bool {
+    /// Returns whether an announcement shows this state.
+    fn is_reached_in(&self, announcement: &Announcement) -> bool {
         match self {
-            Self::Loaded(version) => announcement.has(version),
-            Self::Unloaded(version) => !announcement.has(version),
+            Self::Loaded(version) => announcement.has_loaded(version),
+            Self::Unloaded(version) => !announcement.has_loaded(version),
             Self::Role(_) => false,
         }
     }
 }
 
-fn order(server: ServerAddr, desired: Desired) -> Order {
+fn new_order(server: ServerAddr, desired: Desired) -> Order {
     Order {
         server,
         desired,
@@ -298,8 +307,8 @@
     found.is_some_and(|(_, version)| version.state == VersionState::Withdrawn)
 }
 
-/// Returns how long the weight store takes to give a version's weights.
+/// Returns how long the weight store takes to transfer the weights of a version.
 fn load_time(cfg: &ControlConfig, fleet: &Fleet, version: &str) -> Duration {
     let bytes = fleet.version(version).map_or(0, |(_, v)| v.weight_bytes);
-    Duration::from_secs_f64(bytes as f64 / cfg.weight_rate.max(1) as f64)
+    Duration::from_secs_f64(bytes as f64 / cfg.weight_store_bandwidth.max(1) as f64)
 }
--- a/sesamebeam_core/src/control/renewals.rs
+++ b/sesamebeam_core/src/control/renewals.rs
@@ -1,4 +1,4 @@
-//! Renewals of the entries' leases, and the news that go with them.
+//! Renewals of entry leases, and the configuration updates sent with them.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
     control::{
         ControlCore,
         leases::{
-            News,
-            Poll, //
+            ConfigPosition,
+            PendingRenewal, //
         },
         message::ClientTicket,
         requests::unavailable,
@@ -20,13 +20,14 @@
     },
 };
 
-/// Share of its lease after which an entry's renewal is answered without news.
-const POLLS_A_LEASE: u32 = 3;
+/// A renewal is answered after its entry's lease divided by this number, even if
+/// there is no update.
+const RENEWALS_PER_LEASE: u32 = 3;
 
 impl ControlCore {
     pub(super) fn renew(&mut self, client: ClientTicket, renew: Renew) {
         if let Some(lead) = &mut self.lead {
-            lead.leases.note(&renew, self.now);
+            lead.leases.record(&renew, self.now);
         }
         if renew.leaving {
             let renewed = Renewed {
@@ -36,32 +37,34 @@
             self.reply(client, ControlReply::Renewed(renewed));
             return;
         }
-        let due = self.now + self.cfg.entry_lease / POLLS_A_LEASE;
-        self.polls.add(client, Poll { renew, due });
+        let deadline = self.now + self.cfg.entry_lease / RENEWALS_PER_LEASE;
+        self.renewals
+            .add(client, PendingRenewal { renew, deadline });
     }
 
-    pub(super) fn answer_polls(&mut self) {
+    pub(super) fn answer_renewals(&mut self) {
         if !self.leads(self.now) {
-            for ticket in self.polls.take_due(self.now) {
-                self.reply(ticket, unavailable("this leader reaches no quorum"));
+            for ticket in self.renewals.take_expired(self.now) {
+                self.reply(ticket, unavailable("the leader cannot reach a quorum"));
             }
             return;
         }
-        let news = News {
+        let position = ConfigPosition {
             revision: self.state.revision(),
             live_at: self.state.live().at,
         };
-        // The entry counts its lease from before it asked; from the answer on,
-        // stretched, it is over here only after it is over there.
-        let ends = self.now + self.cfg.stretched(self.cfg.entry_lease);
-        for (ticket, poll) in self.polls.take_ready(news, self.now) {
+        // The lease starts at the entry before it sends the renewal. Counted from
+        // the reply and scaled for drift, it ends here only after it has ended
+        // there.
+        let expires_at = self.now + self.cfg.scaled_for_drift(self.cfg.entry_lease);
+        for (ticket, pending) in self.renewals.take_ready(position, self.now) {
             let Some(lead) = &mut self.lead else {
                 return;
             };
-            lead.leases.grant(&poll.renew.entry, ends);
+            lead.leases.grant(&pending.renew.entry, expires_at);
             let renewed = Renewed {
                 lease: self.cfg.entry_lease,
-                update: self.update_for(&poll.renew),
+                update: self.update_for(&pending.renew),
             };
             self.reply(ticket, ControlReply::Renewed(renewed));
         }
--- a/sesamebeam_core/src/control/replica.rs
+++ b/sesamebeam_core/src/control/replica.rs
@@ -1,21 +1,21 @@
-//! Actions of the replica of the log, taken up one by one.
+//! Processes the actions of the log replica.
 
 use std::collections::VecDeque;
 
 use crate::{
     control::{
         ControlCore,
-        clients::{
-            Waiting,
-            reply_of,
-            reply_to_rejected, //
-        },
-        leader::Lead,
+        leader::Leadership,
         message::{
             ControlAction,
             ControlNotice,
             StopCause, //
         },
+        pending::{
+            Pending,
+            reply_from_outcome,
+            reply_from_rejection, //
+        },
     },
     ids::LogIndex,
     message::{
@@ -36,16 +36,16 @@
 };
 
 impl ControlCore {
-    pub(super) fn take_up(&mut self, actions: Vec<ReplicaAction>) {
+    pub(super) fn process_replica_actions(&mut self, actions: Vec<ReplicaAction>) {
         let mut queue = VecDeque::from(actions);
         while let Some(action) = queue.pop_front() {
-            let more = self.take_up_one(action);
-            // In front: what a snapshot gives belongs before later actions.
+            let more = self.process_replica_action(action);
+            // Actions that follow from a snapshot precede the remaining ones.
             more.into_iter().rev().for_each(|a| queue.push_front(a));
         }
     }
 
-    fn take_up_one(&mut self, action: ReplicaAction) -> Vec<ReplicaAction> {
+    fn process_replica_action(&mut self, action: ReplicaAction) -> Vec<ReplicaAction> {
         match action {
             ReplicaAction::Send { to, message } => {
                 self.actions.push(ControlAction::Send { to, message });
@@ -59,14 +59,14 @@
                 data,
             } => self.apply(index, ticket, &data),
             ReplicaAction::Rejected { ticket, reason } => {
-                if let Some(waiting) = self.clients.take(ticket) {
+                if let Some(pending) = self.pending.take(ticket) {
                     let hint = self.leader_hint();
-                    self.reject(waiting, reply_to_rejected(reason, hint));
+                    self.reject(pending, reply_from_rejection(reason, hint));
                 }
             }
-            ReplicaAction::ReadReady { ticket } => self.read(ticket),
+            ReplicaAction::ReadReady { ticket } => self.handle_read_ready(ticket),
             ReplicaAction::Changed { ticket } => {
-                if let Some(client) = self.clients.take(ticket).and_then(|w| w.client()) {
+                if let Some(client) = self.pending.take(ticket).and_then(|w| w.client()) {
                     self.reply(client, ControlReply::Done);
                 }
             }
@@ -85,15 +85,15 @@
     }
 
     fn change_role(&mut self, role: Role) {
-        self.notice(ControlNotice::Role(role));
+        self.notify(ControlNotice::Role(role));
         if role != Role::Leader {
             self.lead = None;
             let reply = ControlReply::NotLeader(self.leader_hint());
-            for ticket in self.polls.take_all() {
+            for ticket in self.renewals.take_all() {
                 self.reply(ticket, reply.clone());
             }
         } else if self.lead.is_none() && !self.stopped {
-            self.lead = Some(Lead::new(self.now));
+            self.lead = Some(Leadership::new(self.now));
         }
     }
 
@@ -112,16 +112,16 @@
             return;
         };
         let outcome = self.state.apply(index, &command);
-        self.windows.note(index, self.now);
-        self.notice_changes();
-        match ticket.and_then(|ticket| self.clients.take(ticket)) {
-            Some(Waiting::Own(_)) => self.carry_out(outcome),
-            Some(Waiting::Claim(client, key)) => {
+        self.applied_times.record(index, self.now);
+        self.notify_changes();
+        match ticket.and_then(|ticket| self.pending.take(ticket)) {
+            Some(Pending::Leader(_)) => self.send_order(outcome),
+            Some(Pending::Claim(client, key)) => {
                 let reply = self.claim_reply(&key, outcome);
                 self.reply(client, reply);
             }
-            Some(Waiting::Write(client) | Waiting::Read(client, _)) => {
-                self.reply(client, reply_of(outcome));
+            Some(Pending::Write(client) | Pending::Read(client, _)) => {
+                self.reply(client, reply_from_outcome(outcome));
             }
             None => {}
         }
@@ -134,12 +134,12 @@
         };
         self.state = state;
         self.state.faults = self.cfg.faults;
-        self.windows.note(index, self.now);
+        self.applied_times.record(index, self.now);
     }
 
     fn stop(&mut self, cause: StopCause) {
         self.stopped = true;
         self.lead = None;
-        self.notice(ControlNotice::Stopped(cause));
+        self.notify(ControlNotice::Stopped(cause));
     }
 }
--- a/sesamebeam_core/src/control/requests.rs
+++ b/sesamebeam_core/src/control/requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests, from their arrival to their replies.
+//! Client requests, from arrival to reply.
 
 use smol_str::{
     SmolStr,
@@ -8,15 +8,15 @@
 use crate::{
     control::{
         ControlCore,
-        clients::{
-            Own,
-            Query,
-            Waiting, //
-        },
         message::{
             ClientTicket,
             ControlAction, //
         },
+        pending::{
+            LeaderTask,
+            Pending,
+            Query, //
+        },
     },
     fleet::check::check,
     message::{
@@ -40,24 +40,24 @@
     },
 };
 
-/// Most billing entries in one reply.
-const MAX_BILLS: u32 = 1000;
+/// Maximum number of billing entries in one reply.
+const MAX_BILLS_PER_REPLY: u32 = 1000;
 
-/// Most reports of evidence in one request.
-const MAX_EVIDENCE: usize = 256;
+/// Maximum number of evidence reports in one request.
+const MAX_EVIDENCE_REPORTS: usize = 256;
 
 impl ControlCore {
-    pub(super) fn serve(&mut self, ticket: ClientTicket, req: ControlRequest) {
+    pub(super) fn handle_request(&mut self, ticket: ClientTicket, req: ControlRequest) {
         if let ControlRequest::Status = req {
             let status = Box::new(self.status(self.now));
             self.reply(ticket, ControlReply::Status(status));
             return;
         }
-        if let Some(reply) = self.turn_away() {
+        if let Some(reply) = self.rejection_reply() {
             self.reply(ticket, reply);
             return;
         }
-        let write = Waiting::Write(ticket);
+        let write = Pending::Write(ticket);
         match req {
             ControlRequest::Renew(renew) => self.renew(ticket, renew),
             ControlRequest::Claim(req) => self.claim(ticket, req),
@@ -67,17 +67,17 @@
             ControlRequest::Cleared(prints) => self.propose(write, &Command::Cleared(prints)),
             ControlRequest::Settle(req) => self.propose(write, &Command::Settle(req)),
             ControlRequest::Apply(change) => self.apply_change(ticket, change),
-            ControlRequest::Evidence(reports) => self.observe(ticket, reports),
+            ControlRequest::Evidence(reports) => self.record_evidence(ticket, reports),
             ControlRequest::Servers(announcements) => {
                 if let Some(lead) = &mut self.lead {
-                    lead.orders.see(announcements, self.now);
+                    lead.orders.record_announcements(announcements, self.now);
                 }
                 self.reply(ticket, ControlReply::Done);
             }
-            ControlRequest::Look(key) => self.query(ticket, Query::Look(key)),
-            ControlRequest::Current => self.query(ticket, Query::Current),
+            ControlRequest::Look(key) => self.query(ticket, Query::Claim(key)),
+            ControlRequest::Current => self.query(ticket, Query::Fleet),
             ControlRequest::Bills { from, limit } => {
-                let limit = limit.min(MAX_BILLS) as usize;
+                let limit = limit.min(MAX_BILLS_PER_REPLY) as usize;
                 self.query(ticket, Query::Bills(from, limit));
             }
             ControlRequest::Replace(replace) => self.replace(ticket, &replace),
@@ -85,24 +85,26 @@
         }
     }
 
-    /// Says why no request but a status can be served, if so.
-    fn turn_away(&self) -> Option<ControlReply> {
+    /// Returns the reply to every request except a status request while this
+    /// replica cannot serve, or `None` if it can.
+    fn rejection_reply(&self) -> Option<ControlReply> {
         if self.stopped {
-            return Some(unavailable("this replica has stopped for good"));
+            return Some(unavailable("this replica has stopped permanently"));
         }
         let Some(lead) = &self.lead else {
             return Some(ControlReply::NotLeader(self.leader_hint()));
         };
-        if lead.settled.is_some() && !self.leads(self.now) {
-            return Some(unavailable("this leader reaches no quorum"));
+        if lead.clock_base.is_some() && !self.leads(self.now) {
+            return Some(unavailable("the leader cannot reach a quorum"));
         }
-        let waiting = self.clients.len() + self.polls.len();
-        (waiting >= self.cfg.max_waiting).then(|| unavailable("too many requests wait"))
+        let pending = self.pending.len() + self.renewals.len();
+        (pending >= self.cfg.max_pending).then(|| unavailable("too many requests are pending"))
     }
 
-    /// Judges a file. One with faults needs no log: its verdict follows from the
-    /// file alone. A verdict that was given goes first, since a newer release
-    /// may find faults in a file that is long in force.
+    /// Checks a fleet file and proposes it. A file with faults is not written to
+    /// the log, since its verdict depends on the file alone. An existing verdict
+    /// takes precedence, since a newer release may find faults in a file that is
+    /// already in force.
     fn apply_change(&mut self, client: ClientTicket, change: Change) {
         if let Some(verdict) = self.state.verdict(&change) {
             let reply = ControlReply::Verdict(verdict.clone());
@@ -115,13 +117,13 @@
             self.reply(client, ControlReply::Verdict(Verdict::Faulty(faults)));
             return;
         }
-        self.propose(Waiting::Write(client), &Command::Apply(change));
+        self.propose(Pending::Write(client), &Command::Apply(change));
     }
 
-    /// Writes reports of evidence. The log keeps their order, so the answer to
-    /// the last one says that all were written.
-    fn observe(&mut self, client: ClientTicket, mut reports: Vec<Evidence>) {
-        reports.truncate(MAX_EVIDENCE);
+    /// Writes evidence reports. The log preserves their order, so the outcome of
+    /// the last one confirms all of them.
+    fn record_evidence(&mut self, client: ClientTicket, mut reports: Vec<Evidence>) {
+        reports.truncate(MAX_EVIDENCE_REPORTS);
         let Some(last) = reports.pop() else {
             self.reply(client, ControlReply::Done);
             return;
@@ -129,10 +131,10 @@
         for report in reports {
             if let Ok(data) = wire::encode(&Command::Evidence(report)) {
                 let ticket = 0;
-                self.drive(ReplicaEvent::Propose { ticket, data });
+                self.step_replica(ReplicaEvent::Propose { ticket, data });
             }
         }
-        self.propose(Waiting::Write(client), &Command::Evidence(last));
+        self.propose(Pending::Write(client), &Command::Evidence(last));
     }
 
     fn replace(&mut self, client: ClientTicket, replace: &Replace) {
@@ -142,39 +144,39 @@
             incarnation: replace.incarnation,
             addr: Some(replace.addr),
         };
-        let until = self.now + self.cfg.client_timeout;
-        let ticket = self.clients.add(until, Waiting::Write(client));
-        self.drive(ReplicaEvent::Change { ticket, change });
+        let deadline = self.now + self.cfg.client_timeout;
+        let ticket = self.pending.add(deadline, Pending::Write(client));
+        self.step_replica(ReplicaEvent::Change { ticket, change });
     }
 
     fn query(&mut self, client: ClientTicket, query: Query) {
-        self.ask_to_read(Waiting::Read(client, query));
+        self.request_read(Pending::Read(client, query));
     }
 
-    pub(super) fn ask_to_read(&mut self, waiting: Waiting) {
-        let until = self.now + self.cfg.client_timeout;
-        let ticket = self.clients.add(until, waiting);
-        self.drive(ReplicaEvent::Read { ticket });
+    pub(super) fn request_read(&mut self, pending: Pending) {
+        let deadline = self.now + self.cfg.client_timeout;
+        let ticket = self.pending.add(deadline, pending);
+        self.step_replica(ReplicaEvent::Read { ticket });
     }
 
-    pub(super) fn read(&mut self, ticket: Ticket) {
-        match self.clients.take(ticket) {
-            Some(Waiting::Read(client, query)) => {
-                let reply = self.answer(query);
+    pub(super) fn handle_read_ready(&mut self, ticket: Ticket) {
+        match self.pending.take(ticket) {
+            Some(Pending::Read(client, query)) => {
+                let reply = self.answer_query(query);
                 self.reply(client, reply);
             }
-            Some(Waiting::Own(_)) => self.settle(),
-            Some(Waiting::Write(_) | Waiting::Claim(..)) | None => {}
+            Some(Pending::Leader(_)) => self.start_clock(),
+            Some(Pending::Write(_) | Pending::Claim(..)) | None => {}
         }
     }
 
-    fn answer(&self, query: Query) -> ControlReply {
+    fn answer_query(&self, query: Query) -> ControlReply {
         match query {
-            Query::Look(key) => {
+            Query::Claim(key) => {
                 let view = self.state.claim(&key).cloned();
-                ControlReply::Claimed(view.map(|view| self.judged(&key, view)))
+                ControlReply::Claimed(view.map(|view| self.with_leader_knowledge(&key, view)))
             }
-            Query::Current => ControlReply::Current {
+            Query::Fleet => ControlReply::Current {
                 revision: self.state.revision(),
                 fleet: Box::new(self.state.fleet().clone()),
             },
@@ -182,33 +184,34 @@
         }
     }
 
-    pub(super) fn propose(&mut self, waiting: Waiting, command: &Command) {
+    pub(super) fn propose(&mut self, pending: Pending, command: &Command) {
         match wire::encode(command) {
             Ok(data) => {
-                let until = self.now + self.cfg.client_timeout;
-                let ticket = self.clients.add(until, waiting);
-                self.drive(ReplicaEvent::Propose { ticket, data });
+                let deadline = self.now + self.cfg.client_timeout;
+                let ticket = self.pending.add(deadline, pending);
+                self.step_replica(ReplicaEvent::Propose { ticket, data });
             }
-            Err(e) => self.reject(waiting, ControlReply::Refused(e.to_smolstr())),
+            Err(e) => self.reject(pending, ControlReply::Refused(e.to_smolstr())),
         }
     }
 
-    pub(super) fn give_up_late(&mut self) {
-        for waiting in self.clients.take_late(self.now) {
-            self.reject(waiting, unavailable("no quorum answered in time"));
+    pub(super) fn reject_expired(&mut self) {
+        for pending in self.pending.take_expired(self.now) {
+            self.reject(pending, unavailable("no quorum replied in time"));
         }
     }
 
-    /// Takes back what a client or this leader waits for in vain.
-    pub(super) fn reject(&mut self, waiting: Waiting, reply: ControlReply) {
-        match waiting {
-            Waiting::Own(Own::Order(server)) => {
+    /// Ends a pending request that failed: replies to its client or cancels the
+    /// task.
+    pub(super) fn reject(&mut self, pending: Pending, reply: ControlReply) {
+        match pending {
+            Pending::Leader(LeaderTask::Order(server)) => {
                 if let Some(lead) = &mut self.lead {
-                    lead.orders.dropped(server);
+                    lead.orders.cancel(server);
                 }
             }
-            Waiting::Own(_) => {}
-            Waiting::Write(client) | Waiting::Claim(client, _) | Waiting::Read(client, _) => {
+            Pending::Leader(_) => {}
+            Pending::Write(client) | Pending::Claim(client, _) | Pending::Read(client, _) => {
                 self.reply(client, reply);
             }
         }
--- a/sesamebeam_core/tests/control/group.rs
+++ b/sesamebeam_core/tests/control/group.rs
@@ -128,7 +128,7 @@
         for id in 1..=3 {
             let mut cfg = ControlConfig::new(replica(id));
             cfg.entry_lease = ENTRY_LEASE;
-            cfg.dispatch_bound = BOUND;
+            cfg.network_bound = BOUND;
             cfg.faults = faults;
             change(&mut cfg);
             let node = Node {
--- a/sesamebeam_core/tests/control/orders.rs
+++ b/sesamebeam_core/tests/control/orders.rs
@@ -113,7 +113,7 @@
     let leader = group.wait_leader();
     announce(&mut group, leader, 4, Duration::from_secs(6));
     let (_, _, order) = group.orders[0].clone();
-    let refused = ControlEvent::Ordered {
+    let refused = ControlEvent::OrderResult {
         server: order.server,
         fencing: order.fencing,
         ok: false,
--- a/sesamebeam_core/tests/proofs/world/group.rs
+++ b/sesamebeam_core/tests/proofs/world/group.rs
@@ -91,7 +91,7 @@
             faults: Default::default(),
         });
         cfg.entry_lease = Duration::from_secs(3);
-        cfg.dispatch_bound = Duration::from_secs(2);
+        cfg.network_bound = Duration::from_secs(2);
         change(&mut cfg);
         Self {
             cfg,
