--- a/sesamebeam_core/tests/control/claims.rs
+++ b/sesamebeam_core/tests/control/claims.rs
@@ -1,4 +1,5 @@
-//! Claims over leaders that die, and what only a leader's clock tells.
+//! Claims across leader failures, and the conditions that depend on the
+//! leader's clock.
 
 use sesamebeam_core::{
     message::{
@@ -18,9 +19,9 @@
 use yare::parameterized;
 
 use crate::group::{
-    BOUND,
     ENTRY_LEASE,
     Group,
+    NETWORK_BOUND,
     WINDOW,
     claim,
     complete,
@@ -28,16 +29,16 @@
 };
 
 fn bills(group: &mut Group) -> Vec<BillState> {
-    match group.ask_leader(ControlRequest::Bills { from: 1, limit: 9 }) {
+    match group.request_leader(ControlRequest::Bills { from: 1, limit: 9 }) {
         ControlReply::Bills(bills) => bills.iter().map(|bill| bill.state).collect(),
         other => panic!("expected bills, got {other:?}"),
     }
 }
 
-/// Sends a request until a leader answers it, as an entry does.
-fn until_served(group: &mut Group, req: &ControlRequest) -> ControlReply {
+/// Retries a request until a leader serves it, as an entry does.
+fn request_until_served(group: &mut Group, req: &ControlRequest) -> ControlReply {
     for _ in 0..20 {
-        match group.ask_leader(req.clone()) {
+        match group.request_leader(req.clone()) {
             ControlReply::Unavailable(_) | ControlReply::NotLeader(_) => {}
             reply => return reply,
         }
@@ -45,9 +46,9 @@
     panic!("no leader served the request");
 }
 
-/// The leader is killed some milliseconds after an entry asked, anywhere between
-/// taking the question and answering it; the entry asks the next leader. The
-/// entry must get its own claim, end it, and be billed once.
+/// The leader is killed at different points between receiving an entry's request
+/// and replying to it, and the entry retries at the next leader. The entry must
+/// be granted its own claim, complete it, and be billed once.
 #[parameterized(
     claim_at_once = { 0, false },
     claim_synced = { 1, false },
@@ -62,32 +63,32 @@
 )]
 fn leader_killed(millis: u64, while_completing: bool) {
     let mut group = Group::new(Faults::default());
-    let ask = ControlRequest::Claim(claim(1, 0));
+    let req = ControlRequest::Claim(claim(1, 0));
     let old = group.wait_leader();
     if while_completing {
-        until_served(&mut group, &ask);
+        request_until_served(&mut group, &req);
         group.send(old, complete(1, 1));
     } else {
-        group.send(old, ask.clone());
+        group.send(old, req.clone());
     }
     group.run(std::time::Duration::from_millis(millis));
     group.kill(old);
     group.wait_other_leader(old);
     if !while_completing {
-        let reply = until_served(&mut group, &ask);
+        let reply = request_until_served(&mut group, &req);
         assert_eq!(reply, ControlReply::Claim(ClaimReply::Granted(1)));
     }
     let recorded = ControlReply::Complete(CompleteReply::Recorded);
-    assert_eq!(until_served(&mut group, &complete(1, 1)), recorded);
+    assert_eq!(request_until_served(&mut group, &complete(1, 1)), recorded);
     group.start(old);
-    assert_eq!(until_served(&mut group, &complete(1, 1)), recorded);
+    assert_eq!(request_until_served(&mut group, &complete(1, 1)), recorded);
     assert_eq!(bills(&mut group), [BillState::Charged]);
-    let view = group.look();
+    let view = group.claim_view();
     assert!(matches!(view.state, ClaimState::Completed(done) if done.body.is_some()));
 }
 
-/// An entry claims and falls silent. Another entry may take the claim only when
-/// the first can no longer send, and is gone.
+/// An entry claims a key and falls silent. Another entry may take the claim over
+/// only when the first can no longer send its request and its lease has expired.
 #[test]
 fn retaken_in_time() {
     let mut group = Group::new(Faults::default());
@@ -100,17 +101,21 @@
         if reply == ClaimReply::Granted(2) {
             break;
         }
-        let view = group.look();
+        let view = group.claim_view();
         assert!(!(view.window_over && view.claimant_gone));
         group.run(std::time::Duration::from_millis(200));
     }
     assert!(group.now >= renewed + ENTRY_LEASE);
-    assert!(group.now >= renewed + WINDOW + BOUND);
-    assert!(group.now < renewed + ENTRY_LEASE * 2, "not for ever");
+    assert!(group.now >= renewed + WINDOW + NETWORK_BOUND);
+    assert!(
+        group.now < renewed + ENTRY_LEASE * 2,
+        "the claim is never released"
+    );
 }
 
-/// An entry claims and the leader dies. The new leader knows of no lease of the
-/// entry; taken for gone at once, the entry loses its claim while it sends.
+/// An entry claims a key and the leader fails. The new leader knows no lease of
+/// the entry. If it assumed that the entry is gone, the entry would lose its claim
+/// while it sends the request.
 #[parameterized(
     safeguard_on = { Faults::default(), false },
     leases_trusted = { Faults { trust_empty_leases: true, ignore_windows: true, ..Faults::default() }, true },
@@ -127,8 +132,8 @@
     assert_eq!(reply == ClaimReply::Granted(2), retaken);
 }
 
-/// A window runs out on the log's replicas while the claim's request may still
-/// be in the network. Judged without the bound, it could be sent twice.
+/// The dispatch window of a claim ends while its request may still be in transit.
+/// Without the network bound after the window, the request could run twice.
 #[parameterized(
     safeguard_on = { false },
     safeguard_off = { true },
@@ -140,8 +145,8 @@
     };
     let mut group = Group::new(faults);
     group.claim(claim(1, 0));
-    group.run(WINDOW + BOUND - std::time::Duration::from_millis(100));
-    assert_eq!(group.look().window_over, fault);
+    group.run(WINDOW + NETWORK_BOUND - std::time::Duration::from_millis(100));
+    assert_eq!(group.claim_view().window_over, fault);
     group.run(std::time::Duration::from_millis(300));
-    assert!(group.look().window_over);
+    assert!(group.claim_view().window_over);
 }
--- a/sesamebeam_core/tests/control/group.rs
+++ b/sesamebeam_core/tests/control/group.rs
@@ -1,4 +1,4 @@
-//! Three control replicas with explicit time, and the links and disks between.
+//! Three control replicas in virtual time, with simulated links and disks.
 
 use std::{
     collections::{
@@ -69,17 +69,17 @@
     state::Faults,
 };
 
-/// Time that a message, or a sync of the disk, takes.
-const HOP: Duration = Duration::from_millis(1);
+/// Delay of a message, and of a disk sync.
+const MESSAGE_DELAY: Duration = Duration::from_millis(1);
 
-/// Longest virtual time that a test waits for anything.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum virtual time for which a test waits.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Length of an entry's lease in these tests.
 pub(crate) const ENTRY_LEASE: Duration = Duration::from_secs(6);
 
 /// Network bound in these tests.
-pub(crate) const BOUND: Duration = Duration::from_secs(2);
+pub(crate) const NETWORK_BOUND: Duration = Duration::from_secs(2);
 
 /// Dispatch window in these tests.
 pub(crate) const WINDOW: Duration = Duration::from_secs(1);
@@ -88,7 +88,7 @@
 struct Node {
     cfg: ControlConfig,
     saved: Saved,
-    sync: Duration,
+    sync_time: Duration,
     core: Option<ControlCore>,
 }
 
@@ -97,14 +97,14 @@
     pub(crate) now: MonoTime,
     nodes: BTreeMap<NodeId, Node>,
     events: BTreeMap<(MonoTime, u64), (NodeId, ControlEvent)>,
-    cut: BTreeSet<NodeId>,
+    isolated: BTreeSet<NodeId>,
     frozen: BTreeMap<NodeId, Vec<ControlEvent>>,
-    /// State of the generator that spoils messages; 0 spoils none.
-    noise: u64,
+    /// State of the random generator that disturbs messages; 0 disables it.
+    rng_state: u64,
     replies: BTreeMap<ClientTicket, (MonoTime, ControlReply)>,
-    /// Orders given, by whom and when.
+    /// Orders issued, with their leader and time.
     pub(crate) orders: Vec<(NodeId, MonoTime, Order)>,
-    last: u64,
+    last_seq: u64,
 }
 
 impl Group {
@@ -112,29 +112,29 @@
         Self::with(faults, |_| {})
     }
 
-    /// Makes a group with changed settings and elects its first leader.
+    /// Creates a group with a changed configuration and waits for its first leader.
     pub(crate) fn with(faults: Faults, change: impl Fn(&mut ControlConfig)) -> Self {
         let mut group = Self {
             now: Duration::from_secs(1),
             nodes: BTreeMap::new(),
             events: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            isolated: BTreeSet::new(),
             frozen: BTreeMap::new(),
-            noise: 0,
+            rng_state: 0,
             replies: BTreeMap::new(),
             orders: Vec::new(),
-            last: 0,
+            last_seq: 0,
         };
         for id in 1..=3 {
-            let mut cfg = ControlConfig::new(replica(id));
+            let mut cfg = ControlConfig::new(replica_config(id));
             cfg.entry_lease = ENTRY_LEASE;
-            cfg.network_bound = BOUND;
+            cfg.network_bound = NETWORK_BOUND;
             cfg.faults = faults;
             change(&mut cfg);
             let node = Node {
                 cfg,
                 saved: Saved::default(),
-                sync: HOP,
+                sync_time: MESSAGE_DELAY,
                 core: None,
             };
             group.nodes.insert(id, node);
@@ -150,27 +150,28 @@
         let node = self.nodes.get_mut(&id).unwrap();
         let (core, actions) = ControlCore::new(node.cfg.clone(), node.saved.clone(), now);
         node.core = Some(core);
-        self.take(id, actions);
+        self.execute(id, actions);
     }
 
-    /// Kills a replica: what it has not synced is gone.
+    /// Kills a replica. Its pending events are dropped, such as confirmations of
+    /// syncs.
     pub(crate) fn kill(&mut self, id: NodeId) {
         self.nodes.get_mut(&id).unwrap().core = None;
         self.events.retain(|_, (to, _)| *to != id);
     }
 
-    /// Cuts a replica off from the others, silently.
-    pub(crate) fn cut(&mut self, id: NodeId) {
-        self.cut.insert(id);
+    /// Drops all messages between a replica and the others.
+    pub(crate) fn isolate(&mut self, id: NodeId) {
+        self.isolated.insert(id);
     }
 
-    /// Joins a replica with the others again.
-    pub(crate) fn join(&mut self, id: NodeId) {
-        self.cut.remove(&id);
+    /// Ends the isolation of a replica.
+    pub(crate) fn reconnect(&mut self, id: NodeId) {
+        self.isolated.remove(&id);
     }
 
-    /// Adds an entry to the log on a replica's disk, as a newer release may.
-    pub(crate) fn plant(&mut self, id: NodeId, data: &[u8]) {
+    /// Appends an entry to the log on a replica's disk, as a newer release might.
+    pub(crate) fn append_entry(&mut self, id: NodeId, data: &[u8]) {
         let saved = &mut self.nodes.get_mut(&id).unwrap().saved;
         let last = saved.entries.last().expect("the log has entries");
         let (term, index) = (last.term, last.index + 1);
@@ -181,17 +182,17 @@
         });
     }
 
-    /// Sets the time that a replica's disk takes for a sync.
-    pub(crate) fn slow_disk(&mut self, id: NodeId, sync: Duration) {
-        self.nodes.get_mut(&id).unwrap().sync = sync;
+    /// Sets the time that a disk sync of a replica takes.
+    pub(crate) fn set_sync_time(&mut self, id: NodeId, sync_time: Duration) {
+        self.nodes.get_mut(&id).unwrap().sync_time = sync_time;
     }
 
-    /// Stops a replica's process; what comes for it waits.
+    /// Freezes the process of a replica; its events are queued.
     pub(crate) fn freeze(&mut self, id: NodeId) {
         self.frozen.entry(id).or_default();
     }
 
-    /// Lets a replica's process go on, with all that came meanwhile.
+    /// Resumes the process of a replica, which then handles the queued events.
     pub(crate) fn thaw(&mut self, id: NodeId) {
         for event in self.frozen.remove(&id).into_iter().flatten() {
             self.handle(id, event);
@@ -199,10 +200,13 @@
     }
 
     pub(crate) fn core(&self, id: NodeId) -> &ControlCore {
-        self.nodes[&id].core.as_ref().expect("the replica runs")
+        self.nodes[&id]
+            .core
+            .as_ref()
+            .expect("the replica is running")
     }
 
-    /// Finds the replica that leads under its lease.
+    /// Returns the leader that holds its lease.
     pub(crate) fn leader(&self) -> Option<NodeId> {
         let leads = |node: &Node| node.core.as_ref().is_some_and(|c| c.leads(self.now));
         let mut leaders = self.nodes.iter().filter(|(_, node)| leads(node));
@@ -210,12 +214,12 @@
     }
 
     pub(crate) fn wait_leader(&mut self) -> NodeId {
-        self.wait(|group| group.leader())
+        self.run_until(|group| group.leader())
     }
 
-    /// Waits until another replica leads.
+    /// Runs until another replica leads.
     pub(crate) fn wait_other_leader(&mut self, old: NodeId) -> NodeId {
-        self.wait(|group| {
+        self.run_until(|group| {
             let mut ids = group.nodes.keys().filter(|id| **id != old);
             let leads = |id: &&NodeId| {
                 let core = group.nodes[*id].core.as_ref();
@@ -225,14 +229,14 @@
         })
     }
 
-    /// Runs until something is found.
-    pub(crate) fn wait<T>(&mut self, find: impl Fn(&Self) -> Option<T>) -> T {
-        let end = self.now + PATIENCE;
+    /// Runs until `find` returns a value.
+    pub(crate) fn run_until<T>(&mut self, find: impl Fn(&Self) -> Option<T>) -> T {
+        let end = self.now + MAX_WAIT;
         loop {
             if let Some(found) = find(self) {
                 return found;
             }
-            assert!(self.now < end, "waited in vain");
+            assert!(self.now < end, "timed out");
             self.step(end);
         }
     }
@@ -244,10 +248,10 @@
         }
     }
 
-    /// Sends a request and does not wait.
+    /// Sends a request without waiting for the reply.
     pub(crate) fn send(&mut self, to: NodeId, req: ControlRequest) -> ClientTicket {
-        self.last += 1;
-        let ticket = self.last;
+        self.last_seq += 1;
+        let ticket = self.last_seq;
         self.handle(to, ControlEvent::Client { ticket, req });
         ticket
     }
@@ -256,40 +260,40 @@
         self.replies.get(&ticket).map(|(_, reply)| reply)
     }
 
-    /// Sends a request to one replica and waits for its answer.
-    pub(crate) fn ask(&mut self, to: NodeId, req: ControlRequest) -> ControlReply {
+    /// Sends a request to a replica and waits for the reply.
+    pub(crate) fn request(&mut self, to: NodeId, req: ControlRequest) -> ControlReply {
         let ticket = self.send(to, req);
-        self.wait(|group| group.reply(ticket).cloned())
+        self.run_until(|group| group.reply(ticket).cloned())
     }
 
-    /// Sends a request to the leader and waits for its answer.
-    pub(crate) fn ask_leader(&mut self, req: ControlRequest) -> ControlReply {
+    /// Sends a request to the leader and waits for the reply.
+    pub(crate) fn request_leader(&mut self, req: ControlRequest) -> ControlReply {
         let leader = self.wait_leader();
-        self.ask(leader, req)
+        self.request(leader, req)
     }
 
-    pub(crate) fn accept(&mut self, base: Revision, fleet: Fleet) {
-        let reply = self.ask_leader(ControlRequest::Apply(change(base, 1, fleet)));
+    pub(crate) fn accept_fleet(&mut self, base: Revision, fleet: Fleet) {
+        let reply = self.request_leader(ControlRequest::Apply(change(base, 1, fleet)));
         let accepted = ControlReply::Verdict(Verdict::Accepted(base + 1));
         assert_eq!(reply, accepted);
     }
 
     pub(crate) fn claim(&mut self, req: ClaimRequest) -> ClaimReply {
-        match self.ask_leader(ControlRequest::Claim(req)) {
+        match self.request_leader(ControlRequest::Claim(req)) {
             ControlReply::Claim(reply) => reply,
             other => panic!("expected a claim's reply, got {other:?}"),
         }
     }
 
-    pub(crate) fn look(&mut self) -> ClaimView {
-        match self.ask_leader(ControlRequest::Look(key())) {
+    pub(crate) fn claim_view(&mut self) -> ClaimView {
+        match self.request_leader(ControlRequest::Look(key())) {
             ControlReply::Claimed(Some(view)) => view,
             other => panic!("expected a claim, got {other:?}"),
         }
     }
 
     pub(crate) fn renew(&mut self, renew: Renew) -> Renewed {
-        match self.ask_leader(ControlRequest::Renew(renew)) {
+        match self.request_leader(ControlRequest::Renew(renew)) {
             ControlReply::Renewed(renewed) => renewed,
             other => panic!("expected a renewal, got {other:?}"),
         }
@@ -297,11 +301,11 @@
 
     fn step(&mut self, end: MonoTime) {
         let event = self.events.first_key_value().map(|((at, _), _)| *at);
-        let awake = self
+        let not_frozen = self
             .nodes
             .iter()
             .filter(|(id, _)| !self.frozen.contains_key(*id));
-        let running = awake.filter_map(|(_, node)| node.core.as_ref());
+        let running = not_frozen.filter_map(|(_, node)| node.core.as_ref());
         let wake = running.map(ControlCore::next_wake).min();
         let next = event.into_iter().chain(wake).min().unwrap_or(end).min(end);
         self.now = self.now.max(next);
@@ -327,23 +331,23 @@
             waiting.push(event);
         } else if let Some(core) = &mut self.nodes.get_mut(&id).unwrap().core {
             let actions = core.handle(now, event);
-            self.take(id, actions);
+            self.execute(id, actions);
         }
     }
 
-    fn take(&mut self, id: NodeId, actions: Vec<ControlAction>) {
+    fn execute(&mut self, id: NodeId, actions: Vec<ControlAction>) {
         for action in actions {
             match action {
                 ControlAction::Send { to, message } => {
-                    if !self.cut.contains(&id) && !self.cut.contains(&to) {
+                    if !self.isolated.contains(&id) && !self.isolated.contains(&to) {
                         self.transmit(to, &ControlEvent::Peer { from: id, message });
                     }
                 }
                 ControlAction::Write { write, ops } => {
                     let node = self.nodes.get_mut(&id).unwrap();
                     node.saved.write(&ops);
-                    let sync = node.sync;
-                    self.later(sync, id, ControlEvent::Synced { write });
+                    let sync_time = node.sync_time;
+                    self.schedule(sync_time, id, ControlEvent::Synced { write });
                 }
                 ControlAction::Reply { ticket, reply } => {
                     self.replies.insert(ticket, (self.now, reply));
@@ -354,40 +358,41 @@
         }
     }
 
-    /// Sends a message; with noise it may be lost, doubled or overtaken.
+    /// Sends a message. If messages are disturbed, it may be lost, duplicated or
+    /// reordered.
     fn transmit(&mut self, to: NodeId, event: &ControlEvent) {
-        if self.noise == 0 {
-            self.later(HOP, to, event.clone());
+        if self.rng_state == 0 {
+            self.schedule(MESSAGE_DELAY, to, event.clone());
             return;
         }
-        let copies = match self.draw(20) {
+        let copies = match self.random_below(20) {
             0 => 0,
             1 => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let delay = HOP + HOP * self.draw(15);
-            self.later(delay, to, event.clone());
+            let delay = MESSAGE_DELAY + MESSAGE_DELAY * self.random_below(15);
+            self.schedule(delay, to, event.clone());
         }
     }
 
-    /// Draws a number below `end` (xorshift, Marsaglia 2003).
-    fn draw(&mut self, end: u32) -> u32 {
-        self.noise ^= self.noise << 13;
-        self.noise ^= self.noise >> 7;
-        self.noise ^= self.noise << 17;
-        (self.noise % u64::from(end)) as u32
+    /// Returns a pseudo-random number below `end` (xorshift, Marsaglia 2003).
+    fn random_below(&mut self, end: u32) -> u32 {
+        self.rng_state ^= self.rng_state << 13;
+        self.rng_state ^= self.rng_state >> 7;
+        self.rng_state ^= self.rng_state << 17;
+        (self.rng_state % u64::from(end)) as u32
     }
 
-    /// Spoils messages from now on.
-    pub(crate) fn spoil(&mut self, seed: u64) {
-        self.noise = seed.max(1);
+    /// Randomly disturbs messages from now on.
+    pub(crate) fn disturb_messages(&mut self, seed: u64) {
+        self.rng_state = seed.max(1);
     }
 
-    /// Ends every spoiling, cut and stop, and starts what is down.
+    /// Ends all faults and starts the replicas that are down.
     pub(crate) fn heal(&mut self) {
-        self.noise = 0;
-        self.cut.clear();
+        self.rng_state = 0;
+        self.isolated.clear();
         for id in 1..=3 {
             self.thaw(id);
             if self.nodes[&id].core.is_none() {
@@ -396,26 +401,26 @@
         }
     }
 
-    /// Lists the replicas that run.
+    /// Returns the running replicas.
     pub(crate) fn running(&self) -> impl Iterator<Item = (NodeId, &ControlCore)> {
         let nodes = self.nodes.iter();
         nodes.filter_map(|(id, node)| Some((*id, node.core.as_ref()?)))
     }
 
-    /// Lists the replies so far, with the time of each.
+    /// Returns the replies so far with their times.
     pub(crate) fn replies(&self) -> impl Iterator<Item = (ClientTicket, MonoTime, &ControlReply)> {
         let replies = self.replies.iter();
         replies.map(|(ticket, (at, reply))| (*ticket, *at, reply))
     }
 
-    fn later(&mut self, delay: Duration, to: NodeId, event: ControlEvent) {
-        self.last += 1;
+    fn schedule(&mut self, delay: Duration, to: NodeId, event: ControlEvent) {
+        self.last_seq += 1;
         self.events
-            .insert((self.now + delay, self.last), (to, event));
+            .insert((self.now + delay, self.last_seq), (to, event));
     }
 }
 
-fn replica(id: NodeId) -> ReplicaConfig {
+fn replica_config(id: NodeId) -> ReplicaConfig {
     ReplicaConfig {
         id,
         group: 1,
@@ -444,7 +449,7 @@
     }
 }
 
-/// Makes a fleet with `beam@v1` settled and `beam@v2` rolling out.
+/// Creates a fleet with `beam@v1` settled and `beam@v2` rolling out.
 pub(crate) fn fleet() -> Fleet {
     let version = |name: &str, state| Version {
         name: name.into(),
@@ -504,7 +509,7 @@
     }
 }
 
-pub(crate) fn entry(n: u64) -> Claimant {
+pub(crate) fn claimant(n: u64) -> Claimant {
     Claimant {
         instance: smol_str::format_smolstr!("entry-{n}"),
         incarnation: n,
@@ -516,7 +521,7 @@
         key: key(),
         digest: 7,
         request: u128::from(n),
-        claimant: entry(n),
+        claimant: claimant(n),
         target: ServerLife {
             addr: ([10, 0, 0, 1], 80).into(),
             incarnation: 1,
@@ -547,7 +552,7 @@
 
 pub(crate) fn renew(n: u64, revision: Revision, live_at: LogIndex) -> Renew {
     Renew {
-        entry: entry(n),
+        entry: claimant(n),
         domain: "hall-petrzalka".into(),
         revision,
         live_at,
@@ -555,7 +560,7 @@
     }
 }
 
-/// Makes the announcement of a backend server of `beam-pool`.
+/// Creates the announcement of a backend server of `beam-pool`.
 pub(crate) fn announcement(n: u8, seq: u64, versions: &[&str]) -> Announcement {
     Announcement {
         pool: "beam-pool".into(),
--- a/sesamebeam_core/tests/control/main.rs
+++ b/sesamebeam_core/tests/control/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the control core: three replicas, one file a feature.
+//! Tests of the control core with three replicas, one file per feature.
 
 mod claims;
 mod group;
--- a/sesamebeam_core/tests/control/orders.rs
+++ b/sesamebeam_core/tests/control/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to engines: paced, never emptying a pool, by one leader at a time.
+//! Orders to engines: they are paced, keep one engine of a pool available, and
+//! come from one leader at a time.
 
 use std::{
     collections::BTreeSet,
@@ -24,13 +25,13 @@
 use yare::parameterized;
 
 use crate::group::{
-    BOUND,
     Group,
+    NETWORK_BOUND,
     announcement,
     fleet, //
 };
 
-/// Announces a pool of `servers` with `beam@v1` loaded, for a time.
+/// Announces a pool of `servers` with `beam@v1` loaded every second for `time`.
 fn announce(group: &mut Group, leader: NodeId, servers: u8, time: Duration) {
     let end = group.now + time;
     while group.now < end {
@@ -48,8 +49,9 @@
         .count()
 }
 
-/// Two copies are wanted of a version whose weights take ten seconds from the
-/// store. Given at once, both loads take twice as long and both engines stop.
+/// Two copies of a version are needed, whose weights take ten seconds to transfer
+/// from the weight store. If both orders were issued at once, both loads would take
+/// twice as long, with both engines unavailable.
 #[parameterized(
     safeguard_on = { false, 10 },
     safeguard_off = { true, 0 },
@@ -60,7 +62,7 @@
         ..Faults::default()
     };
     let mut group = Group::new(faults);
-    group.accept(0, fleet());
+    group.accept_fleet(0, fleet());
     let leader = group.wait_leader();
     announce(&mut group, leader, 3, Duration::from_secs(25));
     assert_eq!(group.orders.len(), 2);
@@ -70,7 +72,7 @@
     assert!(group.orders[0].2.fencing < group.orders[1].2.fencing);
 }
 
-/// Every engine of a small pool would load at once, and nobody would answer.
+/// If all engines of a small pool loaded at once, no engine would be available.
 #[parameterized(
     of_two = { 2, false, 1 },
     of_one = { 1, false, 0 },
@@ -82,7 +84,7 @@
         ..Faults::default()
     };
     let mut group = Group::new(faults);
-    group.accept(0, fleet());
+    group.accept_fleet(0, fleet());
     let leader = group.wait_leader();
     announce(&mut group, leader, servers, Duration::from_secs(20));
     let loading: BTreeSet<_> = group.orders.iter().map(|(_, _, o)| o.server).collect();
@@ -92,14 +94,14 @@
 #[test]
 fn loaded_starts_rollout() {
     let mut group = Group::new(Faults::default());
-    group.accept(0, fleet());
+    group.accept_fleet(0, fleet());
     let leader = group.wait_leader();
     let both = ["beam@v1", "beam@v2"];
     for n in 1..=2 {
         let state = group.core(leader).state().rollout("beam@v2");
         assert_eq!(state, Some(RolloutState::Loading));
         let announced = vec![announcement(n, 1, &both)];
-        group.ask_leader(ControlRequest::Servers(announced));
+        group.request_leader(ControlRequest::Servers(announced));
         group.run(Duration::from_millis(100));
     }
     let state = group.core(leader).state().rollout("beam@v2");
@@ -109,7 +111,7 @@
 #[test]
 fn refused_goes_elsewhere() {
     let mut group = Group::new(Faults::default());
-    group.accept(0, fleet());
+    group.accept_fleet(0, fleet());
     let leader = group.wait_leader();
     announce(&mut group, leader, 4, Duration::from_secs(6));
     let (_, _, order) = group.orders[0].clone();
@@ -130,19 +132,22 @@
     let mut withdrawn = fleet();
     withdrawn.rollouts.clear();
     withdrawn.models[0].versions[0].state = VersionState::Withdrawn;
-    group.accept(0, withdrawn);
+    group.accept_fleet(0, withdrawn);
     let leader = group.wait_leader();
     let accepted = group.now;
     announce(&mut group, leader, 2, Duration::from_secs(30));
     let (_, at, order) = &group.orders[0];
     assert_eq!(order.desired, Desired::Unloaded("beam@v1".into()));
     let deadline = Duration::from_secs(5);
-    assert!(*at >= accepted + deadline, "requests in flight end first");
+    assert!(
+        *at >= accepted + deadline,
+        "requests in flight must end first"
+    );
 }
 
-/// The leader is cut off for an hour while engines announce themselves to it. A
-/// new leader gives orders meanwhile. Some engines take any order, so the old
-/// leader must give none, and the new one none before the old one has ended.
+/// The leader is isolated for an hour while it still receives announcements, and a
+/// new leader issues orders. Some engines do not check fencing numbers, so the old
+/// leader must issue none, and the new one none before the old lease has expired.
 #[parameterized(
     safeguard_on = { false },
     safeguard_off = { true },
@@ -153,9 +158,9 @@
         ..Faults::default()
     };
     let mut group = Group::new(faults);
-    group.accept(0, fleet());
+    group.accept_fleet(0, fleet());
     let old = group.wait_leader();
-    group.cut(old);
+    group.isolate(old);
     let cut_at = group.now;
     let new = group.wait_other_leader(old);
     let elected = group.now;
@@ -169,18 +174,18 @@
     assert!(orders_of(&group, new, cut_at) > 0);
     let lease = Duration::from_millis(500);
     let first = group.orders.iter().find(|(by, _, _)| *by == new).unwrap();
-    assert_eq!(first.1 < elected + lease + BOUND, fault);
+    assert_eq!(first.1 < elected + lease + NETWORK_BOUND, fault);
     assert_eq!(orders_of(&group, old, cut_at), 0);
-    group.join(old);
+    group.reconnect(old);
     group.run(Duration::from_secs(5));
     assert_eq!(group.core(new).status(group.now).leader, Some(new));
     assert_eq!(group.core(old).status(group.now).leader, Some(new));
 }
 
-/// The leader's process is stopped between writing an order to the log and
-/// sending it. Going on, it first reads the other replicas' old answers, by
-/// which the order is committed. By then another leads and the lease is over:
-/// sent now, the order could reach an engine after the new leader's.
+/// The leader is frozen between proposing an order and sending it. When it resumes,
+/// the queued replies of the other replicas commit the order, although its lease
+/// has expired and another replica leads. If it sent the order now, the order could
+/// reach an engine after one of the new leader.
 #[parameterized(
     safeguard_on = { false },
     safeguard_off = { true },
@@ -191,7 +196,7 @@
         ..Faults::default()
     };
     let mut group = Group::new(faults);
-    group.accept(0, fleet());
+    group.accept_fleet(0, fleet());
     let old = group.wait_leader();
     group.run(Duration::from_secs(5));
     let announced = (1..=4).map(|n| announcement(n, 1, &["beam@v1"]));
--- a/sesamebeam_core/tests/control/requests.rs
+++ b/sesamebeam_core/tests/control/requests.rs
@@ -1,4 +1,5 @@
-//! Requests: who answers what, and what a replica that cannot serve says.
+//! Client requests: replies of leaders and followers, and of replicas that cannot
+//! serve.
 
 use std::time::Duration;
 
@@ -36,14 +37,14 @@
     let mut group = Group::new(Faults::default());
     let leader = group.wait_leader();
     let follower = leader % 3 + 1;
-    let reply = group.ask(follower, ControlRequest::Current);
+    let reply = group.request(follower, ControlRequest::Current);
     let hint = LeaderHint {
         node: leader,
         addr: None,
     };
     assert_eq!(reply, ControlReply::NotLeader(Some(hint)));
-    let ControlReply::Status(status) = group.ask(follower, ControlRequest::Status) else {
-        panic!("every replica answers a status");
+    let ControlReply::Status(status) = group.request(follower, ControlRequest::Status) else {
+        panic!("every replica serves status requests");
     };
     assert_eq!((status.node, status.leader), (follower, Some(leader)));
 }
@@ -51,15 +52,16 @@
 #[test]
 fn reads_after_writes() {
     let mut group = Group::new(Faults::default());
-    group.accept(0, fleet());
-    let ControlReply::Current { revision, fleet: f } = group.ask_leader(ControlRequest::Current)
+    group.accept_fleet(0, fleet());
+    let ControlReply::Current { revision, fleet: f } =
+        group.request_leader(ControlRequest::Current)
     else {
-        panic!("the leader answers");
+        panic!("the leader serves reads");
     };
     assert_eq!((revision, *f), (1, fleet()));
     group.claim(claim(1, 0));
-    group.ask_leader(complete(1, 1));
-    let bills = group.ask_leader(ControlRequest::Bills { from: 1, limit: 5 });
+    group.request_leader(complete(1, 1));
+    let bills = group.request_leader(ControlRequest::Bills { from: 1, limit: 5 });
     assert!(matches!(bills, ControlReply::Bills(bills) if bills.len() == 1));
     let pin = ControlRequest::Pin(PinRequest {
         key: PinKey {
@@ -74,26 +76,26 @@
         generation: 1,
         version: "beam@v1".into(),
     });
-    assert_eq!(group.ask_leader(pin), pinned);
+    assert_eq!(group.request_leader(pin), pinned);
     let other = ControlRequest::Look(ClaimKey {
         key: "none".into(),
         ..key()
     });
-    assert_eq!(group.ask_leader(other), ControlReply::Claimed(None));
+    assert_eq!(group.request_leader(other), ControlReply::Claimed(None));
 }
 
-/// The leader is cut off, silently. Its clients must hear that it cannot serve,
-/// and not what it last knew: a new leader may have changed that.
+/// An isolated leader must reply that it cannot serve instead of serving reads from
+/// its state, which a new leader may have changed.
 #[test]
 fn cut_leader_is_silent() {
     let mut group = Group::new(Faults::default());
-    group.accept(0, fleet());
+    group.accept_fleet(0, fleet());
     let old = group.wait_leader();
-    group.cut(old);
+    group.isolate(old);
     let pending = group.send(old, ControlRequest::Apply(change(1, 2, fleet())));
     group.wait_other_leader(old);
     for req in [ControlRequest::Current, ControlRequest::Look(key())] {
-        let reply = group.ask(old, req);
+        let reply = group.request(old, req);
         let honest = matches!(
             reply,
             ControlReply::Unavailable(_) | ControlReply::NotLeader(_)
@@ -107,8 +109,8 @@
     ));
 }
 
-/// The disks fill one after another. Nothing can be written any more, and what
-/// is known must still be told.
+/// The disks of all replicas fill up one after another. Writes are refused, but
+/// reads must still be served.
 #[parameterized(
     leader_first = { 0 },
     leader_second = { 2 },
@@ -123,27 +125,27 @@
         group.run(Duration::from_secs(2));
     }
     let leader = group.wait_leader();
-    let reply = group.ask(leader, ControlRequest::Claim(claim(1, 0)));
+    let reply = group.request(leader, ControlRequest::Claim(claim(1, 0)));
     assert!(matches!(reply, ControlReply::Unavailable(_)), "{reply:?}");
-    let read = group.ask(leader, ControlRequest::Current);
+    let read = group.request(leader, ControlRequest::Current);
     assert!(matches!(read, ControlReply::Current { .. }), "{read:?}");
 }
 
-/// A follower's disk is slow while the others go on. It takes a snapshot of what
-/// it applied before it has written it, and forgets the entries. Then the leader
-/// dies and the group needs that follower.
+/// A follower with a slow disk takes a snapshot of entries that it has applied but
+/// not yet written, and discards them. The leader then fails, and the group needs
+/// that follower for a quorum.
 #[test]
 fn slow_disk() {
     let mut group = Group::with(Faults::default(), |cfg| cfg.replica.snapshot_every = 5);
     let leader = group.wait_leader();
     let slow = leader % 3 + 1;
-    group.slow_disk(slow, Duration::from_secs(2));
+    group.set_sync_time(slow, Duration::from_secs(2));
     for n in 1..=30 {
         let mut claim = claim(n, 0);
         claim.key.key = smol_str::format_smolstr!("{n}");
         group.claim(claim);
     }
-    group.slow_disk(slow, Duration::from_millis(1));
+    group.set_sync_time(slow, Duration::from_millis(1));
     group.run(Duration::from_secs(5));
     group.kill(leader);
     group.wait_other_leader(leader);
@@ -151,22 +153,22 @@
     assert_eq!(reply, ClaimReply::Granted(1));
 }
 
-/// The log holds a command of a newer release. Passed over, it would leave this
-/// replica with another state than its group; so it serves nothing any more.
+/// The log contains a command of a newer release. If a replica skipped it, its
+/// state would diverge from that of the group, so it must stop serving requests.
 #[test]
 fn unknown_command() {
     let mut group = Group::new(Faults::default());
-    group.accept(0, fleet());
+    group.accept_fleet(0, fleet());
     group.run(Duration::from_secs(1));
     for id in 1..=3 {
         group.kill(id);
-        group.plant(id, &[1, 250]);
+        group.append_entry(id, &[1, 250]);
     }
     (1..=3).for_each(|id| group.start(id));
     group.run(Duration::from_secs(10));
     for id in 1..=3 {
         assert!(!group.core(id).leads(group.now));
-        let reply = group.ask(id, ControlRequest::Current);
+        let reply = group.request(id, ControlRequest::Current);
         assert!(matches!(reply, ControlReply::Unavailable(_)), "{reply:?}");
         assert_eq!(group.core(id).state().revision(), 1);
     }
--- a/sesamebeam_core/tests/control/rollouts.rs
+++ b/sesamebeam_core/tests/control/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs that a new leader takes up where they stopped.
+//! Roll-outs that continue under a new leader.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     fleet, //
 };
 
-fn rated(group: &mut Group, good: u32) {
+fn report_ratings(group: &mut Group, good: u32) {
     let evidence = Evidence {
         from: "entry-1".into(),
         version: "beam@v2".into(),
@@ -28,19 +28,19 @@
         errors: 0,
         hold: false,
     };
-    group.ask_leader(ControlRequest::Evidence(vec![evidence]));
+    group.request_leader(ControlRequest::Evidence(vec![evidence]));
 }
 
-/// The leader dies at the first step, with the gate half passed. The roll-out
-/// must neither start again nor forget the ratings that it has.
+/// The leader fails during the first step, with part of the gate's ratings
+/// received. The roll-out must neither restart nor lose these ratings.
 #[test]
 fn resumed() {
     let mut group = Group::new(Faults::default());
-    group.accept(0, fleet());
+    group.accept_fleet(0, fleet());
     let both = ["beam@v1", "beam@v2"];
     let announced = (1..=2).map(|n| announcement(n, 1, &both)).collect();
-    group.ask_leader(ControlRequest::Servers(announced));
-    rated(&mut group, 6);
+    group.request_leader(ControlRequest::Servers(announced));
+    report_ratings(&mut group, 6);
     let old = group.wait_leader();
     assert_eq!(
         group.core(old).state().rollout("beam@v2"),
@@ -52,10 +52,10 @@
     assert_eq!(state(&group), Some(RolloutState::At(0)));
     group.run(Duration::from_secs(15));
     assert_eq!(state(&group), Some(RolloutState::At(0)), "the gate holds");
-    rated(&mut group, 4);
+    report_ratings(&mut group, 4);
     group.run(Duration::from_secs(2));
     assert_eq!(state(&group), Some(RolloutState::At(1)));
-    rated(&mut group, 10);
+    report_ratings(&mut group, 10);
     group.run(Duration::from_secs(15));
     assert_eq!(state(&group), Some(RolloutState::Done));
 }
--- a/sesamebeam_core/tests/control/schedules.rs
+++ b/sesamebeam_core/tests/control/schedules.rs
@@ -1,5 +1,5 @@
-//! Whole schedules: replicas die, are cut off and stop, messages are lost,
-//! doubled and overtaken, and entries ask again and again.
+//! Randomised schedules: replicas are killed, isolated and frozen, messages are
+//! lost, duplicated and reordered, and entries repeat their requests.
 
 use std::{
     collections::BTreeMap,
@@ -52,8 +52,8 @@
 enum Step {
     Kill(NodeId),
     Start(NodeId),
-    Cut(NodeId),
-    Join(NodeId),
+    Isolate(NodeId),
+    Reconnect(NodeId),
     Freeze(NodeId),
     Thaw(NodeId),
     Claim {
@@ -79,8 +79,8 @@
     prop_oneof![
         1 => node().prop_map(Step::Kill),
         1 => node().prop_map(Step::Start),
-        1 => node().prop_map(Step::Cut),
-        1 => node().prop_map(Step::Join),
+        1 => node().prop_map(Step::Isolate),
+        1 => node().prop_map(Step::Reconnect),
         1 => node().prop_map(Step::Freeze),
         1 => node().prop_map(Step::Thaw),
         4 => (node(), 1..=3_u64, 0..=2_u32).prop_map(|(at, entry, replaces)| Step::Claim { at, entry, replaces }),
@@ -90,30 +90,30 @@
     ]
 }
 
-/// What must hold after each step.
+/// Checks of the invariants that hold after each step.
 #[derive(Default)]
-struct Watch {
-    /// Snapshot of the state by the position that it is of.
+struct Invariants {
+    /// Snapshots of the state by log position.
     states: BTreeMap<LogIndex, Vec<u8>>,
     revisions: BTreeMap<NodeId, Revision>,
-    /// Entry and time of each question for a claim.
+    /// Entry and time of each claim request.
     claims: BTreeMap<ClientTicket, (u64, MonoTime)>,
     applies: BTreeMap<ClientTicket, (Revision, u128)>,
 }
 
-impl Watch {
+impl Invariants {
     fn check(&mut self, group: &Group) {
         let leaders = group.running().filter(|(_, core)| core.leads(group.now));
-        assert!(leaders.count() <= 1, "two leaders under their leases");
+        assert!(leaders.count() <= 1, "two leaders hold a lease");
         for (id, core) in group.running() {
             let state = core.state();
             let known = self.states.entry(state.applied());
             let known = known.or_insert_with(|| state.snapshot());
-            assert_eq!(*known, state.snapshot(), "two states at one position");
+            assert_eq!(*known, state.snapshot(), "two states at one log position");
             let bills = state.bills(1, 100);
-            assert!(bills.len() <= 1, "one key is billed once");
+            assert!(bills.len() <= 1, "one key is billed twice");
             let revision = self.revisions.entry(id).or_default();
-            assert!(state.revision() >= *revision, "a revision was taken back");
+            assert!(state.revision() >= *revision, "a revision was reverted");
             *revision = state.revision();
         }
         self.check_replies(group);
@@ -136,9 +136,10 @@
         self.check_grants(group);
     }
 
-    /// Checks that a claim is one entry's at a time. No claim is abandoned here,
-    /// so a further generation means that the one before was replaced, and its
-    /// holder may send until its window, from its question on, is over.
+    /// Checks that at most one entry at a time holds a claim. No claim is abandoned
+    /// in these schedules, so each further generation replaced the one before,
+    /// whose holder may send until its dispatch window, counted from its request,
+    /// is over.
     fn check_grants(&self, group: &Group) {
         let mut holders = BTreeMap::new();
         let mut sends_until: BTreeMap<Generation, MonoTime> = BTreeMap::new();
@@ -147,35 +148,35 @@
             let ControlReply::Claim(ClaimReply::Granted(generation)) = reply else {
                 continue;
             };
-            let (entry, asked) = self.claims[&ticket];
+            let (entry, requested_at) = self.claims[&ticket];
             let holder = holders.entry(*generation).or_insert(entry);
-            assert_eq!(*holder, entry, "one claim for two entries");
+            assert_eq!(*holder, entry, "one claim was granted to two entries");
             let until = sends_until.entry(*generation).or_default();
-            *until = (*until).max(asked + WINDOW);
+            *until = (*until).max(requested_at + WINDOW);
             let first = granted_at.entry(*generation).or_insert(at);
             *first = (*first).min(at);
         }
         for (generation, at) in granted_at {
             let before = sends_until.get(&(generation - 1));
-            let over = before.is_none_or(|until| *until <= at);
-            assert!(over, "two entries may send at once");
+            let is_over = before.is_none_or(|until| *until <= at);
+            assert!(is_over, "two entries may send at the same time");
         }
     }
 }
 
-fn take(group: &mut Group, watch: &mut Watch, step: Step) {
+fn execute_step(group: &mut Group, invariants: &mut Invariants, step: Step) {
     let runs = |group: &Group, id| group.running().any(|(running, _)| running == id);
     match step {
         Step::Kill(id) => {
             group.thaw(id);
             group.kill(id);
-            // It starts with what a snapshot and the log give, step by step.
-            watch.revisions.remove(&id);
+            // After a restart it applies its snapshot and log from the beginning.
+            invariants.revisions.remove(&id);
         }
         Step::Start(id) if !runs(group, id) => group.start(id),
         Step::Start(_) => {}
-        Step::Cut(id) => group.cut(id),
-        Step::Join(id) => group.join(id),
+        Step::Isolate(id) => group.isolate(id),
+        Step::Reconnect(id) => group.reconnect(id),
         Step::Freeze(id) if runs(group, id) => group.freeze(id),
         Step::Freeze(_) => {}
         Step::Thaw(id) => group.thaw(id),
@@ -185,7 +186,7 @@
             replaces,
         } => {
             let ticket = group.send(at, ControlRequest::Claim(claim(entry, replaces)));
-            watch.claims.insert(ticket, (entry, group.now));
+            invariants.claims.insert(ticket, (entry, group.now));
         }
         Step::Complete {
             at,
@@ -197,42 +198,42 @@
         Step::Apply { at, base, digest } => {
             let change = change(base, digest, fleet());
             let ticket = group.send(at, ControlRequest::Apply(change));
-            watch.applies.insert(ticket, (base, digest));
+            invariants.applies.insert(ticket, (base, digest));
         }
         Step::Run(millis) => group.run(Duration::from_millis(millis)),
     }
 }
 
-/// Runs a schedule and checks what callers and operators read.
-fn run(faults: Faults, seed: u64, steps: Vec<Step>) {
+/// Runs a schedule and checks the replies to callers and operators.
+fn run_schedule(faults: Faults, seed: u64, steps: Vec<Step>) {
     let mut group = Group::with(faults, |cfg| cfg.replica.snapshot_every = 5);
-    let mut watch = Watch::default();
-    group.spoil(seed);
+    let mut invariants = Invariants::default();
+    group.disturb_messages(seed);
     for step in steps {
-        take(&mut group, &mut watch, step);
-        watch.check(&group);
+        execute_step(&mut group, &mut invariants, step);
+        invariants.check(&group);
     }
     group.heal();
     group.run(Duration::from_secs(10));
-    watch.check(&group);
+    invariants.check(&group);
     let leader = group.wait_leader();
     let ticket = group.send(leader, ControlRequest::Claim(claim(1, 0)));
-    watch.claims.insert(ticket, (1, group.now));
+    invariants.claims.insert(ticket, (1, group.now));
     group.run(Duration::from_secs(1));
-    let view = group.look();
+    let view = group.claim_view();
     let holder = view.claimant.incarnation;
-    let ended = group.ask_leader(complete(holder, view.generation));
+    let ended = group.request_leader(complete(holder, view.generation));
     assert_eq!(ended, ControlReply::Complete(CompleteReply::Recorded));
     group.run(Duration::from_secs(2));
-    watch.check(&group);
+    invariants.check(&group);
     for (_, core) in group.running() {
         assert_eq!(core.state().bills_kept(), 1);
     }
 }
 
-/// Whatever comes in whatever order, callers and operators read one truth, and
-/// once all is well again, a claim can be ended and is billed once. The same
-/// schedules find two of the safeguards when they are switched off.
+/// Under any schedule, callers and operators receive consistent replies, and after
+/// all faults have ended, a claim can be completed and is billed once. The same
+/// schedules detect that two of the safeguards are disabled.
 #[parameterized(
     safeguards_on = { Faults::default(), 128, false },
     bills_doubled = { Faults { bill_resends: true, ..Faults::default() }, 200, true },
@@ -247,28 +248,28 @@
         true
     },
 )]
-fn one_truth(faults: Faults, cases: u32, broken: bool) {
+fn one_truth(faults: Faults, cases: u32, violated: bool) {
     let config = Config {
         cases,
         rng_seed: RngSeed::Fixed(6),
         failure_persistence: None,
-        max_shrink_iters: if broken { 0 } else { 100 },
+        max_shrink_iters: if violated { 0 } else { 100 },
         ..Config::default()
     };
     let steps = prop::collection::vec(any_step(), 1..60);
     let result = TestRunner::new(config).run(&(any::<u64>(), steps), |(seed, steps)| {
-        run(faults, seed, steps);
+        run_schedule(faults, seed, steps);
         Ok(())
     });
     match result {
-        Err(e) if !broken => panic!("{e}"),
-        other => assert_eq!(other.is_err(), broken),
+        Err(e) if !violated => panic!("{e}"),
+        other => assert_eq!(other.is_err(), violated),
     }
 }
 
-/// A leader that was cut off kept an entry of its own at the position at which
-/// the others' logs begin after a snapshot. Joined again, it refused the leader's
-/// entries with the same hint for ever, as fast as messages went round.
+/// An isolated leader has an uncommitted entry at the position at which the logs of
+/// the others begin after a snapshot. After reconnecting, it must not reject the
+/// new leader's entries with the same hint forever, in a busy loop of messages.
 #[test]
 fn conflict_at_base() {
     let steps = vec![
@@ -278,7 +279,7 @@
             digest: 1,
         },
         Step::Run(2777),
-        Step::Cut(3),
+        Step::Isolate(3),
         Step::Run(1331),
         Step::Apply {
             at: 1,
@@ -286,7 +287,7 @@
             digest: 0,
         },
         Step::Run(766),
-        Step::Cut(2),
+        Step::Isolate(2),
         Step::Run(1374),
         Step::Claim {
             at: 3,
@@ -294,7 +295,7 @@
             replaces: 2,
         },
         Step::Run(109),
-        Step::Join(3),
+        Step::Reconnect(3),
         Step::Claim {
             at: 2,
             entry: 2,
@@ -307,5 +308,5 @@
         },
         Step::Run(1044),
     ];
-    run(Faults::default(), 99_754_586_674_268_405, steps);
+    run_schedule(Faults::default(), 99_754_586_674_268_405, steps);
 }
--- a/sesamebeam_core/tests/control/verdicts.rs
+++ b/sesamebeam_core/tests/control/verdicts.rs
@@ -1,4 +1,4 @@
-//! Verdicts: an answer that is lost, and files that have faults.
+//! Verdicts on fleet files: lost replies, conflicts and files with faults.
 
 use sesamebeam_core::{
     message::{
@@ -19,16 +19,16 @@
     fleet, //
 };
 
-/// The operator's file is accepted, the answer is lost with the leader, and the
-/// file is sent again to another replica; also after snapshots took the place
-/// of the log. The operator must read the first verdict again.
+/// A fleet file is accepted, the reply is lost with the leader, and the operator
+/// sends the file again to another replica, in one case after the log was replaced
+/// by a snapshot. The reply must be the first verdict.
 #[parameterized(
     from_log = { 0 },
     from_snapshot = { 700 },
 )]
 fn resent_elsewhere(claims: u64) {
     let mut group = Group::new(Faults::default());
-    group.accept(0, fleet());
+    group.accept_fleet(0, fleet());
     let file = ControlRequest::Apply(change(1, 5, fleet()));
     let old = group.wait_leader();
     group.send(old, file.clone());
@@ -45,20 +45,20 @@
         group.start(id);
     }
     group.wait_leader();
-    let again = group.ask_leader(file);
+    let again = group.request_leader(file);
     assert_eq!(again, ControlReply::Verdict(Verdict::Accepted(2)));
 }
 
 #[test]
 fn operators_race() {
     let mut group = Group::new(Faults::default());
-    group.accept(0, fleet());
+    group.accept_fleet(0, fleet());
     let leader = group.wait_leader();
     let mut other = fleet();
     other.name = "other".into();
     let first = group.send(leader, ControlRequest::Apply(change(1, 5, fleet())));
     let second = group.send(leader, ControlRequest::Apply(change(1, 6, other)));
-    let reply = group.wait(|group| group.reply(second).cloned());
+    let reply = group.run_until(|group| group.reply(second).cloned());
     let accepted = ControlReply::Verdict(Verdict::Accepted(2));
     assert_eq!(group.reply(first), Some(&accepted));
     let ControlReply::Verdict(Verdict::Conflict(conflict)) = reply else {
@@ -72,8 +72,8 @@
     let mut group = Group::new(Faults::default());
     let mut faulty = fleet();
     faulty.organisations[0].allow.push("beam@v9".into());
-    let reply = group.ask_leader(ControlRequest::Apply(change(0, 1, faulty)));
+    let reply = group.request_leader(ControlRequest::Apply(change(0, 1, faulty)));
     let faulty = matches!(&reply, ControlReply::Verdict(Verdict::Faulty(f)) if !f.is_empty());
     assert!(faulty, "{reply:?}");
-    group.accept(0, fleet());
+    group.accept_fleet(0, fleet());
 }
