--- a/sesamebeam_core/examples/drive.rs
+++ b/sesamebeam_core/examples/drive.rs
@@ -1,5 +1,5 @@
-//! Drives an entry and a control replica with a clock, a network and a disk of
-//! the harness's own: no socket is opened and no clock is read.
+//! Drives an entry and a control replica with a simulated clock, network and
+//! disk: no socket is opened and no clock is read.
 //!
 //! `cargo run -p sesamebeam_core --example drive`
 
@@ -35,16 +35,16 @@
     },
 };
 
-/// Incarnation of the data folder of the only replica.
-const FOLDER: u128 = 1;
+/// Incarnation of the data directory of the only replica.
+const INCARNATION: u128 = 1;
 
-/// Time that one turn of the loop takes.
+/// Simulated time of one step.
 const STEP: Duration = Duration::from_millis(50);
 
-/// Number of the operator's request, apart from those of the entry.
-const OPERATOR: u64 = 1 << 32;
+/// Ticket of the operator's request, distinct from those of the entry.
+const OPERATOR_TICKET: u64 = 1 << 32;
 
-/// What the harness owns: the clock, the disk, and what is under way.
+/// Simulated clock and disk, the cores, and the events in transit.
 struct Harness {
     now: MonoTime,
     disk: Saved,
@@ -69,13 +69,13 @@
     };
     let req = ControlRequest::Apply(change);
     while harness.entry.view().revision() == 0 && harness.now < Duration::from_secs(30) {
-        // Until there is a leader the file is refused, and sent again.
+        // The request is refused until there is a leader, so it is repeated.
         let req = req.clone();
         harness.to_control.push_back(ControlEvent::Client {
-            ticket: OPERATOR,
+            ticket: OPERATOR_TICKET,
             req,
         });
-        harness.turn();
+        harness.step();
     }
     println!(
         "after {:?} revision {} is in force at the entry",
@@ -89,8 +89,8 @@
         let replica = ReplicaConfig {
             id: 1,
             group: 7,
-            incarnation: FOLDER,
-            members: Members::of_voters([(1, FOLDER)]),
+            incarnation: INCARNATION,
+            members: Members::of_voters([(1, INCARNATION)]),
             heartbeat: Duration::from_millis(100),
             election: Duration::from_millis(500),
             lease: Duration::from_millis(400),
@@ -113,52 +113,52 @@
             to_control: VecDeque::new(),
             to_entry: VecDeque::new(),
         };
-        harness.carry(actions);
+        harness.execute_control_actions(actions);
         harness
     }
 
-    /// Lets a step of time pass and delivers everything that is under way.
-    fn turn(&mut self) {
+    /// Advances the time by one step and delivers all events in transit.
+    fn step(&mut self) {
         self.now += STEP;
         self.to_control.push_back(ControlEvent::Tick);
         self.to_entry.push_back(EntryEvent::Tick);
         loop {
             if let Some(event) = self.to_control.pop_front() {
                 let actions = self.control.handle(self.now, event);
-                self.carry(actions);
+                self.execute_control_actions(actions);
             } else if let Some(event) = self.to_entry.pop_front() {
                 let actions = self.entry.handle(self.now, 0, event);
-                self.send(actions);
+                self.execute_entry_actions(actions);
             } else {
                 return;
             }
         }
     }
 
-    /// Carries out what the control replica wants done.
-    fn carry(&mut self, actions: Vec<ControlAction>) {
+    /// Executes the actions of the control replica.
+    fn execute_control_actions(&mut self, actions: Vec<ControlAction>) {
         for action in actions {
             match action {
                 ControlAction::Write { write, ops } => {
-                    // The harness's disk: what is written here survives a
-                    // crash, if the harness says so.
+                    // The disk of the harness, which decides whether a write
+                    // survives a crash.
                     self.disk.write(&ops);
                     self.to_control.push_back(ControlEvent::Synced { write });
                 }
-                ControlAction::Reply { ticket, reply } if ticket != OPERATOR => {
+                ControlAction::Reply { ticket, reply } if ticket != OPERATOR_TICKET => {
                     self.to_entry.push_back(EntryEvent::ControlReplied {
                         ask: ticket,
                         reply: Some(reply),
                     });
                 }
-                // The only replica sends to nobody; orders go to engines.
+                // A single replica has no peers, and there are no engines for orders.
                 _ => {}
             }
         }
     }
 
-    /// Carries out what the entry wants done: here only its questions.
-    fn send(&mut self, actions: Vec<EntryAction>) {
+    /// Executes the actions of the entry: only its requests to the control group.
+    fn execute_entry_actions(&mut self, actions: Vec<EntryAction>) {
         for action in actions {
             if let EntryAction::SendToControl { ask, req, .. } = action {
                 self.to_control.push_back(ControlEvent::Client {
--- a/sesamebeam_core/tests/control/leases.rs
+++ b/sesamebeam_core/tests/control/leases.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn news_at_once() {
+fn update_sent_immediately() {
     let mut group = Group::new(Faults::default());
     group.accept_fleet(0, fleet());
     let first = group.renew(renew(1, 0, 0));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn answered_without_news() {
+fn answered_without_update() {
     let mut group = Group::new(Faults::default());
     let requested_at = group.now;
     let renewed = group.renew(renew(1, 0, 0));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn held_at_once() {
+fn hold_sent_immediately() {
     let mut group = Group::new(Faults::default());
     group.accept_fleet(0, fleet());
     let update = group.renew(renew(1, 0, 0)).update.unwrap();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn leaving_gives_back() {
+fn leaving_releases_lease() {
     let mut group = Group::new(Faults::default());
     group.accept_fleet(0, fleet());
     group.run(ENTRY_LEASE * 2);
--- a/sesamebeam_core/tests/control/orders.rs
+++ b/sesamebeam_core/tests/control/orders.rs
@@ -78,7 +78,7 @@
     of_one = { 1, false, 0 },
     safeguard_off = { 2, true, 2 },
 )]
-fn never_empty(servers: u8, fault: bool, most: usize) {
+fn pool_stays_available(servers: u8, fault: bool, most: usize) {
     let faults = Faults {
         order_unpaced: fault,
         ..Faults::default()
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn refused_goes_elsewhere() {
+fn refused_order_goes_elsewhere() {
     let mut group = Group::new(Faults::default());
     group.accept_fleet(0, fleet());
     let leader = group.wait_leader();
--- a/sesamebeam_core/tests/control/schedules.rs
+++ b/sesamebeam_core/tests/control/schedules.rs
@@ -248,7 +248,7 @@
         true
     },
 )]
-fn one_truth(faults: Faults, cases: u32, violated: bool) {
+fn consistent_replies(faults: Faults, cases: u32, violated: bool) {
     let config = Config {
         cases,
         rng_seed: RngSeed::Fixed(6),
--- a/sesamebeam_core/tests/control/verdicts.rs
+++ b/sesamebeam_core/tests/control/verdicts.rs
@@ -26,7 +26,7 @@
     from_log = { 0 },
     from_snapshot = { 700 },
 )]
-fn resent_elsewhere(claims: u64) {
+fn resent_to_other_replica(claims: u64) {
     let mut group = Group::new(Faults::default());
     group.accept_fleet(0, fleet());
     let file = ControlRequest::Apply(change(1, 5, fleet()));
--- a/sesamebeam_core/tests/proofs/allowed_version.rs
+++ b/sesamebeam_core/tests/proofs/allowed_version.rs
@@ -23,13 +23,12 @@
 use yare::parameterized;
 
 use crate::world::{
-    World,
-    books::{
-        Spec,
-        Told,
-        UNDER_WAY, //
+    World, files,
+    history::{
+        CallResult,
+        MAX_TRANSIT,
+        Spec, //
     },
-    files, //
 };
 
 const FOREIGN: VersionId = VersionId::new_static("beam@v2");
@@ -51,15 +50,15 @@
     let mut spec = Spec::new("huallaga", "question", 7);
     spec.wanted = Wanted::Version(FOREIGN);
     let call = world.call(0, spec);
-    match world.answer(call) {
-        Told::Refused(refusal) => {
+    match world.wait_result(call) {
+        CallResult::Refused(refusal) => {
             assert!(!any_version, "{refusal:?}");
             assert_eq!(refusal.reason, Reason::NotAllowed);
             assert_eq!(refusal.outcome, RunOutcome::NotRun);
         }
-        told => assert_eq!((told, any_version), (Told::Whole, true)),
+        told => assert_eq!((told, any_version), (CallResult::Complete, true)),
     }
-    assert_eq!(!world.books.broken().is_empty(), any_version);
+    assert_eq!(!world.history.violations().is_empty(), any_version);
 }
 
 /// The token was issued to the same organisation while its list had the version.
@@ -77,10 +76,10 @@
         generation: 0,
     }));
     let call = world.call(0, spec);
-    assert_eq!(world.answer(call), Told::Whole);
-    let version = world.books.calls[call].version.clone();
+    assert_eq!(world.wait_result(call), CallResult::Complete);
+    let version = world.history.calls[call].version.clone();
     assert_eq!(version == Some(FOREIGN), any_version);
-    assert_eq!(!world.books.broken().is_empty(), any_version);
+    assert_eq!(!world.history.violations().is_empty(), any_version);
 }
 
 /// The version is removed from the list while requests for it wait for a slot.
@@ -100,12 +99,12 @@
     let mut fleet = files::fleet();
     fleet.organisations[0].allow.retain(|v| *v != FOREIGN);
     world.apply(1, fleet);
-    let told = world.wait(|world| world.books.in_force.get(&2).copied());
+    let told = world.wait(|world| world.history.in_force.get(&2).copied());
     world.run(Duration::from_secs(12));
     let late = world
-        .books
+        .history
         .runs
         .iter()
-        .filter(|run| run.at > told + UNDER_WAY);
+        .filter(|run| run.at > told + MAX_TRANSIT);
     assert_eq!(late.count() > 0, faults != Faults::default());
 }
--- a/sesamebeam_core/tests/proofs/at_most_once.rs
+++ b/sesamebeam_core/tests/proofs/at_most_once.rs
@@ -11,7 +11,7 @@
 use crate::world::{
     Fault,
     World,
-    books::Spec, //
+    history::Spec, //
 };
 
 fn confirmation() -> Spec {
@@ -27,7 +27,7 @@
     world.call(0, confirmation());
     world.call(1, confirmation());
     world.run(Duration::from_secs(5));
-    assert_eq!(world.books.runs_of("slot-7"), runs);
+    assert_eq!(world.history.runs_of("slot-7"), runs);
 }
 
 #[parameterized(
@@ -37,12 +37,12 @@
 fn server_lost(faults: Faults, runs: usize) {
     let mut world = World::new(6, |cfg| cfg.faults = faults, |_| {});
     world.call(0, confirmation());
-    world.wait(|world| (world.books.runs_of("slot-7") == 1).then_some(()));
+    world.wait(|world| (world.history.runs_of("slot-7") == 1).then_some(()));
     for at in 0..3 {
-        world.fault(Fault::Crash(at));
+        world.inject_fault(Fault::Crash(at));
     }
     world.run(Duration::from_secs(5));
-    assert_eq!(world.books.runs_of("slot-7"), runs);
+    assert_eq!(world.history.runs_of("slot-7"), runs);
 }
 
 /// The resend arrives at the same entry and finds the claim of the first request
@@ -59,7 +59,7 @@
         world.run(Duration::from_millis(10));
         world.call(0, confirmation());
         world.run(Duration::from_secs(5));
-        world.books.runs_of("slot-7") > 1
+        world.history.runs_of("slot-7") > 1
     });
     let again = again.count();
     assert!(again >= least && (least > 0 || again == 0), "{again} of 40");
--- a/sesamebeam_core/tests/proofs/config_reverts.rs
+++ b/sesamebeam_core/tests/proofs/config_reverts.rs
@@ -1,7 +1,8 @@
-//! A version is withdrawn, and an entry that starts hears of it from a neighbour
-//! while its first renewal is under way. The answer is older than that, or its
-//! difference does not apply. Taken over the newer file, or as a lease for an old
-//! one, callers are served by the withdrawn version again.
+//! A version is withdrawn, and an entry that starts receives the new fleet file
+//! from another entry while its first renewal is pending. The reply to the renewal
+//! is older, or contains a delta that does not apply. If the entry replaced the
+//! newer file by the older one, or accepted the lease for an outdated file, it
+//! would serve callers with the withdrawn version again.
 
 use sesamebeam_core::{
     entry::{
@@ -15,9 +16,9 @@
 use yare::parameterized;
 
 use crate::{
-    lone::{
-        Lone,
-        whole, //
+    entry_harness::{
+        EntryHarness,
+        full_change, //
     },
     world::files,
 };
@@ -26,22 +27,25 @@
     safeguard_on = { false },
     any_order = { true },
 )]
-fn late_answer(revert_config: bool) {
+fn outdated_reply(revert_config: bool) {
     let faults = Faults {
         revert_config,
         ..Faults::default()
     };
-    let mut lone = Lone::new(faults, |_| {});
-    lone.neighbour(2, files::withdraw(files::fleet(), "v1"));
-    assert_eq!(lone.core.view().revision(), 2);
-    lone.renewed(1, whole(files::fleet()));
-    let (revision, usable) = match revert_config {
+    let mut harness = EntryHarness::new(faults, |_| {});
+    harness.receive_peer_config(2, files::withdraw(files::fleet(), "v1"));
+    assert_eq!(harness.core.view().revision(), 2);
+    harness.renewed(1, full_change(files::fleet()));
+    let (revision, availability) = match revert_config {
         true => (1, Availability::Settled),
         false => (2, Availability::Withdrawn),
     };
-    let view = lone.core.view();
+    let view = harness.core.view();
     assert_eq!(view.revision(), revision);
-    assert_eq!(view.availability(lone.now, "huallaga", "beam@v1"), usable);
+    assert_eq!(
+        view.availability(harness.now, "huallaga", "beam@v1"),
+        availability
+    );
 }
 
 #[parameterized(
@@ -53,20 +57,21 @@
         lease_unfitting,
         ..Faults::default()
     };
-    let mut lone = Lone::new(faults, |_| {});
-    lone.neighbour(1, files::fleet());
+    let mut harness = EntryHarness::new(faults, |_| {});
+    harness.receive_peer_config(1, files::fleet());
     let newest = files::withdraw(files::fleet(), "v1");
     let from_nothing = delta::compute(0, &Fleet::default(), &newest);
-    lone.renewed(2, FleetChange::Delta(Box::new(from_nothing)));
-    let view = lone.core.view();
+    harness.renewed(2, FleetChange::Delta(Box::new(from_nothing)));
+    let view = harness.core.view();
     assert_eq!(view.revision(), 1);
-    assert_eq!(view.lease_held(lone.now), lease_unfitting);
+    assert_eq!(view.lease_held(harness.now), lease_unfitting);
 
-    // The next renewal names what is here, and brings what fits and the lease.
-    assert_eq!(lone.renewal.map(|(_, revision)| revision), Some(1));
+    // The next renewal names the current revision; its reply contains a delta
+    // that applies, and the lease.
+    assert_eq!(harness.renewal.map(|(_, revision)| revision), Some(1));
     let fitting = delta::compute(1, &files::fleet(), &newest);
-    lone.renewed(2, FleetChange::Delta(Box::new(fitting)));
-    let view = lone.core.view();
+    harness.renewed(2, FleetChange::Delta(Box::new(fitting)));
+    let view = harness.core.view();
     assert_eq!(view.revision(), 2);
-    assert!(view.lease_held(lone.now));
+    assert!(view.lease_held(harness.now));
 }
--- a/sesamebeam_core/tests/proofs/cut_pins.rs
+++ b/sesamebeam_core/tests/proofs/cut_pins.rs
@@ -17,13 +17,11 @@
 use yare::parameterized;
 
 use crate::world::{
-    Fault,
-    World,
-    books::{
-        Spec,
-        Told, //
+    Fault, World, files,
+    history::{
+        CallResult,
+        Spec, //
     },
-    files, //
 };
 
 /// Sends a request of the session to an entry. Returns the index of the call.
@@ -44,31 +42,31 @@
         ..Faults::default()
     };
     let mut world = World::new(9, |cfg| cfg.faults = faults, |_| {});
-    world.fault(Fault::Cut(1));
+    world.inject_fault(Fault::IsolateDomain(1));
     let mut fleet = files::fleet();
     fleet.models[0].versions[0].cost = 3.0;
     fleet.models[0].versions[1].cost = 1.0;
     world.apply(1, fleet);
-    world.wait(|world| world.books.in_force.get(&2).copied());
+    world.wait(|world| world.history.in_force.get(&2).copied());
     assert!(!world.entries[1].core().view().lease_held(world.now));
 
     let outside = ask(&mut world, 0);
-    assert_eq!(world.answer(outside), Told::Whole);
+    assert_eq!(world.wait_result(outside), CallResult::Complete);
     let inside = ask(&mut world, 1);
-    match world.answer(inside) {
-        Told::Refused(refusal) => {
+    match world.wait_result(inside) {
+        CallResult::Refused(refusal) => {
             assert!(!pin_when_cut, "{refusal:?}");
             assert_eq!(refusal.reason, Reason::SessionUnreachable);
             assert_eq!(refusal.outcome, RunOutcome::NotRun);
             assert!(refusal.retry_after.is_some());
         }
-        told => assert_eq!((told, pin_when_cut), (Told::Whole, true)),
+        told => assert_eq!((told, pin_when_cut), (CallResult::Complete, true)),
     }
 
-    world.settle();
+    world.settle_and_check();
     let again = ask(&mut world, 1);
-    assert_eq!(world.answer(again), Told::Whole);
-    let version = |call: usize| world.books.calls[call].version.clone();
+    assert_eq!(world.wait_result(again), CallResult::Complete);
+    let version = |call: usize| world.history.calls[call].version.clone();
     assert_eq!(version(again) != version(outside), pin_when_cut);
-    assert_eq!(!world.books.broken().is_empty(), pin_when_cut);
+    assert_eq!(!world.history.violations().is_empty(), pin_when_cut);
 }
--- a/sesamebeam_core/tests/proofs/lone.rs
+++ b/sesamebeam_core/tests/proofs/entry_harness.rs
@@ -1,4 +1,5 @@
-//! One entry's core alone, for failures that need a message at one moment.
+//! Test harness for a single entry core, for failures that need a message at a
+//! specific moment.
 
 use std::time::Duration;
 
@@ -33,35 +34,35 @@
 
 use crate::world::files;
 
-/// Length of the leases that are granted.
+/// Length of the granted leases.
 const LEASE: Duration = Duration::from_secs(3);
 
-/// An entry's core whose edges are the test.
-pub(crate) struct Lone {
+/// An entry core whose input and output are handled by the test.
+pub(crate) struct EntryHarness {
     pub(crate) core: EntryCore,
     pub(crate) now: MonoTime,
-    /// The renewal that waits for its answer, and the revision that it named.
+    /// The pending renewal and the revision in it.
     pub(crate) renewal: Option<(ControlRequestId, Revision)>,
 }
 
-impl Lone {
-    /// Starts an entry, which asks for its lease.
+impl EntryHarness {
+    /// Starts an entry, which requests its lease.
     pub(crate) fn new(faults: Faults, change: impl FnOnce(&mut EntryConfig)) -> Self {
         let mut cfg = EntryConfig::new("entry-0".into(), files::domain(0), 1);
         cfg.faults = faults;
         change(&mut cfg);
-        let mut lone = Self {
+        let mut harness = Self {
             core: EntryCore::new(cfg),
             now: MonoTime::ZERO,
             renewal: None,
         };
-        lone.tick(Duration::from_millis(100));
-        assert_eq!(lone.renewal.map(|(_, revision)| revision), Some(0));
-        lone
+        harness.tick(Duration::from_millis(100));
+        assert_eq!(harness.renewal.map(|(_, revision)| revision), Some(0));
+        harness
     }
 
-    /// Lets something happen now.
-    pub(crate) fn happen(&mut self, event: EntryEvent) -> Vec<EntryAction> {
+    /// Handles an event at the current time.
+    pub(crate) fn handle(&mut self, event: EntryEvent) -> Vec<EntryAction> {
         let actions = self.core.handle(self.now, 0, event);
         for action in &actions {
             if let EntryAction::SendToControl { ask, req, .. } = action
@@ -73,13 +74,13 @@
         actions
     }
 
-    /// Lets a time pass.
+    /// Advances the time and sends a tick.
     pub(crate) fn tick(&mut self, time: Duration) -> Vec<EntryAction> {
         self.now += time;
-        self.happen(EntryEvent::Tick)
+        self.handle(EntryEvent::Tick)
     }
 
-    /// Answers the renewal that waits.
+    /// Replies to the pending renewal.
     pub(crate) fn renewed(&mut self, revision: Revision, fleet: FleetChange) {
         let (ask, _) = self.renewal.take().unwrap();
         let update = Update {
@@ -92,22 +93,22 @@
             update: Some(update),
         });
         let reply = Some(reply);
-        self.happen(EntryEvent::ControlReplied { ask, reply });
+        self.handle(EntryEvent::ControlReplied { ask, reply });
     }
 
-    /// Lets a neighbour give its configuration.
-    pub(crate) fn neighbour(&mut self, revision: Revision, fleet: Fleet) {
+    /// Delivers the configuration of another entry.
+    pub(crate) fn receive_peer_config(&mut self, revision: Revision, fleet: Fleet) {
         let message = PeerMessage::Config {
             revision,
-            fleet: whole(fleet),
+            fleet: full_change(fleet),
             live: Live::default(),
         };
         let from = "entry-3".into();
-        self.happen(EntryEvent::Peer { from, message });
+        self.handle(EntryEvent::Peer { from, message });
     }
 }
 
-/// Makes the change to a whole file.
-pub(crate) fn whole(fleet: Fleet) -> FleetChange {
+/// Returns the change to a complete fleet file.
+pub(crate) fn full_change(fleet: Fleet) -> FleetChange {
     FleetChange::Whole(Box::new(fleet))
 }
--- a/sesamebeam_core/tests/proofs/frozen_entry.rs
+++ b/sesamebeam_core/tests/proofs/frozen_entry.rs
@@ -8,7 +8,7 @@
 use crate::world::{
     Fault,
     World,
-    books::Spec, //
+    history::Spec, //
 };
 
 #[test]
@@ -17,21 +17,21 @@
         let mut world = World::plain(seed);
         let spec = Spec::new("vazna", "confirmation", 7).key("slot-7");
         let call = world.call(0, spec);
-        world.wait(|world| (world.books.runs_of("slot-7") == 1).then_some(()));
+        world.wait(|world| (world.history.runs_of("slot-7") == 1).then_some(()));
         for at in 0..4 {
-            world.fault(Fault::Break(at));
+            world.inject_fault(Fault::BreakConnections(at));
         }
         world.run(Duration::from_millis(5 + seed % 3));
-        world.fault(Fault::Freeze(0));
+        world.inject_fault(Fault::Freeze(0));
         world.run(Duration::from_secs(5));
-        world.fault(Fault::Thaw(0));
-        world.answer(call);
+        world.inject_fault(Fault::Thaw(0));
+        world.wait_result(call);
         world.run(Duration::from_secs(5));
-        assert_eq!(world.books.runs_of("slot-7"), 1);
+        assert_eq!(world.history.runs_of("slot-7"), 1);
         assert!(
-            world.books.broken().is_empty(),
+            world.history.violations().is_empty(),
             "{:?}",
-            world.books.broken()
+            world.history.violations()
         );
     }
 }
--- a/sesamebeam_core/tests/proofs/golden.rs
+++ b/sesamebeam_core/tests/proofs/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of whole sessions: what an entry sends on each interface.
+//! Golden files of sessions: the messages that entries send on each interface.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use crate::world::{
     Fault,
     World, //
-    books::Spec,
     files,
+    history::Spec,
 };
 
-/// Writes an action as one line; none for what is sent all the time.
+/// Formats an action as one line, or `None` for periodic messages.
 fn line(world: &World, entry: usize, action: &EntryAction) -> Option<String> {
     let to = |server: &std::net::SocketAddr| {
         let at = world.server_at(*server);
@@ -84,14 +84,15 @@
 }
 
 fn lines(world: &mut World) -> Vec<String> {
-    let seen = world.books.seen.take().unwrap_or_default();
-    world.books.seen = Some(Vec::new());
+    let actions = world.history.actions.take().unwrap_or_default();
+    world.history.actions = Some(Vec::new());
     assert!(
-        world.books.broken().is_empty(),
+        world.history.violations().is_empty(),
         "{:?}",
-        world.books.broken()
+        world.history.violations()
     );
-    seen.iter()
+    actions
+        .iter()
         .filter_map(|(at, entry, action)| {
             let line = line(world, *entry, action)?;
             Some(format!("{:6} ms {line}", at.as_millis()))
@@ -108,47 +109,47 @@
 #[test]
 fn huallaga_morning() {
     let mut world = World::plain(21);
-    world.books.seen = Some(Vec::new());
+    world.history.actions = Some(Vec::new());
     let question = world.call(0, Spec::new("huallaga", "question", 1));
-    world.answer(question);
-    // The rated draft of a list of materials: a cascade.
+    world.wait_result(question);
+    // A cascade: the draft of a list of materials is rated.
     let materials = world.call(0, Spec::new("vazna", "roster", 2));
-    world.answer(materials);
-    // The sheet, whose answer is lost with the connection, and its resend.
+    world.wait_result(materials);
+    // A confirmation whose response is lost with the connection, and its resend.
     let sheet = || Spec::new("huallaga", "confirmation", 3).key("sheet-118");
     let lost = world.call(0, sheet());
-    world.wait(|world| (world.books.runs_of("sheet-118") == 1).then_some(()));
+    world.wait(|world| (world.history.runs_of("sheet-118") == 1).then_some(()));
     world.hang_up(lost);
     world.run(Duration::from_secs(3));
     let again = world.call(1, sheet());
-    world.answer(again);
+    world.wait_result(again);
     let summary = world.call(2, named("question", "huallaga", "supervisor"));
-    world.answer(summary);
-    assert_eq!(world.books.runs_of("sheet-118"), 1);
+    world.wait_result(summary);
+    assert_eq!(world.history.runs_of("sheet-118"), 1);
     insta::assert_yaml_snapshot!(lines(&mut world));
 }
 
 #[test]
 fn vazna_lock_slot() {
     let mut world = World::plain(22);
-    world.books.seen = Some(Vec::new());
+    world.history.actions = Some(Vec::new());
     let roster = world.call(0, named("roster", "vazna", "convoy-4"));
     world.run(Duration::from_millis(50));
     let spec = Spec::new("vazna", "confirmation", 5).key("lock-9");
     let confirmed = world.call(0, spec);
-    world.answer(confirmed);
-    world.answer(roster);
-    // The session's version is withdrawn in its middle.
-    let pinned = world.books.calls[roster].version.clone().unwrap();
+    world.wait_result(confirmed);
+    world.wait_result(roster);
+    // The version of the session is withdrawn while the session is in use.
+    let pinned = world.history.calls[roster].version.clone().unwrap();
     let name = &pinned["beam@".len()..];
     world.apply(1, files::withdraw(files::fleet(), name));
-    world.wait(|world| world.books.in_force.get(&2).copied());
+    world.wait(|world| world.history.in_force.get(&2).copied());
     let renewed = world.call(1, named("roster", "vazna", "convoy-4"));
-    world.answer(renewed);
-    // The failure domain of entry 0 is cut off for longer than its lease.
-    world.fault(Fault::Cut(0));
+    world.wait_result(renewed);
+    // The failure domain of entry 0 is isolated for longer than its lease.
+    world.inject_fault(Fault::IsolateDomain(0));
     world.run(Duration::from_secs(5));
-    let token = world.books.calls[renewed].token.clone().unwrap();
+    let token = world.history.calls[renewed].token.clone().unwrap();
     let mut by_token = Spec::new("vazna", "status", 6);
     by_token.session = Some(SessionRef::Token(token));
     let calls = [
@@ -157,11 +158,11 @@
         world.call(0, Spec::new("vazna", "confirmation", 7).key("lock-10")),
     ];
     for call in calls {
-        world.answer(call);
+        world.wait_result(call);
     }
-    world.fault(Fault::Join(0));
+    world.inject_fault(Fault::ReconnectDomain(0));
     world.run(Duration::from_secs(5));
     let joined = world.call(0, Spec::new("vazna", "confirmation", 7).key("lock-10"));
-    world.answer(joined);
+    world.wait_result(joined);
     insta::assert_yaml_snapshot!(lines(&mut world));
 }
--- a/sesamebeam_core/tests/proofs/hedged_version.rs
+++ b/sesamebeam_core/tests/proofs/hedged_version.rs
@@ -31,9 +31,9 @@
 use yare::parameterized;
 
 use crate::{
-    lone::{
-        Lone,
-        whole, //
+    entry_harness::{
+        EntryHarness,
+        full_change, //
     },
     world::files,
 };
@@ -41,7 +41,7 @@
 /// Usual duration of a response.
 const USUAL: Duration = Duration::from_millis(200);
 
-fn announce(lone: &mut Lone, at: u8) {
+fn announce(lone: &mut EntryHarness, at: u8) {
     let announcement = Announcement {
         pool: "beam-pool".into(),
         domain: files::domain(0),
@@ -54,11 +54,11 @@
         cache: Vec::new(),
         speed: 40.0,
     };
-    lone.happen(EntryEvent::Announced(Box::new(announcement)));
+    lone.handle(EntryEvent::Announced(Box::new(announcement)));
 }
 
 /// Submits an urgent request. Returns the dispatch of its first attempt.
-fn arrive(lone: &mut Lone, request: RequestId) -> Dispatch {
+fn arrive(lone: &mut EntryHarness, request: RequestId) -> Dispatch {
     let arrival = Arrival {
         request,
         org: "huallaga".into(),
@@ -73,7 +73,7 @@
         prompt_tokens: 10,
         max_tokens: 40,
     };
-    let actions = lone.happen(EntryEvent::Arrived(Box::new(arrival)));
+    let actions = lone.handle(EntryEvent::Arrived(Box::new(arrival)));
     sent(&actions).unwrap()
 }
 
@@ -84,7 +84,7 @@
     })
 }
 
-fn finish(lone: &mut Lone, of: &Dispatch) {
+fn finish(lone: &mut EntryHarness, of: &Dispatch) {
     let answer = Completed {
         status: 200,
         content_type: "text/plain".into(),
@@ -103,7 +103,7 @@
         retry_after: None,
         at: 0,
     };
-    lone.happen(EntryEvent::Attempt {
+    lone.handle(EntryEvent::Attempt {
         request: of.request,
         attempt: of.attempt,
         report: AttemptReport::Finished(finished),
@@ -120,8 +120,8 @@
         hedge_unchecked,
         ..Faults::default()
     };
-    let mut lone = Lone::new(faults, |cfg| cfg.policy.retry.hedges_per_request = 1.0);
-    lone.renewed(1, whole(files::fleet()));
+    let mut lone = EntryHarness::new(faults, |cfg| cfg.policy.retry.hedges_per_request = 1.0);
+    lone.renewed(1, full_change(files::fleet()));
     announce(&mut lone, 1);
     announce(&mut lone, 2);
     let first = arrive(&mut lone, 1);
@@ -131,7 +131,7 @@
     let late = arrive(&mut lone, 2);
     assert_eq!(late.version.as_deref(), Some("beam@v1"));
     if withdraw {
-        lone.renewed(2, whole(files::withdraw(files::fleet(), "v1")));
+        lone.renewed(2, full_change(files::withdraw(files::fleet(), "v1")));
     }
     let second = sent(&lone.tick(USUAL * 2));
     assert_eq!(second.is_some(), hedged);
--- a/sesamebeam_core/tests/proofs/impatient_resend.rs
+++ b/sesamebeam_core/tests/proofs/impatient_resend.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use crate::world::{
-    World, //
-    books::{
-        Spec,
-        Told, //
+    World,
+    history::{
+        CallResult,
+        Spec, //
     },
 };
 
@@ -22,11 +22,11 @@
         let first = world.call(0, spec());
         world.run(Duration::from_millis(5 * seed));
         let again = world.call(1, spec());
-        world.answer(first);
-        world.answer(again);
+        world.wait_result(first);
+        world.wait_result(again);
         // Either request may win the claim; the one that ran must be answered.
-        assert_eq!(world.books.runs_of("slot-7"), 1);
-        let ran = world.books.runs[0].call;
-        assert_eq!(world.answer(ran), Told::Whole, "seed {seed}");
+        assert_eq!(world.history.runs_of("slot-7"), 1);
+        let ran = world.history.runs[0].call;
+        assert_eq!(world.wait_result(ran), CallResult::Complete, "seed {seed}");
     }
 }
--- a/sesamebeam_core/tests/proofs/killer_request.rs
+++ b/sesamebeam_core/tests/proofs/killer_request.rs
@@ -9,7 +9,7 @@
 
 use crate::world::{
     World,
-    books::Spec, //
+    history::Spec, //
 };
 
 #[parameterized(
@@ -22,12 +22,12 @@
         |cfg| cfg.policy.suspects.attribute_crashes = trace,
         |_| {},
     );
-    world.books.killers.insert(99);
+    world.history.crashing_bodies.insert(99);
     for n in 0..6 {
         let spec = Spec::new("vazna", "confirmation", 99).key(&format!("slot-{n}"));
         let call = world.call(n % 4, spec);
-        world.answer(call);
+        world.wait_result(call);
         world.run(Duration::from_secs(12));
     }
-    assert_eq!(world.books.runs.len(), crashes);
+    assert_eq!(world.history.runs.len(), crashes);
 }
--- a/sesamebeam_core/tests/proofs/leaving_server.rs
+++ b/sesamebeam_core/tests/proofs/leaving_server.rs
@@ -11,7 +11,7 @@
 use crate::world::{
     Fault,
     World, //
-    books::Spec,
+    history::Spec,
 };
 
 #[parameterized(
@@ -24,10 +24,10 @@
         ..Faults::default()
     };
     let mut world = World::new(11, |cfg| cfg.faults = faults, |_| {});
-    world.fault(Fault::Leave(0));
+    world.inject_fault(Fault::Leave(0));
     for n in 0..120 {
         world.call(n % 4, Spec::new("vazna", "question", 7));
         world.run(Duration::from_millis(50));
     }
-    assert_eq!(!world.books.broken().is_empty(), ignore_leaving);
+    assert_eq!(!world.history.violations().is_empty(), ignore_leaving);
 }
--- a/sesamebeam_core/tests/proofs/not_run_true.rs
+++ b/sesamebeam_core/tests/proofs/not_run_true.rs
@@ -10,13 +10,11 @@
 use yare::parameterized;
 
 use crate::world::{
-    Fault,
-    World, //
-    books::{
-        Spec,
-        Told, //
+    Fault, World, files,
+    history::{
+        CallResult,
+        Spec, //
     },
-    files, //
 };
 
 #[parameterized(
@@ -27,13 +25,13 @@
     let mut world = World::new(7, |cfg| cfg.faults = faults, |_| {});
     let sheet = || Spec::new("huallaga", "confirmation", 7).key("sheet-7");
     let first = world.call(0, sheet());
-    assert_eq!(world.answer(first), Told::Whole);
+    assert_eq!(world.wait_result(first), CallResult::Complete);
     world.apply(1, files::withdraw(files::fleet(), "v1"));
-    world.wait(|world| world.books.in_force.get(&2).copied());
+    world.wait(|world| world.history.in_force.get(&2).copied());
     let again = world.call(1, sheet());
-    let told = world.answer(again);
-    assert_eq!(told == Told::Whole, kept, "{told:?}");
-    assert_eq!(world.books.broken().is_empty(), kept);
+    let told = world.wait_result(again);
+    assert_eq!(told == CallResult::Complete, kept, "{told:?}");
+    assert_eq!(world.history.violations().is_empty(), kept);
 }
 
 /// The first step of a cascade is rejected by its rating and no backend server is
@@ -44,18 +42,18 @@
     for seed in 0..30 {
         let mut world = World::plain(seed);
         let call = world.call(0, Spec::new("vazna", "roster", 7));
-        world.wait(|world| (!world.books.runs.is_empty()).then_some(()));
+        world.wait(|world| (!world.history.runs.is_empty()).then_some(()));
         for at in 0..4 {
-            world.fault(Fault::Leave(at));
+            world.inject_fault(Fault::Leave(at));
         }
-        if let Told::Refused(refusal) = world.answer(call) {
+        if let CallResult::Refused(refusal) = world.wait_result(call) {
             assert_ne!(refusal.outcome, RunOutcome::NotRun);
             seconds += 1;
         }
         assert!(
-            world.books.broken().is_empty(),
+            world.history.violations().is_empty(),
             "{:?}",
-            world.books.broken()
+            world.history.violations()
         );
     }
     assert!(seconds > 0, "no request came to its second step");
@@ -68,16 +66,16 @@
     let mut world = World::plain(10);
     let sheet = || Spec::new("vazna", "confirmation", 7).key("sheet-7");
     let first = world.call(0, sheet());
-    assert_eq!(world.answer(first), Told::Whole);
+    assert_eq!(world.wait_result(first), CallResult::Complete);
     let mut fleet = files::fleet();
     fleet.classes.retain(|class| class.name != "confirmation");
     world.apply(1, fleet);
-    world.wait(|world| world.books.in_force.get(&2).copied());
+    world.wait(|world| world.history.in_force.get(&2).copied());
     let again = world.call(1, sheet());
-    assert!(matches!(world.answer(again), Told::Refused(_)));
+    assert!(matches!(world.wait_result(again), CallResult::Refused(_)));
     assert!(
-        world.books.broken().is_empty(),
+        world.history.violations().is_empty(),
         "{:?}",
-        world.books.broken()
+        world.history.violations()
     );
 }
--- a/sesamebeam_core/tests/proofs/planned_stop.rs
+++ b/sesamebeam_core/tests/proofs/planned_stop.rs
@@ -6,13 +6,12 @@
 use std::time::Duration;
 
 use crate::world::{
-    Fault, World,
-    books::{
-        Spec,
-        Told,
-        UNDER_WAY, //
+    Fault, World, files,
+    history::{
+        CallResult,
+        MAX_TRANSIT,
+        Spec, //
     },
-    files,
 };
 
 #[test]
@@ -22,15 +21,15 @@
         .map(|n| world.call(0, Spec::new("vazna", "question", 50 + n)))
         .collect();
     world.run(Duration::from_millis(20));
-    world.fault(Fault::Stop(0));
+    world.inject_fault(Fault::Stop(0));
     for call in calls {
-        assert_eq!(world.answer(call), Told::Whole);
+        assert_eq!(world.wait_result(call), CallResult::Complete);
     }
-    world.settle();
+    world.settle_and_check();
     assert!(
-        world.books.broken().is_empty(),
+        world.history.violations().is_empty(),
         "{:?}",
-        world.books.broken()
+        world.history.violations()
     );
 }
 
@@ -42,7 +41,7 @@
         .map(|n| world.call(0, Spec::new("huallaga", "question", 50 + n)))
         .collect();
     world.run(Duration::from_millis(20));
-    world.fault(Fault::Stop(0));
+    world.inject_fault(Fault::Stop(0));
     // A renewal pending at the start of the stop still returns one update.
     let mut other = files::fleet();
     other.name = "vazna-2".into();
@@ -50,17 +49,21 @@
     world.run(Duration::from_millis(300));
     world.apply(2, files::withdraw(other, "v1"));
     for call in waiting {
-        world.answer(call);
+        world.wait_result(call);
     }
-    world.settle();
-    let told = world.books.in_force[&3];
-    let late = world.books.runs.iter().filter(|r| r.at > told + UNDER_WAY);
+    world.settle_and_check();
+    let told = world.history.in_force[&3];
+    let late = world
+        .history
+        .runs
+        .iter()
+        .filter(|r| r.at > told + MAX_TRANSIT);
     let late = late.filter(|r| r.version.as_deref() == Some("beam@v1"));
     assert_eq!(late.count(), 0);
     assert!(
-        world.books.broken().is_empty(),
+        world.history.violations().is_empty(),
         "{:?}",
-        world.books.broken()
+        world.history.violations()
     );
 }
 
@@ -78,15 +81,15 @@
         world.call(1, Spec::new("huallaga", "question", 50 + n));
     }
     world.run(Duration::from_millis(20));
-    world.fault(Fault::Stop(1));
+    world.inject_fault(Fault::Stop(1));
     world.run(Duration::from_millis(20));
-    world.fault(Fault::Cut(1));
+    world.inject_fault(Fault::IsolateDomain(1));
     world.apply(1, files::withdraw(files::fleet(), "v1"));
     world.run(Duration::from_secs(12));
-    assert!(world.books.in_force.contains_key(&2));
+    assert!(world.history.in_force.contains_key(&2));
     assert!(
-        world.books.broken().is_empty(),
+        world.history.violations().is_empty(),
         "{:?}",
-        world.books.broken()
+        world.history.violations()
     );
 }
--- a/sesamebeam_core/tests/proofs/rejoined_domain.rs
+++ b/sesamebeam_core/tests/proofs/rejoined_domain.rs
@@ -14,9 +14,9 @@
 #[test]
 fn servers_known() {
     let mut world = World::plain(23);
-    world.fault(Fault::Cut(0));
+    world.inject_fault(Fault::IsolateDomain(0));
     world.run(Duration::from_secs(12));
-    world.fault(Fault::Join(0));
+    world.inject_fault(Fault::ReconnectDomain(0));
     world.run(Duration::from_secs(8));
     for edge in &world.entries {
         assert_eq!(
--- a/sesamebeam_core/tests/proofs/session_keeps.rs
+++ b/sesamebeam_core/tests/proofs/session_keeps.rs
@@ -11,12 +11,11 @@
 };
 
 use crate::world::{
-    World,
-    books::{
-        Spec,
-        Told, //
+    World, files,
+    history::{
+        CallResult,
+        Spec, //
     },
-    files,
 };
 
 fn ask(world: &mut World, entry: usize) -> Option<smol_str::SmolStr> {
@@ -24,8 +23,8 @@
     spec.session = Some(SessionRef::Name("visit-7".into()));
     spec.wanted = Wanted::Auto;
     let call = world.call(entry, spec);
-    assert_eq!(world.answer(call), Told::Whole);
-    world.books.calls[call].version.clone()
+    assert_eq!(world.wait_result(call), CallResult::Complete);
+    world.history.calls[call].version.clone()
 }
 
 #[test]
@@ -35,7 +34,7 @@
     assert_eq!(versions.len(), 1);
     let pinned = versions.first().unwrap().clone().unwrap();
     world.apply(1, files::withdraw(files::fleet(), &pinned["beam@".len()..]));
-    world.wait(|world| world.books.in_force.get(&2).copied());
+    world.wait(|world| world.history.in_force.get(&2).copied());
     let next: BTreeSet<_> = (0..8).map(|n| ask(&mut world, n % 4)).collect();
     assert_eq!(next.len(), 1);
     assert!(!next.contains(&Some(pinned)));
--- a/sesamebeam_core/tests/proofs/silent_connection.rs
+++ b/sesamebeam_core/tests/proofs/silent_connection.rs
@@ -7,11 +7,10 @@
 use yare::parameterized;
 
 use crate::world::{
-    Fault,
-    World, //
-    books::{
-        Spec,
-        Told, //
+    Fault, World,
+    history::{
+        CallResult,
+        Spec, //
     },
 };
 
@@ -23,14 +22,14 @@
     let mut world = World::new(12, |cfg| cfg.progress_timeout = progress, |_| {});
     let spec = Spec::new("vazna", "confirmation", 7).key("slot-7");
     let call = world.call(0, spec);
-    world.wait(|world| (world.books.runs_of("slot-7") == 1).then_some(()));
+    world.wait(|world| (world.history.runs_of("slot-7") == 1).then_some(()));
     world.run(Duration::from_millis(30));
     for at in 0..4 {
-        world.fault(Fault::Silence(at));
+        world.inject_fault(Fault::SilenceConnections(at));
     }
     world.run(Duration::from_secs(30));
-    let whole = world.books.calls[call].told == Some(Told::Whole);
+    let whole = world.history.calls[call].result == Some(CallResult::Complete);
     assert_eq!(whole, answered);
-    assert_eq!(world.books.runs_of("slot-7"), 1);
-    assert!(world.books.broken().is_empty());
+    assert_eq!(world.history.runs_of("slot-7"), 1);
+    assert!(world.history.violations().is_empty());
 }
--- a/sesamebeam_core/tests/proofs/withdrawn_version.rs
+++ b/sesamebeam_core/tests/proofs/withdrawn_version.rs
@@ -10,8 +10,8 @@
 
 use crate::world::{
     World, //
-    books::Spec,
     files,
+    history::Spec,
 };
 
 #[parameterized(
@@ -30,6 +30,6 @@
     world.run(Duration::from_millis(20));
     world.apply(1, files::withdraw(files::fleet(), "v1"));
     world.run(Duration::from_secs(12));
-    assert!(world.books.in_force.contains_key(&2));
-    assert_eq!(!world.books.broken().is_empty(), no_last_check);
+    assert!(world.history.in_force.contains_key(&2));
+    assert_eq!(!world.history.violations().is_empty(), no_last_check);
 }
--- a/sesamebeam_core/tests/proofs/world.rs
+++ b/sesamebeam_core/tests/proofs/world.rs
@@ -1,10 +1,11 @@
-//! A small world round the cores: entries, three control replicas, backend
-//! servers and callers with their books, one heap of events, seeded faults.
+//! Deterministic simulation around the cores: entries, three control replicas,
+//! backend servers and callers, an event queue, seeded faults, and a history of
+//! calls and runs that is checked against the guarantees.
 
-pub(crate) mod books;
-pub(crate) mod edge;
+pub(crate) mod entry_process;
 pub(crate) mod files;
 pub(crate) mod group;
+pub(crate) mod history;
 pub(crate) mod server;
 
 use std::{
@@ -38,70 +39,72 @@
 };
 
 use self::{
-    books::Books,
-    edge::{
-        Edge,
-        EdgeEvent, //
+    entry_process::{
+        EntryProcess,
+        ProcessEvent, //
     },
     group::{
         Node,
         Operators, //
     },
+    history::History,
     server::{
         Server,
         ServerEvent, //
     },
 };
 
-/// Number of an entry.
+/// Index of an entry.
 pub(crate) type EntryNo = usize;
 
-/// Number of a backend server.
+/// Index of a backend server.
 pub(crate) type ServerNo = usize;
 
-/// Number of a failure domain.
+/// Index of a failure domain.
 pub(crate) type DomainNo = usize;
 
-/// Lives of one process, counted from 1.
-pub(crate) type Life = u64;
+/// Epoch of a process. It changes when the process is started or killed, and
+/// events of earlier epochs are dropped.
+pub(crate) type Epoch = u64;
 
-/// Time between two ticks of an entry.
+/// Interval between ticks of the entries.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Events after which a schedule is taken for a loop.
-const MOST_EVENTS: u64 = 300_000;
+/// Maximum number of events, above which a schedule is considered an infinite
+/// loop.
+const MAX_EVENTS: u64 = 300_000;
 
-/// How the links between failure domains misbehave.
+/// Faults of the links between failure domains.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Net {
     /// Share of messages between failure domains that are lost.
     pub(crate) loss: f64,
-    /// Share of messages that come twice.
-    pub(crate) doubled: f64,
-    /// Longest time that a message is under way, in milliseconds.
+    /// Share of messages that are duplicated.
+    pub(crate) duplicated: f64,
+    /// Maximum delay of a message, in milliseconds.
     pub(crate) delay: u64,
 }
 
-/// Something that happens at a time.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// All entries look at their clocks.
-    Ticks,
-    /// Something happens to an entry in one life.
-    Edge(EntryNo, Life, EdgeEvent),
-    /// Something happens to a control replica in one life.
-    Node(NodeId, Life, ControlEvent),
-    /// A control replica wanted to be woken.
+    /// All entries receive a tick.
+    EntryTicks,
+    /// An event of an entry in one epoch.
+    Entry(EntryNo, Epoch, ProcessEvent),
+    /// An event of a control replica in one epoch.
+    Node(NodeId, Epoch, ControlEvent),
+    /// A control replica reaches its requested wake-up time.
     Wake(NodeId),
-    /// An operator asks again.
-    Operators,
-    /// Something happens to a backend server.
+    /// Operators retry changes without a verdict.
+    RetryChanges,
+    /// An event of a backend server.
     Server(ServerNo, ServerEvent),
-    /// A fault ends or begins.
+    /// A fault begins or ends.
     Fault(Fault),
 }
 
-/// What goes wrong, or right again.
+/// A fault, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     Kill(EntryNo),
@@ -113,36 +116,36 @@
     StartNode(NodeId),
     FreezeNode(NodeId),
     ThawNode(NodeId),
-    Cut(DomainNo),
-    Join(DomainNo),
+    IsolateDomain(DomainNo),
+    ReconnectDomain(DomainNo),
     Crash(ServerNo),
-    Boot(ServerNo),
+    Restart(ServerNo),
     Leave(ServerNo),
-    /// Open connections to a backend server go silent for good.
-    Silence(ServerNo),
+    /// Open connections to a backend server become silent permanently.
+    SilenceConnections(ServerNo),
     /// Open connections to a backend server break.
-    Break(ServerNo),
+    BreakConnections(ServerNo),
 }
 
-/// The world.
+/// The simulated system.
 pub(crate) struct World {
     pub(crate) now: MonoTime,
     pub(crate) rng: StdRng,
     pub(crate) net: Net,
-    pub(crate) entries: Vec<Edge>,
+    pub(crate) entries: Vec<EntryProcess>,
     pub(crate) nodes: BTreeMap<NodeId, Node>,
     pub(crate) servers: Vec<Server>,
-    pub(crate) books: Books,
+    pub(crate) history: History,
     pub(crate) operators: Operators,
-    pub(crate) cuts: BTreeSet<DomainNo>,
-    pub(crate) last: u64,
-    /// Faults brought about.
-    pub(crate) faults: u64,
+    pub(crate) isolated: BTreeSet<DomainNo>,
+    pub(crate) last_seq: u64,
+    /// Number of injected faults.
+    pub(crate) injected_faults: u64,
     events: BTreeMap<(MonoTime, u64), Event>,
 }
 
 impl World {
-    /// Makes three failure domains with a control replica each, four entries,
+    /// Creates three failure domains with a control replica each, four entries,
     /// four engines of two versions and two plain services.
     pub(crate) fn new(
         seed: u64,
@@ -154,17 +157,17 @@
             rng: StdRng::seed_from_u64(seed),
             net: Net {
                 loss: 0.0,
-                doubled: 0.0,
+                duplicated: 0.0,
                 delay: 4,
             },
             entries: Vec::new(),
             nodes: BTreeMap::new(),
             servers: Vec::new(),
-            books: Books::default(),
+            history: History::default(),
             operators: Operators::default(),
-            cuts: BTreeSet::new(),
-            last: 0,
-            faults: 0,
+            isolated: BTreeSet::new(),
+            last_seq: 0,
+            injected_faults: 0,
             events: BTreeMap::new(),
         };
         for id in 1..=3 {
@@ -180,43 +183,43 @@
             cfg.has_rater = true;
             cfg.policy.servers.lease = Duration::from_secs(4);
             entry(&mut cfg);
-            world.entries.push(Edge::new(cfg, at % 3));
+            world.entries.push(EntryProcess::new(cfg, at % 3));
         }
         for at in 0..6 {
             world.servers.push(Server::new(at));
         }
-        world.later(Duration::ZERO, Event::Ticks);
+        world.schedule(Duration::ZERO, Event::EntryTicks);
         world.apply(0, files::fleet());
         world.run(Duration::from_secs(3));
         for at in 0..4 {
-            world.start(at);
+            world.start_entry(at);
         }
         for at in 0..6 {
-            world.later(Duration::ZERO, Event::Server(at, ServerEvent::Announce(1)));
+            world.schedule(Duration::ZERO, Event::Server(at, ServerEvent::Announce(1)));
         }
         world.run(Duration::from_secs(12));
-        for edge in &world.entries {
-            // A world that serves nothing would keep every promise.
-            assert_eq!(edge.core().view().revision(), 1);
-            assert_eq!(edge.core().servers().reachable().count(), 6);
+        for process in &world.entries {
+            // A system that serves no requests would satisfy every guarantee.
+            assert_eq!(process.core().view().revision(), 1);
+            assert_eq!(process.core().servers().reachable().count(), 6);
         }
         world
     }
 
-    /// Makes a world in which nothing is changed.
+    /// Creates a system with the default configuration.
     pub(crate) fn plain(seed: u64) -> Self {
         Self::new(seed, |_| {}, |_| {})
     }
 
-    /// Lets something happen after a time.
-    pub(crate) fn later(&mut self, after: Duration, event: Event) {
-        self.last += 1;
-        self.events.insert((self.now + after, self.last), event);
+    /// Schedules an event after a delay.
+    pub(crate) fn schedule(&mut self, after: Duration, event: Event) {
+        self.last_seq += 1;
+        self.events.insert((self.now + after, self.last_seq), event);
     }
 
-    /// Draws the time that a message is under way; none if it is lost.
-    pub(crate) fn travel(&mut self, from: DomainNo, to: DomainNo) -> Option<Duration> {
-        if from != to && (self.cuts.contains(&from) || self.cuts.contains(&to)) {
+    /// Returns a random delay for a message, or `None` if it is lost.
+    pub(crate) fn transit_time(&mut self, from: DomainNo, to: DomainNo) -> Option<Duration> {
+        if from != to && (self.isolated.contains(&from) || self.isolated.contains(&to)) {
             return None;
         }
         if from != to && self.rng.random_bool(self.net.loss) {
@@ -226,31 +229,31 @@
         Some(Duration::from_millis(millis))
     }
 
-    /// Sends a message that may be lost, late, doubled or overtaken.
+    /// Sends a message that may be lost, delayed, duplicated or reordered.
     pub(crate) fn send(&mut self, from: DomainNo, to: DomainNo, event: Event) {
-        let copies = 1 + usize::from(self.rng.random_bool(self.net.doubled));
+        let copies = 1 + usize::from(self.rng.random_bool(self.net.duplicated));
         for _ in 0..copies {
-            if let Some(after) = self.travel(from, to) {
-                self.later(after, event.clone());
+            if let Some(after) = self.transit_time(from, to) {
+                self.schedule(after, event.clone());
             }
         }
     }
 
-    /// Runs for a time.
+    /// Runs for `time`.
     pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(entry) = self.events.first_entry()
             && entry.key().0 <= end
         {
             let ((at, n), event) = entry.remove_entry();
-            assert!(n < MOST_EVENTS, "a loop: {event:?}");
+            assert!(n < MAX_EVENTS, "infinite loop at {event:?}");
             self.now = self.now.max(at);
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now = end;
     }
 
-    /// Runs until something is found, for a minute at most.
+    /// Runs until `find` returns a value, for at most a minute.
     pub(crate) fn wait<T>(&mut self, mut find: impl FnMut(&mut Self) -> Option<T>) -> T {
         for _ in 0..6000 {
             if let Some(found) = find(self) {
@@ -258,40 +261,40 @@
             }
             self.run(Duration::from_millis(10));
         }
-        panic!("waited in vain");
+        panic!("timed out");
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Ticks => {
+            Event::EntryTicks => {
                 for at in 0..self.entries.len() {
-                    let life = self.entries[at].life;
-                    self.edge(at, life, EdgeEvent::Core(EntryEvent::Tick));
+                    let epoch = self.entries[at].epoch;
+                    self.handle_process_event(at, epoch, ProcessEvent::Core(EntryEvent::Tick));
                 }
-                self.later(TICK, Event::Ticks);
+                self.schedule(TICK, Event::EntryTicks);
             }
-            Event::Edge(at, life, event) => self.edge(at, life, event),
-            Event::Node(id, life, event) => self.node(id, life, event),
-            Event::Wake(id) => self.wake(id),
-            Event::Operators => self.ask_operators(),
-            Event::Server(at, event) => self.serve(at, event),
-            Event::Fault(fault) => self.fault(fault),
+            Event::Entry(at, epoch, event) => self.handle_process_event(at, epoch, event),
+            Event::Node(id, epoch, event) => self.handle_node_event(id, epoch, event),
+            Event::Wake(id) => self.wake_node(id),
+            Event::RetryChanges => self.retry_changes(),
+            Event::Server(at, event) => self.handle_server_event(at, event),
+            Event::Fault(fault) => self.inject_fault(fault),
         }
     }
 
-    /// Brings a fault about, or ends one.
-    pub(crate) fn fault(&mut self, fault: Fault) {
-        self.faults += 1;
+    /// Starts or ends a fault.
+    pub(crate) fn inject_fault(&mut self, fault: Fault) {
+        self.injected_faults += 1;
         match fault {
-            Fault::Kill(at) => self.kill(at),
-            Fault::Start(at) => self.start(at),
+            Fault::Kill(at) => self.kill_entry(at),
+            Fault::Start(at) => self.start_entry(at),
             Fault::Freeze(at) => {
                 self.entries[at].frozen.get_or_insert_default();
             }
-            Fault::Thaw(at) => self.thaw(at),
+            Fault::Thaw(at) => self.thaw_entry(at),
             Fault::Stop(at) => {
-                let life = self.entries[at].life;
-                self.edge(at, life, EdgeEvent::Core(EntryEvent::Stop));
+                let epoch = self.entries[at].epoch;
+                self.handle_process_event(at, epoch, ProcessEvent::Core(EntryEvent::Stop));
             }
             Fault::KillNode(id) => self.kill_node(id),
             Fault::StartNode(id) => self.start_node(id),
@@ -300,58 +303,58 @@
                 node.frozen.get_or_insert_default();
             }
             Fault::ThawNode(id) => self.thaw_node(id),
-            Fault::Cut(domain) => {
-                self.cuts.insert(domain);
+            Fault::IsolateDomain(domain) => {
+                self.isolated.insert(domain);
             }
-            Fault::Join(domain) => {
-                self.cuts.remove(&domain);
+            Fault::ReconnectDomain(domain) => {
+                self.isolated.remove(&domain);
             }
-            Fault::Crash(at) => self.crash(at),
-            Fault::Boot(at) => self.boot(at),
-            Fault::Leave(at) => self.leave(at),
-            Fault::Silence(at) => self.silence(at),
-            Fault::Break(at) => self.break_streams(at),
+            Fault::Crash(at) => self.crash_server(at),
+            Fault::Restart(at) => self.restart_server(at),
+            Fault::Leave(at) => self.start_leaving(at),
+            Fault::SilenceConnections(at) => self.silence_connections(at),
+            Fault::BreakConnections(at) => self.break_connections(at),
         }
     }
 
-    /// Ends every fault.
-    pub(crate) fn heal(&mut self) {
+    /// Ends all faults.
+    pub(crate) fn end_faults(&mut self) {
         self.events
             .retain(|_, event| !matches!(event, Event::Fault(_)));
         self.net.loss = 0.0;
-        self.net.doubled = 0.0;
-        self.cuts.clear();
+        self.net.duplicated = 0.0;
+        self.isolated.clear();
         for id in 1..=3 {
             self.thaw_node(id);
             self.start_node(id);
         }
         for at in 0..self.entries.len() {
-            self.thaw(at);
+            self.thaw_entry(at);
             if self.entries[at].drained {
-                self.kill(at);
+                self.kill_entry(at);
             }
-            self.start(at);
+            self.start_entry(at);
         }
         for at in 0..self.servers.len() {
-            self.boot(at);
+            self.restart_server(at);
         }
     }
 
-    fn start(&mut self, at: EntryNo) {
-        let (now, edge) = (self.now, &mut self.entries[at]);
-        if edge.core.is_some() {
+    fn start_entry(&mut self, at: EntryNo) {
+        let (now, process) = (self.now, &mut self.entries[at]);
+        if process.core.is_some() {
             return;
         }
-        edge.life += 1;
-        edge.cfg.incarnation = edge.life;
-        edge.cfg.seed = edge.life + at as u64 * 1000;
-        edge.core = Some(EntryCore::new(edge.cfg.clone()));
-        edge.awake = now;
-        edge.revision = 0;
-        edge.drained = false;
+        process.epoch += 1;
+        process.cfg.incarnation = process.epoch;
+        process.cfg.seed = process.epoch + at as u64 * 1000;
+        process.core = Some(EntryCore::new(process.cfg.clone()));
+        process.running_since = now;
+        process.revision = 0;
+        process.drained = false;
     }
 
-    pub(crate) fn accepted(&mut self, revision: u64, fleet: &Fleet) {
-        self.books.accept(self.now, revision, fleet);
+    pub(crate) fn record_accepted(&mut self, revision: u64, fleet: &Fleet) {
+        self.history.record_accepted(self.now, revision, fleet);
     }
 }
--- a/sesamebeam_core/tests/proofs/world/files.rs
+++ b/sesamebeam_core/tests/proofs/world/files.rs
@@ -1,4 +1,4 @@
-//! Fleet files of the world.
+//! Fleet files of the simulation.
 
 use std::time::Duration;
 
@@ -18,12 +18,13 @@
     ids::DomainId, //
 };
 
-/// Names a failure domain.
+/// Returns the name of a failure domain.
 pub(crate) fn domain(at: usize) -> DomainId {
     ["hall-petrzalka", "hall-ruzinov", "hall-devin"][at].into()
 }
 
-/// Makes the file of two organisations, a model of two versions and a service.
+/// Creates a fleet file with two organisations, a model with two versions and a
+/// service.
 pub(crate) fn fleet() -> Fleet {
     Fleet {
         name: "vazna".into(),
@@ -58,7 +59,7 @@
     }
 }
 
-/// Withdraws a version.
+/// Returns the fleet file with a version withdrawn.
 pub(crate) fn withdraw(mut fleet: Fleet, name: &str) -> Fleet {
     for version in &mut fleet.models[0].versions {
         if version.name == name {
--- a/sesamebeam_core/tests/proofs/world/group.rs
+++ b/sesamebeam_core/tests/proofs/world/group.rs
@@ -1,4 +1,4 @@
-//! The control replicas of the world, with disks in memory, and operators.
+//! Simulated control replicas with in-memory disks, and operators.
 
 use std::{
     collections::BTreeMap,
@@ -38,32 +38,32 @@
 
 use super::{
     DomainNo,
+    Epoch,
     Event,
-    Life,
-    World,           //
-    edge::EdgeEvent, //
+    World,                       //
+    entry_process::ProcessEvent, //
 };
 
-/// Time that a sync of the disk takes.
-const SYNC: Duration = Duration::from_millis(1);
+/// Time that a disk sync takes.
+const SYNC_TIME: Duration = Duration::from_millis(1);
 
-/// Time that a message between replicas is under way.
-const HOP: Duration = Duration::from_millis(2);
+/// Delay of messages between replicas.
+const MESSAGE_DELAY: Duration = Duration::from_millis(2);
 
-/// Time after which an operator asks again.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Interval at which operators retry changes without a verdict.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One replica with its disk.
+/// A control replica with its disk.
 pub(crate) struct Node {
     pub(crate) cfg: ControlConfig,
     pub(crate) saved: Saved,
     pub(crate) core: Option<ControlCore>,
     pub(crate) frozen: Option<Vec<Event>>,
-    life: Life,
+    epoch: Epoch,
     wake_at: Option<MonoTime>,
 }
 
-/// Changes that operators ask for until they have a verdict.
+/// Changes that operators retry until they receive a verdict.
 #[derive(Default)]
 pub(crate) struct Operators {
     changes: Vec<Change>,
@@ -98,13 +98,13 @@
             saved: Saved::default(),
             core: None,
             frozen: None,
-            life: 0,
+            epoch: 0,
             wake_at: None,
         }
     }
 }
 
-/// Failure domain of a replica.
+/// Returns the failure domain of a replica.
 pub(crate) fn domain_of(id: NodeId) -> DomainNo {
     usize::try_from(id).unwrap() - 1
 }
@@ -117,41 +117,41 @@
         if node.core.is_some() {
             return;
         }
-        node.life += 1;
+        node.epoch += 1;
         let (core, actions) = ControlCore::new(node.cfg.clone(), node.saved.clone(), now);
         node.core = Some(core);
-        self.take_node(id, actions);
+        self.execute_node_actions(id, actions);
     }
 
     pub(crate) fn kill_node(&mut self, id: NodeId) {
         let node = self.nodes.get_mut(&id).unwrap();
         node.core = None;
         node.frozen = None;
-        node.life += 1;
+        node.epoch += 1;
     }
 
     pub(crate) fn thaw_node(&mut self, id: NodeId) {
         let frozen = self.nodes.get_mut(&id).unwrap().frozen.take();
         for event in frozen.into_iter().flatten() {
-            self.happen(event);
+            self.handle_event(event);
         }
     }
 
-    pub(crate) fn node(&mut self, id: NodeId, life: Life, event: ControlEvent) {
+    pub(crate) fn handle_node_event(&mut self, id: NodeId, epoch: Epoch, event: ControlEvent) {
         let now = self.now;
         let node = self.nodes.get_mut(&id).unwrap();
-        if life != node.life {
+        if epoch != node.epoch {
             return;
         }
         if let Some(frozen) = &mut node.frozen {
-            frozen.push(Event::Node(id, life, event));
+            frozen.push(Event::Node(id, epoch, event));
         } else if let Some(core) = &mut node.core {
             let actions = core.handle(now, event);
-            self.take_node(id, actions);
+            self.execute_node_actions(id, actions);
         }
     }
 
-    pub(crate) fn wake(&mut self, id: NodeId) {
+    pub(crate) fn wake_node(&mut self, id: NodeId) {
         let now = self.now;
         let node = self.nodes.get_mut(&id).unwrap();
         if let Some(frozen) = &mut node.frozen {
@@ -160,51 +160,53 @@
         }
         if node.wake_at.is_some_and(|at| at <= now) {
             node.wake_at = None;
-            let life = node.life;
-            self.node(id, life, ControlEvent::Tick);
+            let epoch = node.epoch;
+            self.handle_node_event(id, epoch, ControlEvent::Tick);
         }
     }
 
-    /// Life of a replica, for messages to it.
-    pub(crate) fn node_life(&self, id: NodeId) -> Life {
-        self.nodes[&id].life
+    /// Returns the epoch of a replica, for events to it.
+    pub(crate) fn node_epoch(&self, id: NodeId) -> Epoch {
+        self.nodes[&id].epoch
     }
 
-    /// Finds the replica that leads.
+    /// Returns the leader that holds its lease.
     pub(crate) fn leader(&self) -> Option<NodeId> {
         let leads = |n: &Node| n.core.as_ref().is_some_and(|c| c.leads(self.now));
         let mut leaders = self.nodes.iter().filter(|(_, n)| leads(n));
         leaders.next().map(|(id, _)| *id)
     }
 
-    fn take_node(&mut self, id: NodeId, actions: Vec<ControlAction>) {
+    fn execute_node_actions(&mut self, id: NodeId, actions: Vec<ControlAction>) {
         for action in actions {
             match action {
                 ControlAction::Send { to, message } => {
                     let event = ControlEvent::Peer { from: id, message };
-                    let event = Event::Node(to, self.node_life(to), event);
-                    // Links among replicas are swift here; `tests/replica*` and
-                    // `tests/group` double and reorder what they carry.
-                    if self.travel(domain_of(id), domain_of(to)).is_some() {
-                        self.later(HOP, event);
+                    let event = Event::Node(to, self.node_epoch(to), event);
+                    // Links between replicas have a fixed delay here; `tests/replica*` and
+                    // `tests/group` duplicate and reorder messages.
+                    if self.transit_time(domain_of(id), domain_of(to)).is_some() {
+                        self.schedule(MESSAGE_DELAY, event);
                     }
                 }
                 ControlAction::Write { write, ops } => {
                     let node = self.nodes.get_mut(&id).unwrap();
                     node.saved.write(&ops);
-                    let event = Event::Node(id, node.life, ControlEvent::Synced { write });
-                    self.later(SYNC, event);
+                    let event = Event::Node(id, node.epoch, ControlEvent::Synced { write });
+                    self.schedule(SYNC_TIME, event);
+                }
+                ControlAction::Reply { ticket, reply } => {
+                    self.handle_control_reply(id, ticket, reply)
                 }
-                ControlAction::Reply { ticket, reply } => self.reply(id, ticket, reply),
                 ControlAction::Notice(ControlNotice::Accepted(revision)) => {
                     let fleet = self.nodes[&id].core.as_ref();
                     if let Some(fleet) = fleet.map(|core| core.state().fleet().clone()) {
-                        self.accepted(revision, &fleet);
+                        self.record_accepted(revision, &fleet);
                     }
                 }
                 ControlAction::Notice(ControlNotice::InForce(revision)) => {
                     let now = self.now;
-                    self.books.in_force.entry(revision).or_insert(now);
+                    self.history.in_force.entry(revision).or_insert(now);
                 }
                 ControlAction::Order(_) | ControlAction::Members(_) | ControlAction::Notice(_) => {}
             }
@@ -215,24 +217,25 @@
         let wake = core.next_wake();
         if node.wake_at.is_none_or(|at| wake < at) {
             node.wake_at = Some(wake);
-            self.later(wake.saturating_sub(now), Event::Wake(id));
+            self.schedule(wake.saturating_sub(now), Event::Wake(id));
         }
     }
 
-    fn reply(&mut self, id: NodeId, ticket: u64, reply: ControlReply) {
+    fn handle_control_reply(&mut self, id: NodeId, ticket: u64, reply: ControlReply) {
         if let Some(&change) = self.operators.tickets.get(&ticket) {
-            self.verdict(change, reply);
+            self.record_verdict(change, reply);
             return;
         }
-        let Some(&(at, life, ask)) = self.books.tickets.get(&ticket) else {
+        let Some(&(at, epoch, ask)) = self.history.tickets.get(&ticket) else {
             return;
         };
         let to = self.entries[at].domain;
-        let event = EdgeEvent::Reply(ask, ticket, reply);
-        self.send(domain_of(id), to, Event::Edge(at, life, event));
+        let event = ProcessEvent::Reply(ask, ticket, reply);
+        self.send(domain_of(id), to, Event::Entry(at, epoch, event));
     }
 
-    /// Lets an operator send a whole file, made from a base revision.
+    /// Makes an operator send a fleet file based on a revision. Returns the index
+    /// of the change.
     pub(crate) fn apply(&mut self, base: Revision, fleet: Fleet) -> usize {
         let at = self.operators.changes.len();
         self.operators.changes.push(Change {
@@ -242,36 +245,36 @@
             operator: smol_str::format_smolstr!("operator-{at}"),
             at: 0,
         });
-        self.later(Duration::ZERO, Event::Operators);
+        self.schedule(Duration::ZERO, Event::RetryChanges);
         at
     }
 
-    pub(crate) fn ask_operators(&mut self) {
+    pub(crate) fn retry_changes(&mut self) {
         let open: Vec<usize> = (0..self.operators.changes.len())
             .filter(|at| !self.operators.verdicts.contains_key(at))
             .collect();
         for &at in &open {
             for id in 1..=3 {
-                self.ask_operator(at, id);
+                self.send_change(at, id);
             }
         }
         if !open.is_empty() {
-            self.later(PATIENCE, Event::Operators);
+            self.schedule(RETRY_INTERVAL, Event::RetryChanges);
         }
     }
 
-    /// Sends a change to one replica, also when it has its verdict.
-    pub(crate) fn ask_operator(&mut self, change: usize, id: NodeId) {
-        self.last += 1;
-        let ticket = self.last;
+    /// Sends a change to one replica, even if it already has a verdict.
+    pub(crate) fn send_change(&mut self, change: usize, id: NodeId) {
+        self.last_seq += 1;
+        let ticket = self.last_seq;
         self.operators.tickets.insert(ticket, change);
         let req = ControlRequest::Apply(self.operators.changes[change].clone());
         let event = ControlEvent::Client { ticket, req };
-        let event = Event::Node(id, self.node_life(id), event);
+        let event = Event::Node(id, self.node_epoch(id), event);
         self.send(domain_of(id), domain_of(id), event);
     }
 
-    fn verdict(&mut self, change: usize, reply: ControlReply) {
+    fn record_verdict(&mut self, change: usize, reply: ControlReply) {
         let ControlReply::Verdict(verdict) = reply else {
             return;
         };
@@ -281,8 +284,8 @@
             .entry(change)
             .or_insert(verdict.clone());
         if *first != verdict {
-            self.books
-                .fault(format!("change {change}: {first:?}, then {verdict:?}"));
+            self.history
+                .record_violation(format!("change {change}: {first:?}, then {verdict:?}"));
         }
     }
 }
--- a/sesamebeam_core/tests/proofs/world/books.rs
+++ b/sesamebeam_core/tests/proofs/world/history.rs
@@ -1,4 +1,4 @@
-//! Books of the world: what callers asked and were told, what really ran.
+//! History of the simulation: calls, their results, and runs at backend servers.
 
 use std::{
     collections::{
@@ -50,20 +50,20 @@
 
 use super::{
     EntryNo,
+    Epoch,
     Event,
-    Life,
     World, //
-    edge::{
-        Edge,
-        EdgeEvent, //
+    entry_process::{
+        EntryProcess,
+        ProcessEvent, //
     },
     server::CHUNKS, //
 };
 
-/// Time after which what was sent under a lease has arrived.
-pub(crate) const UNDER_WAY: Duration = Duration::from_millis(250);
+/// Maximum transit time of a request that was sent under a lease.
+pub(crate) const MAX_TRANSIT: Duration = Duration::from_millis(250);
 
-/// What a caller asks.
+/// Parameters of a call.
 #[derive(Clone, Debug)]
 pub(crate) struct Spec {
     pub(crate) org: OrgId,
@@ -75,34 +75,34 @@
     pub(crate) streamed: bool,
 }
 
-/// What a caller was told in the end.
+/// Final result of a call, as seen by the caller.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Told {
-    Whole,
+pub(crate) enum CallResult {
+    Complete,
     Refused(Refusal),
-    /// Its connection was lost, or it hung up.
+    /// The connection was lost, or the caller hung up.
     Lost,
 }
 
-/// One call.
+/// A call.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) request: RequestId,
     pub(crate) entry: EntryNo,
     pub(crate) spec: Spec,
-    pub(crate) told: Option<Told>,
+    pub(crate) result: Option<CallResult>,
     pub(crate) version: Option<VersionId>,
     pub(crate) token: Option<SessionToken>,
-    life: Life,
+    epoch: Epoch,
     arrived: MonoTime,
-    /// Whether the entry's process has taken it up.
-    pub(crate) taken: bool,
-    /// When it was told "not run", unless another call with its key was open.
+    /// Whether the entry's core has received it.
+    pub(crate) received_by_entry: bool,
+    /// When it was refused as not run, unless another call with its key was open.
     not_run: Option<MonoTime>,
-    got: u64,
+    received: u64,
 }
 
-/// One run at a backend server.
+/// A run at a backend server.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub(crate) at: MonoTime,
@@ -110,22 +110,22 @@
     pub(crate) version: Option<VersionId>,
 }
 
-/// All books.
+/// Everything recorded for checks of the guarantees.
 #[derive(Default)]
-pub(crate) struct Books {
+pub(crate) struct History {
     pub(crate) calls: Vec<Call>,
     pub(crate) runs: Vec<Run>,
-    /// When each revision was first told to be in force.
+    /// When each revision was first reported as in force.
     pub(crate) in_force: BTreeMap<Revision, MonoTime>,
-    /// Fleet files accepted, by revision, and when.
+    /// Accepted fleet files by revision, with the time.
     pub(crate) accepted: BTreeMap<Revision, (MonoTime, Fleet)>,
-    /// Who asked the control group under which ticket.
-    pub(crate) tickets: BTreeMap<u64, (EntryNo, Life, ControlRequestId)>,
-    /// Bodies that crash backend servers.
-    pub(crate) killers: BTreeSet<Digest>,
-    /// Messages on the interfaces, if they are wanted.
-    pub(crate) seen: Option<Vec<(MonoTime, EntryNo, EntryAction)>>,
-    faults: Vec<String>,
+    /// Sender of each request to the control group, by ticket.
+    pub(crate) tickets: BTreeMap<u64, (EntryNo, Epoch, ControlRequestId)>,
+    /// Digests of bodies that crash backend servers.
+    pub(crate) crashing_bodies: BTreeSet<Digest>,
+    /// Actions of the entries, if they are recorded.
+    pub(crate) actions: Option<Vec<(MonoTime, EntryNo, EntryAction)>>,
+    violations: Vec<String>,
 }
 
 impl Spec {
@@ -149,7 +149,7 @@
         self
     }
 
-    fn once(&self) -> bool {
+    fn at_most_once(&self) -> bool {
         matches!(self.class, "confirmation" | "booking")
     }
 
@@ -157,18 +157,18 @@
         format!("answer to {} {:x}", self.org, self.digest).into_bytes()
     }
 
-    fn same_key(&self, other: &Self) -> bool {
+    fn has_same_key(&self, other: &Self) -> bool {
         self.key.is_some() && self.org == other.org && self.key == other.key
     }
 }
 
 impl World {
-    /// Lets a caller ask an entry. Returns the number of the call.
+    /// Sends a call to an entry. Returns the index of the call.
     pub(crate) fn call(&mut self, entry: EntryNo, spec: Spec) -> usize {
-        let at = self.books.calls.len();
+        let at = self.history.calls.len();
         let request = RequestId::try_from(at + 1).unwrap() << 32;
-        let edge = &self.entries[entry];
-        let up = edge.core.is_some();
+        let process = &self.entries[entry];
+        let up = process.core.is_some();
         let arrival = Arrival {
             request,
             org: spec.org.clone(),
@@ -183,64 +183,64 @@
             prompt_tokens: 10,
             max_tokens: 40,
         };
-        self.books.calls.push(Call {
+        self.history.calls.push(Call {
             request,
             entry,
             spec,
-            told: (!up).then_some(Told::Lost),
+            result: (!up).then_some(CallResult::Lost),
             version: None,
             token: None,
-            life: edge.life,
+            epoch: process.epoch,
             arrived: self.now,
-            taken: false,
+            received_by_entry: false,
             not_run: None,
-            got: 0,
+            received: 0,
         });
-        let life = edge.life;
-        let event = EdgeEvent::Core(EntryEvent::Arrived(Box::new(arrival)));
-        self.later(Duration::ZERO, Event::Edge(entry, life, event));
+        let epoch = process.epoch;
+        let event = ProcessEvent::Core(EntryEvent::Arrived(Box::new(arrival)));
+        self.schedule(Duration::ZERO, Event::Entry(entry, epoch, event));
         at
     }
 
-    /// Lets a caller hang up.
+    /// Makes a caller hang up.
     pub(crate) fn hang_up(&mut self, call: usize) {
-        let call = &mut self.books.calls[call];
-        if call.told.is_none() {
-            call.told = Some(Told::Lost);
-            let (entry, life, request) = (call.entry, call.life, call.request);
-            let event = EdgeEvent::Core(EntryEvent::CallerGone { request });
-            self.later(Duration::ZERO, Event::Edge(entry, life, event));
+        let call = &mut self.history.calls[call];
+        if call.result.is_none() {
+            call.result = Some(CallResult::Lost);
+            let (entry, epoch, request) = (call.entry, call.epoch, call.request);
+            let event = ProcessEvent::Core(EntryEvent::CallerGone { request });
+            self.schedule(Duration::ZERO, Event::Entry(entry, epoch, event));
         }
     }
 
-    /// Waits until a call has its final answer.
-    pub(crate) fn answer(&mut self, call: usize) -> Told {
-        self.wait(|world| world.books.calls[call].told.clone())
+    /// Runs until a call has its result.
+    pub(crate) fn wait_result(&mut self, call: usize) -> CallResult {
+        self.wait(|world| world.history.calls[call].result.clone())
     }
 
-    /// Whether another call with the same key may still go on.
-    pub(crate) fn open_elsewhere(&self, request: RequestId) -> bool {
-        let me = &self.books.calls[number(request)];
-        self.books.calls.iter().any(|call| {
-            let edge = &self.entries[call.entry];
-            let alive = edge.life == call.life && edge.core.is_some();
-            let open = call.told.is_none()
-                || edge.frozen.is_some()
-                || edge
+    /// Returns whether another call with the same key may still be in progress.
+    pub(crate) fn has_open_duplicate(&self, request: RequestId) -> bool {
+        let me = &self.history.calls[call_index(request)];
+        self.history.calls.iter().any(|call| {
+            let process = &self.entries[call.entry];
+            let alive = process.epoch == call.epoch && process.core.is_some();
+            let open = call.result.is_none()
+                || process.frozen.is_some()
+                || process
                     .core
                     .as_ref()
                     .is_some_and(|core| core.has(call.request));
-            call.request != request && call.spec.same_key(&me.spec) && alive && open
+            call.request != request && call.spec.has_same_key(&me.spec) && alive && open
         })
     }
 
-    /// Checks what holds once every fault is over, and that all came to an end.
-    pub(crate) fn settle(&mut self) {
-        self.heal();
+    /// Ends all faults, waits for all calls to end, and checks the guarantees.
+    pub(crate) fn settle_and_check(&mut self) {
+        self.end_faults();
         for _ in 0..30 {
             self.run(Duration::from_secs(3));
-            let open = self.books.calls.iter().any(|call| call.told.is_none());
-            let busy = self.entries.iter().any(Edge::is_busy);
+            let open = self.history.calls.iter().any(|call| call.result.is_none());
+            let busy = self.entries.iter().any(EntryProcess::is_busy);
             if !open && !busy {
                 break;
             }
@@ -251,24 +251,25 @@
             let (left, slots) = (core.in_flight(), core.slots_held());
             if left > 0 || slots > 0 {
                 let fault = format!("entry {at} holds {left} requests, {slots} slots");
-                self.books.fault(fault);
+                self.history.record_violation(fault);
             }
         }
-        for at in 0..self.books.calls.len() {
-            if self.books.calls[at].told.is_none() {
-                self.books.fault(format!("call {at} never ended"));
+        for at in 0..self.history.calls.len() {
+            if self.history.calls[at].result.is_none() {
+                self.history
+                    .record_violation(format!("call {at} has no result"));
             }
         }
         self.check_bills();
-        self.books.check_sessions();
+        self.history.check_sessions();
     }
 
-    /// Checks the billing entries against what ran and what callers were told.
+    /// Checks the billing entries against the runs and the results of calls.
     fn check_bills(&mut self) {
         let leader = self.wait(|world| world.leader());
         let state = self.nodes[&leader].core.as_ref().unwrap().state();
         let mut faults = Vec::new();
-        let keys: BTreeSet<ClaimKey> = self.books.keys();
+        let keys: BTreeSet<ClaimKey> = self.history.keys();
         let bills = state.bills(1, 10_000);
         for key in keys {
             let of_key: Vec<_> = bills.iter().filter(|b| b.key == key).collect();
@@ -280,130 +281,134 @@
                 Some(ClaimState::Unknown) => states == [BillState::Open],
                 Some(ClaimState::Abandoned) => matches!(states[..], [] | [BillState::Void]),
             };
-            // A claim whose entry died ends when its key is used again, or as
-            // unknown when its retention is over.
+            // A claim whose entry is down ends when its key is used again, or as
+            // unknown after its retention.
             let owner = state.claim(&key).map(|view| &view.claimant);
-            let alive = self.entries.iter().any(|edge| {
-                owner.is_some_and(|o| o.instance == edge.cfg.instance && o.incarnation == edge.life)
+            let alive = self.entries.iter().any(|process| {
+                owner.is_some_and(|o| {
+                    o.instance == process.cfg.instance && o.incarnation == process.epoch
+                })
             });
-            let whole = self.books.was_whole(&key);
+            let whole = self.history.was_complete(&key);
             let charged = states == [BillState::Charged];
             let unbilled = whole && !charged && alive;
-            let unfounded = charged && !self.books.ran_key(&key);
+            let unfounded = charged && !self.history.has_run(&key);
             if !good || unbilled || unfounded {
                 let fault = format!("{key:?}: {claim:?}, {states:?}, whole {whole}");
                 faults.push(fault);
             }
             if alive && claim == Some(&ClaimState::Open) {
-                faults.push(format!("{key:?}: its claim never ended"));
+                faults.push(format!("{key:?}: its claim is still open"));
             }
         }
-        faults.into_iter().for_each(|f| self.books.fault(f));
+        faults
+            .into_iter()
+            .for_each(|f| self.history.record_violation(f));
     }
 }
 
-impl Books {
-    pub(crate) fn fault(&mut self, fault: String) {
-        self.faults.push(fault);
+impl History {
+    pub(crate) fn record_violation(&mut self, fault: String) {
+        self.violations.push(fault);
     }
 
-    /// Promises that were broken so far.
-    pub(crate) fn broken(&self) -> &[String] {
-        &self.faults
+    /// Violations of guarantees so far.
+    pub(crate) fn violations(&self) -> &[String] {
+        &self.violations
     }
 
-    /// Runs of one key.
+    /// Returns the number of runs of a key.
     pub(crate) fn runs_of(&self, key: &str) -> usize {
         let of = |r: &&Run| self.calls[r.call].spec.key.as_deref() == Some(key);
         self.runs.iter().filter(of).count()
     }
 
-    pub(crate) fn accept(&mut self, now: MonoTime, revision: Revision, fleet: &Fleet) {
+    pub(crate) fn record_accepted(&mut self, now: MonoTime, revision: Revision, fleet: &Fleet) {
         self.accepted
             .entry(revision)
             .or_insert((now, fleet.clone()));
     }
 
     pub(crate) fn body(&self, request: RequestId) -> Vec<u8> {
-        self.calls[number(request)].spec.body()
+        self.calls[call_index(request)].spec.body()
     }
 
-    pub(crate) fn kills(&self, request: RequestId) -> bool {
-        self.killers
-            .contains(&self.calls[number(request)].spec.digest)
+    pub(crate) fn is_crashing(&self, request: RequestId) -> bool {
+        self.crashing_bodies
+            .contains(&self.calls[call_index(request)].spec.digest)
     }
 
-    pub(crate) fn lose(&mut self, entry: EntryNo) {
+    pub(crate) fn drop_calls(&mut self, entry: EntryNo) {
         for call in self.calls.iter_mut().filter(|c| c.entry == entry) {
-            call.told.get_or_insert(Told::Lost);
+            call.result.get_or_insert(CallResult::Lost);
         }
     }
 
     pub(crate) fn open_at(&self, entry: EntryNo) -> Option<usize> {
         self.calls
             .iter()
-            .position(|c| c.entry == entry && c.taken && c.told.is_none())
+            .position(|c| c.entry == entry && c.received_by_entry && c.result.is_none())
     }
 
-    pub(crate) fn take(&mut self, event: &EntryEvent) {
+    pub(crate) fn record_event(&mut self, event: &EntryEvent) {
         if let EntryEvent::Arrived(arrival) = event {
-            self.calls[number(arrival.request)].taken = true;
+            self.calls[call_index(arrival.request)].received_by_entry = true;
         }
     }
 
-    pub(crate) fn seen(&mut self, now: MonoTime, at: EntryNo, action: &EntryAction) {
-        if let Some(seen) = &mut self.seen {
+    pub(crate) fn record_action(&mut self, now: MonoTime, at: EntryNo, action: &EntryAction) {
+        if let Some(seen) = &mut self.actions {
             seen.push((now, at, action.clone()));
         }
     }
 
-    /// A request, or a resume, is sent.
-    pub(crate) fn dispatched(&mut self, dispatch: &Dispatch) {
-        let call = &mut self.calls[number(dispatch.request)];
+    /// Records that an attempt is sent.
+    pub(crate) fn record_dispatch(&mut self, dispatch: &Dispatch) {
+        let call = &mut self.calls[call_index(dispatch.request)];
         if dispatch.headers.session.is_some() {
             call.token.clone_from(&dispatch.headers.session);
         }
         call.version.clone_from(&dispatch.version);
         let anew = !matches!(dispatch.kind, DispatchKind::Resume { events } if events > 0);
         if anew && !dispatch.hold {
-            if call.spec.streamed && call.got > 0 && call.told.is_none() {
-                let fault = format!("request {:x} got parts of two answers", call.request);
-                self.faults.push(fault);
+            if call.spec.streamed && call.received > 0 && call.result.is_none() {
+                let fault = format!("request {:x} received parts of two responses", call.request);
+                self.violations.push(fault);
             }
-            call.got = 0;
+            call.received = 0;
         }
     }
 
-    pub(crate) fn chunk(&mut self, request: RequestId, n: u64, hold: bool) {
-        let call = &mut self.calls[number(request)];
+    pub(crate) fn record_chunk(&mut self, request: RequestId, n: u64, hold: bool) {
+        let call = &mut self.calls[call_index(request)];
         if hold {
             return;
         }
-        if n != call.got + 1 {
-            self.faults.push(format!(
-                "request {request:x} got part {n} after {}",
-                call.got
+        if n != call.received + 1 {
+            self.violations.push(format!(
+                "request {request:x} received part {n} after {}",
+                call.received
             ));
         }
-        call.got = n;
+        call.received = n;
     }
 
-    pub(crate) fn released(&mut self, request: RequestId) {
-        self.calls[number(request)].got = CHUNKS;
+    pub(crate) fn record_release(&mut self, request: RequestId) {
+        self.calls[call_index(request)].received = CHUNKS;
     }
 
-    pub(crate) fn finish(&mut self, now: MonoTime, request: RequestId) {
-        let call = &self.calls[number(request)];
+    pub(crate) fn record_finish(&mut self, now: MonoTime, request: RequestId) {
+        let call = &self.calls[call_index(request)];
         let engine = !matches!(call.spec.wanted, Wanted::Service(_));
-        if engine && call.got != CHUNKS {
-            self.fault(format!("request {request:x} finished truncated"));
+        if engine && call.received != CHUNKS {
+            self.record_violation(format!("request {request:x} finished truncated"));
         }
-        self.tell(now, request, Told::Whole, false);
+        self.record_result(now, request, CallResult::Complete, false);
     }
 
-    pub(crate) fn replayed(&mut self, request: RequestId, answer: &Completed) {
+    pub(crate) fn record_replay(&mut self, request: RequestId, answer: &Completed) {
         self.check_body(request, answer);
-        self.tell(MonoTime::ZERO, request, Told::Whole, false);
+        self.record_result(MonoTime::ZERO, request, CallResult::Complete, false);
     }
 
     pub(crate) fn check_body(&mut self, request: RequestId, answer: &Completed) {
@@ -412,49 +417,62 @@
             .as_ref()
             .is_some_and(|body| *body != self.body(request))
         {
-            self.fault(format!("request {request:x} got another's answer"));
+            self.record_violation(format!(
+                "request {request:x} received the response of another request"
+            ));
         }
     }
 
-    /// A caller is told how its call ends. "Not run" is checked at once, and
-    /// against every later run.
-    pub(crate) fn tell(&mut self, now: MonoTime, request: RequestId, told: Told, others: bool) {
-        let at = number(request);
-        if matches!(self.calls[at].told, Some(Told::Whole | Told::Refused(_))) {
-            self.fault(format!("call {at} ended twice"));
+    /// Records the result of a call. A refusal as not run is checked against all
+    /// earlier and later runs.
+    pub(crate) fn record_result(
+        &mut self,
+        now: MonoTime,
+        request: RequestId,
+        told: CallResult,
+        others: bool,
+    ) {
+        let at = call_index(request);
+        if matches!(
+            self.calls[at].result,
+            Some(CallResult::Complete | CallResult::Refused(_))
+        ) {
+            self.record_violation(format!("call {at} has two results"));
         }
-        if matches!(&told, Told::Refused(r) if r.outcome == RunOutcome::NotRun) {
-            let ran = self.runs.iter().any(|run| self.same_work(at, run.call));
+        if matches!(&told, CallResult::Refused(r) if r.outcome == RunOutcome::NotRun) {
+            let ran = self.runs.iter().any(|run| self.is_same_work(at, run.call));
             if ran {
-                self.fault(format!("call {at} was told not run, but ran: {told:?}"));
+                self.record_violation(format!(
+                    "call {at} was refused as not run, but ran: {told:?}"
+                ));
             }
             if !others {
                 self.calls[at].not_run = Some(now);
             }
         }
-        self.calls[at].told.get_or_insert(told);
+        self.calls[at].result.get_or_insert(told);
     }
 
-    /// A backend server starts a run.
-    pub(crate) fn ran(&mut self, now: MonoTime, dispatch: &Dispatch, leased: bool) {
-        let at = number(dispatch.request);
+    /// Records the start of a run and checks it.
+    pub(crate) fn record_run(&mut self, now: MonoTime, dispatch: &Dispatch, lease_held: bool) {
+        let at = call_index(dispatch.request);
         let spec = self.calls[at].spec.clone();
         let later = self.calls.iter().enumerate().any(|(other, call)| {
             call.not_run
                 .is_some_and(|told| self.calls[at].arrived < told)
-                && self.same_work(other, at)
+                && self.is_same_work(other, at)
         });
         if later {
-            self.fault(format!("call {at} ran after its caller was told not run"));
+            self.record_violation(format!("call {at} ran after it was refused as not run"));
         }
-        if spec.once() {
-            let before = |run: &&Run| self.calls[run.call].spec.same_key(&spec);
+        if spec.at_most_once() {
+            let before = |run: &&Run| self.calls[run.call].spec.has_same_key(&spec);
             if let Some(run) = self.runs.iter().find(before).cloned() {
-                self.fault(format!("call {at} ran again after {run:?}"));
+                self.record_violation(format!("call {at} ran again after {run:?}"));
             }
         }
         if let Some(version) = &dispatch.version {
-            self.check_version(now, at, version, leased);
+            self.check_version(now, at, version, lease_held);
         }
         self.runs.push(Run {
             at: now,
@@ -463,20 +481,20 @@
         });
     }
 
-    /// Whether a run of one call makes "not run" untrue for another.
-    fn same_work(&self, told: usize, ran: usize) -> bool {
+    /// Returns whether a run of one call contradicts "not run" for another.
+    fn is_same_work(&self, told: usize, ran: usize) -> bool {
         let (a, b) = (&self.calls[told].spec, &self.calls[ran].spec);
-        told == ran || a.once() && a.same_key(b) && a.digest == b.digest
+        told == ran || a.at_most_once() && a.has_same_key(b) && a.digest == b.digest
     }
 
-    fn check_version(&mut self, now: MonoTime, at: usize, version: &VersionId, leased: bool) {
+    fn check_version(&mut self, now: MonoTime, at: usize, version: &VersionId, lease_held: bool) {
         let org = &self.calls[at].spec.org;
         let allowed = |(_, fleet): &(MonoTime, Fleet)| {
             let org = fleet.organisation(org);
             org.is_some_and(|org| org.allow.contains(version))
         };
         if !self.accepted.values().any(allowed) {
-            self.fault(format!("call {at} ran on {version}, which is not allowed"));
+            self.record_violation(format!("call {at} ran on {version}, which is not allowed"));
         }
         let since = self
             .accepted
@@ -484,16 +502,16 @@
             .find(|(_, (_, fleet))| withdrawn(fleet, version));
         let Some((revision, _)) = since else { return };
         let in_force = self.in_force.range(revision..).map(|(_, at)| *at).min();
-        // An entry without its lease serves settled versions: it is told so in
-        // the docs, and the lease is why the revision is in force elsewhere.
-        if leased && in_force.is_some_and(|from| from + UNDER_WAY < now) {
-            self.fault(format!(
+        // An entry without its lease serves settled versions, as documented; a
+        // revision comes into force without the entries that have no lease.
+        if lease_held && in_force.is_some_and(|from| from + MAX_TRANSIT < now) {
+            self.record_violation(format!(
                 "call {at} ran on {version}, withdrawn since {in_force:?}"
             ));
         }
     }
 
-    /// A session has one version, but for one whose version was withdrawn.
+    /// Checks that each session keeps one version unless it is withdrawn.
     fn check_sessions(&mut self) {
         let mut of: BTreeMap<(OrgId, SessionId), Vec<(MonoTime, VersionId)>> = BTreeMap::new();
         for run in &self.runs {
@@ -526,7 +544,7 @@
                     && self.withdrawn_at(&pair[1].1).is_none()
             });
             if changed > 1 || early {
-                self.faults
+                self.violations
                     .push(format!("session {session:?} ran on {seen:?}"));
             }
         }
@@ -538,7 +556,7 @@
     }
 
     fn keys(&self) -> BTreeSet<ClaimKey> {
-        let once = self.calls.iter().filter(|call| call.spec.once());
+        let once = self.calls.iter().filter(|call| call.spec.at_most_once());
         once.filter_map(|call| {
             Some(ClaimKey {
                 org: call.spec.org.clone(),
@@ -556,19 +574,19 @@
         })
     }
 
-    fn was_whole(&self, key: &ClaimKey) -> bool {
+    fn was_complete(&self, key: &ClaimKey) -> bool {
         self.of_key(key)
-            .any(|at| self.calls[at].told == Some(Told::Whole))
+            .any(|at| self.calls[at].result == Some(CallResult::Complete))
     }
 
-    fn ran_key(&self, key: &ClaimKey) -> bool {
+    fn has_run(&self, key: &ClaimKey) -> bool {
         self.of_key(key)
             .any(|at| self.runs.iter().any(|run| run.call == at))
     }
 }
 
-/// Number of the call that a request id belongs to.
-fn number(request: RequestId) -> usize {
+/// Returns the index of the call that a request id belongs to.
+fn call_index(request: RequestId) -> usize {
     usize::try_from((request >> 32) - 1).unwrap()
 }
 
--- a/sesamebeam_core/tests/proofs/world/server.rs
+++ b/sesamebeam_core/tests/proofs/world/server.rs
@@ -1,4 +1,4 @@
-//! Fake backend servers of the world: engines with streams, plain services.
+//! Simulated backend servers: engines with streams, and plain services.
 
 use std::{
     collections::{
@@ -38,56 +38,56 @@
 use super::{
     DomainNo,
     EntryNo,
+    Epoch,
     Event,
-    Life,
     ServerNo,
     World, //
-    edge::{
+    entry_process::{
         ConnId,
-        EdgeEvent,
-        Heard, //
+        ProcessEvent,
+        ServerMessage, //
     },
     files, //
 };
 
-/// Parts of each answer.
+/// Number of parts of each response.
 pub(crate) const CHUNKS: u64 = 4;
 
-/// Time between two announcements.
-const ANNOUNCE: Duration = Duration::from_secs(1);
+/// Interval between announcements.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Connection of an attempt at an entry.
-pub(crate) type From = (EntryNo, Life, ConnId);
+/// An attempt's connection and the entry process that opened it.
+pub(crate) type AttemptConn = (EntryNo, Epoch, ConnId);
 
-/// Something that happens to a backend server.
+/// An event of a backend server.
 #[derive(Clone, Debug)]
 pub(crate) enum ServerEvent {
-    /// It announces itself, in this life.
+    /// The incarnation sends an announcement.
     Announce(Incarnation),
-    /// An entry asks something of one of its lives.
-    Asked(Incarnation, Asked),
-    /// A stream goes on by a part.
-    Go(Incarnation, RequestId),
-    /// A killer request takes it down.
-    Die(Incarnation),
+    /// An entry sent a request to the incarnation.
+    Request(Incarnation, ServerRequest),
+    /// The next part of a stream is produced.
+    NextPart(Incarnation, RequestId),
+    /// A request crashes it.
+    Crash(Incarnation),
 }
 
-/// What an entry asks of a backend server.
+/// Request of an entry to a backend server.
 #[derive(Clone, Debug)]
-pub(crate) enum Asked {
-    /// To run a request; with whether the entry held its lease.
-    Run(From, Box<Dispatch>, bool),
-    /// To go on with a stream after this many parts.
-    Resume(From, RequestId, u64),
-    /// What became of a call.
-    LookUp(From, RequestId),
-    /// To cancel an id on behalf of a request, with an answer.
-    Cancel((EntryNo, Life), RequestId, RequestId),
-    /// To cancel an id, without an answer.
+pub(crate) enum ServerRequest {
+    /// Runs a request; holds whether the entry held its lease.
+    Run(AttemptConn, Box<Dispatch>, bool),
+    /// Resumes a stream after this many parts.
+    Resume(AttemptConn, RequestId, u64),
+    /// Looks up the state of a request.
+    LookUp(AttemptConn, RequestId),
+    /// Cancels an id on behalf of a request, with a reply.
+    Cancel((EntryNo, Epoch), RequestId, RequestId),
+    /// Cancels an id, without a reply.
     Forget(RequestId),
 }
 
-/// A request being run, or that was.
+/// A request that is running or has run.
 #[derive(Clone, Debug)]
 struct Stream {
     parts: u64,
@@ -96,16 +96,16 @@
     readers: Vec<Reader>,
 }
 
-/// A connection on which a stream is read.
+/// A connection on which a stream is sent.
 #[derive(Clone, Debug)]
 struct Reader {
-    from: From,
+    from: AttemptConn,
     next: u64,
     last: MonoTime,
     silent: bool,
 }
 
-/// One backend server.
+/// A backend server.
 pub(crate) struct Server {
     pub(crate) addr: SocketAddr,
     pub(crate) domain: DomainNo,
@@ -133,7 +133,7 @@
         }
     }
 
-    fn life(&self) -> ServerLife {
+    fn server_life(&self) -> ServerLife {
         ServerLife {
             addr: self.addr,
             incarnation: self.incarnation,
@@ -159,17 +159,20 @@
         self.servers.iter().position(|s| s.addr == addr).unwrap()
     }
 
-    pub(crate) fn serve(&mut self, at: ServerNo, event: ServerEvent) {
+    pub(crate) fn handle_server_event(&mut self, at: ServerNo, event: ServerEvent) {
         let server = &self.servers[at];
         let (life, up) = (server.incarnation, server.up);
         match event {
             ServerEvent::Announce(of) if of == life && up => {
                 self.announce(at);
-                self.later(ANNOUNCE, Event::Server(at, ServerEvent::Announce(of)));
+                self.schedule(
+                    ANNOUNCE_INTERVAL,
+                    Event::Server(at, ServerEvent::Announce(of)),
+                );
             }
-            ServerEvent::Asked(of, asked) if up => self.asked(at, of, asked),
-            ServerEvent::Go(of, id) if of == life && up => self.go(at, id),
-            ServerEvent::Die(of) if of == life && up => self.crash(at),
+            ServerEvent::Request(of, request) if up => self.handle_server_request(at, of, request),
+            ServerEvent::NextPart(of, id) if of == life && up => self.produce_part(at, id),
+            ServerEvent::Crash(of) if of == life && up => self.crash_server(at),
             _ => {}
         }
     }
@@ -196,31 +199,31 @@
             speed: 40.0,
         };
         let domain = server.domain;
-        // One that does not answer is passed over: the backend server tells the
-        // next, as docs/INTERFACES.md wants.
-        let near = |at: &EntryNo| {
-            let edge = &self.entries[*at];
-            edge.domain == domain && edge.core.is_some() && edge.frozen.is_none()
+        // Entries that do not respond are skipped: the backend server announces
+        // itself to the next one, as specified in docs/INTERFACES.md.
+        let reachable = |at: &EntryNo| {
+            let process = &self.entries[*at];
+            process.domain == domain && process.core.is_some() && process.frozen.is_none()
         };
-        let entries: Vec<EntryNo> = (0..self.entries.len()).filter(near).collect();
+        let entries: Vec<EntryNo> = (0..self.entries.len()).filter(reachable).collect();
         if entries.is_empty() {
             return;
         }
         let to = entries[self.rng.random_range(0..entries.len())];
-        let event = EdgeEvent::Core(EntryEvent::Announced(Box::new(announcement)));
-        let event = Event::Edge(to, self.entries[to].life, event);
+        let event = ProcessEvent::Core(EntryEvent::Announced(Box::new(announcement)));
+        let event = Event::Entry(to, self.entries[to].epoch, event);
         self.send(domain, domain, event);
     }
 
-    pub(crate) fn crash(&mut self, at: ServerNo) {
-        self.break_streams(at);
+    pub(crate) fn crash_server(&mut self, at: ServerNo) {
+        self.break_connections(at);
         let server = &mut self.servers[at];
         server.up = false;
         server.streams.clear();
         server.cancelled.clear();
     }
 
-    pub(crate) fn boot(&mut self, at: ServerNo) {
+    pub(crate) fn restart_server(&mut self, at: ServerNo) {
         let server = &mut self.servers[at];
         if server.up {
             return;
@@ -230,69 +233,74 @@
         server.incarnation += 1;
         server.seq = 0;
         let life = server.incarnation;
-        self.later(
+        self.schedule(
             Duration::ZERO,
             Event::Server(at, ServerEvent::Announce(life)),
         );
     }
 
-    pub(crate) fn leave(&mut self, at: ServerNo) {
+    pub(crate) fn start_leaving(&mut self, at: ServerNo) {
         self.servers[at].leaving.get_or_insert(self.now);
         self.announce(at);
     }
 
-    /// Open connections go silent: something between the ends forgot them.
-    pub(crate) fn silence(&mut self, at: ServerNo) {
+    /// Silences open connections, as a middlebox that loses their state does.
+    pub(crate) fn silence_connections(&mut self, at: ServerNo) {
         for stream in self.servers[at].streams.values_mut() {
             stream.readers.iter_mut().for_each(|r| r.silent = true);
         }
     }
 
-    pub(crate) fn break_streams(&mut self, at: ServerNo) {
+    pub(crate) fn break_connections(&mut self, at: ServerNo) {
         let streams = &mut self.servers[at].streams;
         let readers: Vec<Reader> = streams
             .values_mut()
             .flat_map(|s| std::mem::take(&mut s.readers))
             .collect();
         for mut reader in readers {
-            self.pass(at, &mut reader, broken());
+            self.send_in_order(at, &mut reader, broken());
         }
     }
 
-    /// Passes something on over a connection, in order, or never again.
-    fn pass(&mut self, at: ServerNo, reader: &mut Reader, heard: Heard) {
+    /// Sends a message on a connection, in order. After one message is lost, the
+    /// connection stays silent.
+    fn send_in_order(&mut self, at: ServerNo, reader: &mut Reader, heard: ServerMessage) {
         let (entry, life, id) = reader.from;
         let (from, to) = (self.servers[at].domain, self.entries[entry].domain);
-        let Some(after) = self.travel(from, to).filter(|_| !reader.silent) else {
+        let Some(after) = self.transit_time(from, to).filter(|_| !reader.silent) else {
             reader.silent = true;
             return;
         };
         reader.last = reader.last.max(self.now + after) + Duration::from_micros(1);
-        let event = Event::Edge(entry, life, EdgeEvent::Heard(id, heard));
-        self.later(reader.last - self.now, event);
+        let event = Event::Entry(entry, life, ProcessEvent::Received(id, heard));
+        self.schedule(reader.last - self.now, event);
     }
 
-    fn report(&mut self, at: ServerNo, from: From, report: AttemptReport) {
+    fn report(&mut self, at: ServerNo, from: AttemptConn, report: AttemptReport) {
         let mut reader = Reader::new(from, 0);
-        self.pass(at, &mut reader, Heard::Report(report));
+        self.send_in_order(at, &mut reader, ServerMessage::Report(report));
     }
 
-    fn asked(&mut self, at: ServerNo, of: Incarnation, asked: Asked) {
-        let (life, engine) = (self.servers[at].life(), self.servers[at].engine);
-        match asked {
-            // The connection was to an earlier life.
-            Asked::Run(from, ..) | Asked::Resume(from, ..) | Asked::LookUp(from, ..)
+    fn handle_server_request(&mut self, at: ServerNo, of: Incarnation, request: ServerRequest) {
+        let (life, engine) = (self.servers[at].server_life(), self.servers[at].engine);
+        match request {
+            // The connection was to an earlier incarnation.
+            ServerRequest::Run(from, ..)
+            | ServerRequest::Resume(from, ..)
+            | ServerRequest::LookUp(from, ..)
                 if of != life.incarnation =>
             {
                 self.report(at, from, AttemptReport::Broken { events: 0 });
             }
-            Asked::Run(from, dispatch, leased) => self.run_here(at, from, &dispatch, leased),
-            Asked::Resume(from, id, events) => {
+            ServerRequest::Run(from, dispatch, leased) => {
+                self.start_run(at, from, &dispatch, leased)
+            }
+            ServerRequest::Resume(from, id, events) => {
                 let server = &mut self.servers[at];
                 match server.streams.get_mut(&id) {
                     Some(stream) if !stream.cancelled => {
                         stream.readers.push(Reader::new(from, events));
-                        self.flow(at, id);
+                        self.send_parts(at, id);
                     }
                     known => {
                         let known = match known {
@@ -303,27 +311,29 @@
                     }
                 }
             }
-            Asked::LookUp(from, id) => {
+            ServerRequest::LookUp(from, id) => {
                 let found = self.servers[at].streams.get(&id);
                 let heard = match found {
-                    Some(stream) if stream.parts == CHUNKS => Heard::End(stream.whole()),
+                    Some(stream) if stream.parts == CHUNKS => {
+                        ServerMessage::End(stream.finished_response())
+                    }
                     Some(_) => not_there(ServerKnows::Unreachable),
                     None => not_there(ServerKnows::Never { life }),
                 };
-                self.pass(at, &mut Reader::new(from, 0), heard);
+                self.send_in_order(at, &mut Reader::new(from, 0), heard);
             }
-            Asked::Cancel((entry, entry_life), request, id) => {
+            ServerRequest::Cancel((entry, entry_epoch), request, id) => {
                 let known = match engine {
                     true => self.cancel(at, id),
                     false => ServerKnows::Unreachable,
                 };
-                let event = EdgeEvent::Cancelled(request, id, known);
+                let event = ProcessEvent::Cancelled(request, id, known);
                 let (from, to) = (self.servers[at].domain, self.entries[entry].domain);
-                if let Some(after) = self.travel(from, to) {
-                    self.later(after, Event::Edge(entry, entry_life, event));
+                if let Some(after) = self.transit_time(from, to) {
+                    self.schedule(after, Event::Entry(entry, entry_epoch, event));
                 }
             }
-            Asked::Forget(id) => {
+            ServerRequest::Forget(id) => {
                 if engine {
                     self.cancel(at, id);
                 }
@@ -333,7 +343,7 @@
 
     fn cancel(&mut self, at: ServerNo, id: RequestId) -> ServerKnows {
         let server = &mut self.servers[at];
-        let life = server.life();
+        let life = server.server_life();
         let Some(stream) = server.streams.get_mut(&id) else {
             server.cancelled.insert(id);
             return ServerKnows::Never { life };
@@ -341,13 +351,13 @@
         if stream.parts < CHUNKS {
             stream.cancelled = true;
             for mut reader in std::mem::take(&mut stream.readers) {
-                self.pass(at, &mut reader, broken());
+                self.send_in_order(at, &mut reader, broken());
             }
         }
         ServerKnows::Has
     }
 
-    fn run_here(&mut self, at: ServerNo, from: From, dispatch: &Dispatch, leased: bool) {
+    fn start_run(&mut self, at: ServerNo, from: AttemptConn, dispatch: &Dispatch, leased: bool) {
         let server = &mut self.servers[at];
         let refusal = if server.cancelled.contains(&dispatch.id) {
             Some(ServerRefusal::Cancelled)
@@ -359,28 +369,28 @@
         if let Some(why) = refusal {
             return self.report(at, from, AttemptReport::Refused(why));
         }
-        let life = server.life();
+        let life = server.server_life();
         let stream = Stream {
             parts: 0,
             cancelled: false,
-            body: self.books.body(dispatch.request),
+            body: self.history.body(dispatch.request),
             readers: vec![Reader::new(from, 0)],
         };
         server.streams.insert(dispatch.id, stream);
-        self.ran(at, from, dispatch, leased);
-        let die = self.books.kills(dispatch.request);
-        let event = match die {
-            true => ServerEvent::Die(life.incarnation),
-            false => ServerEvent::Go(life.incarnation, dispatch.id),
+        self.record_run(at, from, dispatch, leased);
+        let crashes = self.history.is_crashing(dispatch.request);
+        let event = match crashes {
+            true => ServerEvent::Crash(life.incarnation),
+            false => ServerEvent::NextPart(life.incarnation, dispatch.id),
         };
-        self.later(Duration::from_millis(20), Event::Server(at, event));
-        if die {
-            let boot = Event::Fault(super::Fault::Boot(at));
-            self.later(Duration::from_secs(1), boot);
+        self.schedule(Duration::from_millis(20), Event::Server(at, event));
+        if crashes {
+            let boot = Event::Fault(super::Fault::Restart(at));
+            self.schedule(Duration::from_secs(1), boot);
         }
     }
 
-    fn go(&mut self, at: ServerNo, id: RequestId) {
+    fn produce_part(&mut self, at: ServerNo, id: RequestId) {
         let Some(stream) = self.servers[at].streams.get_mut(&id) else {
             return;
         };
@@ -391,27 +401,27 @@
         if stream.parts < CHUNKS {
             let after = Duration::from_millis(self.rng.random_range(20..400));
             let life = self.servers[at].incarnation;
-            self.later(after, Event::Server(at, ServerEvent::Go(life, id)));
+            self.schedule(after, Event::Server(at, ServerEvent::NextPart(life, id)));
         }
-        self.flow(at, id);
+        self.send_parts(at, id);
     }
 
-    /// Passes on what the readers of a stream have not got.
-    fn flow(&mut self, at: ServerNo, id: RequestId) {
+    /// Sends the parts that the readers of a stream have not received.
+    fn send_parts(&mut self, at: ServerNo, id: RequestId) {
         let engine = self.servers[at].engine;
         let Some(stream) = self.servers[at].streams.get_mut(&id) else {
             return;
         };
-        let (parts, whole) = (stream.parts, stream.whole());
+        let (parts, whole) = (stream.parts, stream.finished_response());
         let mut readers = std::mem::take(&mut stream.readers);
         for reader in &mut readers {
             while engine && reader.next < parts {
                 reader.next += 1;
-                let heard = Heard::Chunk(reader.next);
-                self.pass(at, reader, heard);
+                let heard = ServerMessage::Chunk(reader.next);
+                self.send_in_order(at, reader, heard);
             }
             if parts == CHUNKS {
-                self.pass(at, reader, Heard::End(whole.clone()));
+                self.send_in_order(at, reader, ServerMessage::End(whole.clone()));
             }
         }
         if parts < CHUNKS
@@ -421,23 +431,25 @@
         }
     }
 
-    /// Enters a run into the books and checks it.
-    fn ran(&mut self, at: ServerNo, from: From, dispatch: &Dispatch, leased: bool) {
-        let (now, server, edge) = (self.now, &self.servers[at], &self.entries[from.0]);
-        // The announcement comes within the failure domain at once; an entry
-        // that was frozen meanwhile has not heard it.
+    /// Records a run in the history and checks it.
+    fn record_run(&mut self, at: ServerNo, from: AttemptConn, dispatch: &Dispatch, leased: bool) {
+        let (now, server, process) = (self.now, &self.servers[at], &self.entries[from.0]);
+        // The announcement reaches its failure domain immediately, except entries
+        // that are frozen meanwhile.
         let told = server.leaving.map(|left| left + Duration::from_secs(2));
-        let late = told.is_some_and(|told| told < now && edge.awake + Duration::from_secs(2) < now);
-        if late && edge.domain == server.domain {
-            self.books
-                .fault(format!("server {at} got work after it left"));
+        let late = told
+            .is_some_and(|told| told < now && process.running_since + Duration::from_secs(2) < now);
+        if late && process.domain == server.domain {
+            self.history.record_violation(format!(
+                "server {at} received a request after it announced leaving"
+            ));
         }
-        self.books.ran(now, dispatch, leased);
+        self.history.record_run(now, dispatch, leased);
     }
 }
 
 impl Reader {
-    fn new(from: From, next: u64) -> Self {
+    fn new(from: AttemptConn, next: u64) -> Self {
         Self {
             from,
             next,
@@ -448,7 +460,7 @@
 }
 
 impl Stream {
-    fn whole(&self) -> Finished {
+    fn finished_response(&self) -> Finished {
         Finished {
             answer: Completed {
                 status: 200,
@@ -468,10 +480,10 @@
     }
 }
 
-fn broken() -> Heard {
-    Heard::Report(AttemptReport::Broken { events: 0 })
+fn broken() -> ServerMessage {
+    ServerMessage::Report(AttemptReport::Broken { events: 0 })
 }
 
-fn not_there(known: ServerKnows) -> Heard {
-    Heard::Report(AttemptReport::NotThere(known))
+fn not_there(known: ServerKnows) -> ServerMessage {
+    ServerMessage::Report(AttemptReport::NotThere(known))
 }
