--- a/sesamebeam_core/tests/proofs/world/entry_process.rs
+++ b/sesamebeam_core/tests/proofs/world/entry_process.rs
@@ -233,7 +233,7 @@
         }
     }
 
-    fn schedule_own(&mut self, at: EntryNo, after: Duration, event: ProcessEvent) {
+    fn schedule_process_event(&mut self, at: EntryNo, after: Duration, event: ProcessEvent) {
         let epoch = self.entries[at].epoch;
         self.schedule(after, Event::Entry(at, epoch, event));
     }
@@ -242,7 +242,7 @@
         match action {
             EntryAction::Dispatch(dispatch) => {
                 let after = Duration::from_millis(self.rng.random_range(0..3));
-                self.schedule_own(at, after, ProcessEvent::Send(dispatch));
+                self.schedule_process_event(at, after, ProcessEvent::Send(dispatch));
             }
             EntryAction::Drop {
                 request,
@@ -256,7 +256,7 @@
             } => {
                 self.entries[at].cancels.push((request, id));
                 let gone = ProcessEvent::Cancelled(request, id, ServerKnows::Unreachable);
-                self.schedule_own(at, CONNECT_TIMEOUT, gone);
+                self.schedule_process_event(at, CONNECT_TIMEOUT, gone);
                 let from = (at, self.entries[at].epoch);
                 self.send_to_server(at, server, ServerRequest::Cancel(from, request, id));
             }
@@ -269,16 +269,20 @@
                     last_reply: None,
                 };
                 self.entries[at].control_calls.insert(ask, call);
-                self.schedule_own(at, Duration::ZERO, ProcessEvent::SendToControl(ask));
+                self.schedule_process_event(at, Duration::ZERO, ProcessEvent::SendToControl(ask));
             }
             EntryAction::SendToEntries { to, message } => self.send_to_entries(at, &to, &message),
             EntryAction::Replay {
                 request, answer, ..
             } => self.history.record_replay(request, &answer),
             EntryAction::Refuse { request, refusal } => {
-                let others = self.has_open_duplicate(request);
-                self.history
-                    .record_result(self.now, request, CallResult::Refused(refusal), others);
+                let has_duplicate = self.has_open_duplicate(request);
+                self.history.record_result(
+                    self.now,
+                    request,
+                    CallResult::Refused(refusal),
+                    has_duplicate,
+                );
                 self.close_connections(at, request);
             }
             EntryAction::Release { request } => self.history.record_release(request),
@@ -290,7 +294,11 @@
                 let draw = self.rng.random_range(0..3);
                 let score = [Some(0.9), Some(0.1), None][draw];
                 let event = EntryEvent::HeldRated { request, score };
-                self.schedule_own(at, Duration::from_millis(40), ProcessEvent::Core(event));
+                self.schedule_process_event(
+                    at,
+                    Duration::from_millis(40),
+                    ProcessEvent::Core(event),
+                );
             }
             EntryAction::Notice(Notice::InForce { revision }) => {
                 let process = &mut self.entries[at];
@@ -325,8 +333,8 @@
             return;
         };
         if cancel {
-            let request_to_server = ServerRequest::Forget(conn.dispatch.id);
-            self.send_to_server(at, conn.dispatch.server.addr, request_to_server);
+            let request = ServerRequest::Forget(conn.dispatch.id);
+            self.send_to_server(at, conn.dispatch.server.addr, request);
         }
     }
 
@@ -345,7 +353,7 @@
         };
         self.entries[at].conns.insert(id, conn);
         if now >= dispatch.send_by {
-            return self.schedule_own(at, Duration::ZERO, report(AttemptReport::Late));
+            return self.schedule_process_event(at, Duration::ZERO, report(AttemptReport::Late));
         }
         self.history.record_dispatch(&dispatch);
         let addr = dispatch.server.addr;
@@ -356,13 +364,13 @@
             .is_none()
         {
             let lost = AttemptReport::ConnectFailed { refused: false };
-            return self.schedule_own(at, CONNECT_TIMEOUT, report(lost));
+            return self.schedule_process_event(at, CONNECT_TIMEOUT, report(lost));
         }
         if !self.servers[server].up {
-            return self.schedule_own(at, Duration::from_millis(1), report(down));
+            return self.schedule_process_event(at, Duration::from_millis(1), report(down));
         }
         let from = (at, epoch, id);
-        let request_to_server = match dispatch.kind {
+        let request = match dispatch.kind {
             DispatchKind::Run | DispatchKind::Hedge => {
                 let leased = self.entries[at].core().view().lease_held(now);
                 ServerRequest::Run(from, Box::new(dispatch.clone()), leased)
@@ -370,21 +378,16 @@
             DispatchKind::Resume { events } => ServerRequest::Resume(from, dispatch.id, events),
             DispatchKind::LookUp => ServerRequest::LookUp(from, dispatch.id),
         };
-        self.schedule_own(at, dispatch.progress, ProcessEvent::ProgressTimer(id));
-        self.send_to_server(at, addr, request_to_server);
+        self.schedule_process_event(at, dispatch.progress, ProcessEvent::ProgressTimer(id));
+        self.send_to_server(at, addr, request);
     }
 
-    fn send_to_server(
-        &mut self,
-        at: EntryNo,
-        addr: std::net::SocketAddr,
-        request_to_server: ServerRequest,
-    ) {
+    fn send_to_server(&mut self, at: EntryNo, addr: std::net::SocketAddr, request: ServerRequest) {
         let server = self.server_at(addr);
         let epoch = self.servers[server].incarnation;
         let (from, to) = (self.entries[at].domain, self.servers[server].domain);
         if let Some(after) = self.transit_time(from, to) {
-            let event = ServerEvent::Request(epoch, request_to_server);
+            let event = ServerEvent::Request(epoch, request);
             self.schedule(after, Event::Server(server, event));
         }
     }
@@ -453,7 +456,7 @@
         };
         let due = conn.last_received + conn.dispatch.progress;
         if due > now {
-            return self.schedule_own(at, due - now, ProcessEvent::ProgressTimer(id));
+            return self.schedule_process_event(at, due - now, ProcessEvent::ProgressTimer(id));
         }
         let report = AttemptReport::Stalled {
             events: conn.events,
@@ -524,7 +527,7 @@
         let event = ControlEvent::Client { ticket, req };
         let event = Event::Node(leader, self.node_epoch(leader), event);
         self.send(domain, domain_of(leader), event);
-        self.schedule_own(at, wait, ProcessEvent::ControlTimeout(ask, ticket));
+        self.schedule_process_event(at, wait, ProcessEvent::ControlTimeout(ask, ticket));
     }
 
     fn handle_control_response(
@@ -546,12 +549,12 @@
         match reply {
             ControlReply::NotLeader(hint) => {
                 self.set_leader(at, hint.map(|hint| hint.node));
-                self.schedule_own(at, RETRY_DELAY, ProcessEvent::SendToControl(ask));
+                self.schedule_process_event(at, RETRY_DELAY, ProcessEvent::SendToControl(ask));
             }
             ControlReply::Unavailable(_) => {
                 call.last_reply = Some(reply);
                 self.set_leader(at, None);
-                self.schedule_own(at, RETRY_DELAY, ProcessEvent::SendToControl(ask));
+                self.schedule_process_event(at, RETRY_DELAY, ProcessEvent::SendToControl(ask));
             }
             reply => {
                 process.control_calls.remove(&ask);
--- a/sesamebeam_core/tests/proofs/world/history.rs
+++ b/sesamebeam_core/tests/proofs/world/history.rs
@@ -250,8 +250,8 @@
             let core = self.entries[at].core();
             let (left, slots) = (core.in_flight(), core.slots_held());
             if left > 0 || slots > 0 {
-                let fault = format!("entry {at} holds {left} requests, {slots} slots");
-                self.history.record_violation(fault);
+                let violation = format!("entry {at} holds {left} requests, {slots} slots");
+                self.history.record_violation(violation);
             }
         }
         for at in 0..self.history.calls.len() {
@@ -268,7 +268,7 @@
     fn check_bills(&mut self) {
         let leader = self.wait(|world| world.leader());
         let state = self.nodes[&leader].core.as_ref().unwrap().state();
-        let mut faults = Vec::new();
+        let mut violations = Vec::new();
         let keys: BTreeSet<ClaimKey> = self.history.keys();
         let bills = state.bills(1, 10_000);
         for key in keys {
@@ -294,22 +294,22 @@
             let unbilled = whole && !charged && alive;
             let unfounded = charged && !self.history.has_run(&key);
             if !good || unbilled || unfounded {
-                let fault = format!("{key:?}: {claim:?}, {states:?}, whole {whole}");
-                faults.push(fault);
+                let violation = format!("{key:?}: {claim:?}, {states:?}, whole {whole}");
+                violations.push(violation);
             }
             if alive && claim == Some(&ClaimState::Open) {
-                faults.push(format!("{key:?}: its claim is still open"));
+                violations.push(format!("{key:?}: its claim is still open"));
             }
         }
-        faults
+        violations
             .into_iter()
             .for_each(|f| self.history.record_violation(f));
     }
 }
 
 impl History {
-    pub(crate) fn record_violation(&mut self, fault: String) {
-        self.violations.push(fault);
+    pub(crate) fn record_violation(&mut self, violation: String) {
+        self.violations.push(violation);
     }
 
     /// Violations of guarantees so far.
@@ -357,8 +357,8 @@
     }
 
     pub(crate) fn record_action(&mut self, now: MonoTime, at: EntryNo, action: &EntryAction) {
-        if let Some(seen) = &mut self.actions {
-            seen.push((now, at, action.clone()));
+        if let Some(actions) = &mut self.actions {
+            actions.push((now, at, action.clone()));
         }
     }
 
@@ -369,11 +369,12 @@
             call.token.clone_from(&dispatch.headers.session);
         }
         call.version.clone_from(&dispatch.version);
-        let anew = !matches!(dispatch.kind, DispatchKind::Resume { events } if events > 0);
-        if anew && !dispatch.hold {
+        let restarted = !matches!(dispatch.kind, DispatchKind::Resume { events } if events > 0);
+        if restarted && !dispatch.hold {
             if call.spec.streamed && call.received > 0 && call.result.is_none() {
-                let fault = format!("request {:x} received parts of two responses", call.request);
-                self.violations.push(fault);
+                let violation =
+                    format!("request {:x} received parts of two responses", call.request);
+                self.violations.push(violation);
             }
             call.received = 0;
         }
@@ -429,8 +430,8 @@
         &mut self,
         now: MonoTime,
         request: RequestId,
-        told: CallResult,
-        others: bool,
+        result: CallResult,
+        has_duplicate: bool,
     ) {
         let at = call_index(request);
         if matches!(
@@ -439,18 +440,18 @@
         ) {
             self.record_violation(format!("call {at} has two results"));
         }
-        if matches!(&told, CallResult::Refused(r) if r.outcome == RunOutcome::NotRun) {
+        if matches!(&result, CallResult::Refused(r) if r.outcome == RunOutcome::NotRun) {
             let ran = self.runs.iter().any(|run| self.is_same_work(at, run.call));
             if ran {
                 self.record_violation(format!(
-                    "call {at} was refused as not run, but ran: {told:?}"
+                    "call {at} was refused as not run, but ran: {result:?}"
                 ));
             }
-            if !others {
+            if !has_duplicate {
                 self.calls[at].not_run = Some(now);
             }
         }
-        self.calls[at].result.get_or_insert(told);
+        self.calls[at].result.get_or_insert(result);
     }
 
     /// Records the start of a run and checks it.
@@ -513,7 +514,8 @@
 
     /// Checks that each session keeps one version unless it is withdrawn.
     fn check_sessions(&mut self) {
-        let mut of: BTreeMap<(OrgId, SessionId), Vec<(MonoTime, VersionId)>> = BTreeMap::new();
+        let mut by_session: BTreeMap<(OrgId, SessionId), Vec<(MonoTime, VersionId)>> =
+            BTreeMap::new();
         for run in &self.runs {
             let call = &self.calls[run.call];
             let name = match &call.spec.session {
@@ -522,11 +524,11 @@
                 None => continue,
             };
             if let Some(version) = &run.version {
-                let seen = of.entry((call.spec.org.clone(), name)).or_default();
+                let seen = by_session.entry((call.spec.org.clone(), name)).or_default();
                 seen.push((run.at, version.clone()));
             }
         }
-        for (session, seen) in of {
+        for (session, seen) in by_session {
             let in_use: BTreeSet<&VersionId> = seen
                 .iter()
                 .filter(|(at, version)| self.withdrawn_at(version).is_none_or(|from| *at < from))
--- a/sesamebeam_core/tests/proofs/world/server.rs
+++ b/sesamebeam_core/tests/proofs/world/server.rs
@@ -264,15 +264,15 @@
 
     /// Sends a message on a connection, in order. After one message is lost, the
     /// connection stays silent.
-    fn send_in_order(&mut self, at: ServerNo, reader: &mut Reader, heard: ServerMessage) {
-        let (entry, life, id) = reader.from;
+    fn send_in_order(&mut self, at: ServerNo, reader: &mut Reader, message: ServerMessage) {
+        let (entry, epoch, id) = reader.from;
         let (from, to) = (self.servers[at].domain, self.entries[entry].domain);
         let Some(after) = self.transit_time(from, to).filter(|_| !reader.silent) else {
             reader.silent = true;
             return;
         };
         reader.last = reader.last.max(self.now + after) + Duration::from_micros(1);
-        let event = Event::Entry(entry, life, ProcessEvent::Received(id, heard));
+        let event = Event::Entry(entry, epoch, ProcessEvent::Received(id, message));
         self.schedule(reader.last - self.now, event);
     }
 
@@ -313,14 +313,14 @@
             }
             ServerRequest::LookUp(from, id) => {
                 let found = self.servers[at].streams.get(&id);
-                let heard = match found {
+                let message = match found {
                     Some(stream) if stream.parts == CHUNKS => {
                         ServerMessage::End(stream.finished_response())
                     }
                     Some(_) => not_there(ServerKnows::Unreachable),
                     None => not_there(ServerKnows::Never { life }),
                 };
-                self.send_in_order(at, &mut Reader::new(from, 0), heard);
+                self.send_in_order(at, &mut Reader::new(from, 0), message);
             }
             ServerRequest::Cancel((entry, entry_epoch), request, id) => {
                 let known = match engine {
@@ -417,8 +417,8 @@
         for reader in &mut readers {
             while engine && reader.next < parts {
                 reader.next += 1;
-                let heard = ServerMessage::Chunk(reader.next);
-                self.send_in_order(at, reader, heard);
+                let message = ServerMessage::Chunk(reader.next);
+                self.send_in_order(at, reader, message);
             }
             if parts == CHUNKS {
                 self.send_in_order(at, reader, ServerMessage::End(whole.clone()));
