--- a/sesamebeam/src/control.rs
+++ b/sesamebeam/src/control.rs
@@ -187,7 +187,7 @@
     settings: ControlSettings,
     link: Arc<Link>,
     disk: Disk,
-    saved: sesamebeam_core::replica::Saved,
+    saved: sesamebeam_core::replica::SavedState,
     identity: Identity,
 }
 
--- a/sesamebeam/src/disk.rs
+++ b/sesamebeam/src/disk.rs
@@ -54,8 +54,8 @@
     replica::{
         DiskOp,
         HardState,
-        LogEnd,
-        Saved,
+        LogPosition,
+        SavedState,
         Snapshot, //
     },
 };
@@ -99,7 +99,7 @@
     /// Term and vote as last written, to begin a segment with.
     state: HardState,
     /// End of the newest snapshot.
-    snapshot: Option<LogEnd>,
+    snapshot: Option<LogPosition>,
     /// Whether a write failed so that nobody knows what the disk holds.
     failed: bool,
     /// Bytes that may still be appended, where a test plays a full disk.
@@ -137,7 +137,7 @@
     /// # Errors
     ///
     /// Fails if there is none, another process has it, or it is damaged.
-    pub fn open(path: impl AsRef<Path>) -> Result<(Disk, Saved), DiskError> {
+    pub fn open(path: impl AsRef<Path>) -> Result<(Disk, SavedState), DiskError> {
         Disk::open_with(path, Faults::default())
     }
 
@@ -147,7 +147,10 @@
     ///
     /// As [`Disk::open`].
     #[doc(hidden)]
-    pub fn open_with(path: impl AsRef<Path>, faults: Faults) -> Result<(Disk, Saved), DiskError> {
+    pub fn open_with(
+        path: impl AsRef<Path>,
+        faults: Faults,
+    ) -> Result<(Disk, SavedState), DiskError> {
         let path = path.as_ref();
         let identity = folder::read_identity(path)?;
         let lock = folder::lock(path)?;
@@ -299,7 +302,7 @@
 
     /// Names the newest snapshot in the log, with what follows on it, because
     /// the record that should have was lost.
-    fn name_snapshot(&mut self, saved: &Saved) -> Result<(), DiskError> {
+    fn name_snapshot(&mut self, saved: &SavedState) -> Result<(), DiskError> {
         let Some(end) = self.snapshot else {
             return Ok(());
         };
--- a/sesamebeam/src/disk/frame.rs
+++ b/sesamebeam/src/disk/frame.rs
@@ -11,7 +11,7 @@
 use sesamebeam_core::replica::{
     Entry,
     HardState,
-    LogEnd, //
+    LogPosition, //
 };
 
 /// Bytes before the payload: mark, length, checksum.
@@ -31,7 +31,7 @@
     /// Entries from this position on are dropped.
     Truncate(u64),
     /// A snapshot file was synced; a shorter log goes on after its end.
-    Snapshot(LogEnd),
+    Snapshot(LogPosition),
     /// Entries that follow on.
     Entries(Vec<Entry>),
 }
--- a/sesamebeam/src/disk/load.rs
+++ b/sesamebeam/src/disk/load.rs
@@ -16,8 +16,8 @@
     replica::{
         Entry,
         HardState,
-        LogEnd,
-        Saved,
+        LogPosition,
+        SavedState,
         Snapshot, //
     },
 };
@@ -52,7 +52,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Loaded {
     /// What the replica gets.
-    pub(super) saved: Saved,
+    pub(super) saved: SavedState,
     /// Segments in order.
     pub(super) segments: Vec<Segment>,
     /// Whether the newest snapshot was synced and the record that names it was
@@ -76,13 +76,13 @@
         let is_newest = Some(number) == newest;
         segments.push(replay.read_segment(path, place, is_newest, faults)?);
     }
-    let end = snapshot.as_ref().map_or(LogEnd::default(), |s| s.end);
+    let end = snapshot.as_ref().map_or(LogPosition::default(), |s| s.end);
     let unnamed = snapshot.is_some() && replay.named != Some(end.index);
     if unnamed {
         replay.name_snapshot(end);
     }
     let entries = replay.entries_after(end.index, folder)?;
-    let saved = Saved {
+    let saved = SavedState {
         state: replay.state,
         snapshot,
         entries,
@@ -216,7 +216,7 @@
 
     /// Does what the record that names a snapshot would have done, and drops
     /// entries that belong to another history than the snapshot.
-    fn name_snapshot(&mut self, end: LogEnd) {
+    fn name_snapshot(&mut self, end: LogPosition) {
         let at_end = self.entries.iter().find(|entry| entry.index == end.index);
         if at_end.is_none_or(|entry| entry.term != end.term) {
             self.entries.clear();
--- a/sesamebeam/src/group/place.rs
+++ b/sesamebeam/src/group/place.rs
@@ -7,7 +7,7 @@
     replica::{
         Members,
         ReplicaConfig,
-        Saved, //
+        SavedState, //
     },
 };
 
@@ -94,7 +94,7 @@
         self.start(disk, saved, members)
     }
 
-    fn start(&mut self, disk: Disk, saved: Saved, members: Members) -> Result<(), GroupError> {
+    fn start(&mut self, disk: Disk, saved: SavedState, members: Members) -> Result<(), GroupError> {
         let identity = disk.identity();
         let tx = self.tx.clone();
         let incarnation = identity.incarnation;
--- a/sesamebeam/tests/disk_tail.rs
+++ b/sesamebeam/tests/disk_tail.rs
@@ -19,9 +19,9 @@
     Entry,
     EntryBody,
     HardState,
-    LogEnd,
+    LogPosition,
     Members,
-    Saved,
+    SavedState,
     Snapshot, //
 };
 use tempfile::TempDir;
@@ -59,13 +59,13 @@
 
 fn snapshot(index: u64) -> DiskOp {
     DiskOp::Snapshot(Snapshot {
-        end: LogEnd { term: 1, index },
+        end: LogPosition { term: 1, index },
         members: Members::of_voters([(2, 3)]),
         data: vec![7; 100].into(),
     })
 }
 
-fn open(dir: &Path) -> Result<Saved, DiskError> {
+fn open(dir: &Path) -> Result<SavedState, DiskError> {
     Disk::open(dir).map(|(_, saved)| saved)
 }
 
@@ -81,14 +81,14 @@
         .unwrap()
 }
 
-fn last_index(saved: &Saved) -> u64 {
+fn last_index(saved: &SavedState) -> u64 {
     saved.entries.last().map_or(0, |entry| entry.index)
 }
 
 #[test]
 fn round_trip() {
     let dir = new_folder();
-    let mut expected = Saved::default();
+    let mut expected = SavedState::default();
     let (mut disk, saved) = Disk::open(dir.path()).unwrap();
     assert!(saved.is_empty());
     assert_eq!(disk.identity(), IDENTITY);
--- a/sesamebeam_core/examples/drive.rs
+++ b/sesamebeam_core/examples/drive.rs
@@ -31,7 +31,7 @@
     replica::{
         Members,
         ReplicaConfig,
-        Saved, //
+        SavedState, //
     },
 };
 
@@ -47,7 +47,7 @@
 /// What the harness owns: the clock, the disk, and what is under way.
 struct Harness {
     now: MonoTime,
-    disk: Saved,
+    disk: SavedState,
     control: ControlCore,
     entry: EntryCore,
     to_control: VecDeque<ControlEvent>,
@@ -103,11 +103,11 @@
             faults: Default::default(),
         };
         let cfg = ControlConfig::new(replica);
-        let (control, actions) = ControlCore::new(cfg, Saved::default(), MonoTime::ZERO);
+        let (control, actions) = ControlCore::new(cfg, SavedState::default(), MonoTime::ZERO);
         let entry = EntryCore::new(EntryConfig::new("ate-1".into(), "lima-ate".into(), 1));
         let mut harness = Self {
             now: MonoTime::ZERO,
-            disk: Saved::default(),
+            disk: SavedState::default(),
             control,
             entry,
             to_control: VecDeque::new(),
--- a/sesamebeam_core/src/control.rs
+++ b/sesamebeam_core/src/control.rs
@@ -49,7 +49,7 @@
     replica::{
         Replica,
         ReplicaEvent,
-        Saved, //
+        SavedState, //
     },
     state::State,
 };
@@ -72,7 +72,7 @@
 
 impl ControlCore {
     /// Makes a control replica from what its disk holds.
-    pub fn new(cfg: ControlConfig, saved: Saved, now: MonoTime) -> (Self, Vec<ControlAction>) {
+    pub fn new(cfg: ControlConfig, saved: SavedState, now: MonoTime) -> (Self, Vec<ControlAction>) {
         let (replica, actions) = Replica::new(cfg.replica.clone(), saved, now);
         let mut core = Self {
             state: State::default(),
--- a/sesamebeam_core/src/control/clients.rs
+++ b/sesamebeam_core/src/control/clients.rs
@@ -27,7 +27,7 @@
         record::ClaimKey, //
     },
     replica::{
-        ChangeFault,
+        ChangeError,
         Rejection,
         Ticket, //
     },
@@ -166,8 +166,10 @@
         Rejection::NotLeader(_) => ControlReply::NotLeader(hint),
         Rejection::Full => unavailable("the disk is full"),
         Rejection::Busy => unavailable("too much waits to be written"),
-        Rejection::Unsure => unavailable("leadership was lost; the write may yet come through"),
-        Rejection::Change(ChangeFault::InFlight) => {
+        Rejection::OutcomeUnknown => {
+            unavailable("leadership was lost; the write may yet come through")
+        }
+        Rejection::Change(ChangeError::InFlight) => {
             unavailable("another change of the membership is in flight")
         }
         Rejection::Change(fault) => {
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -88,7 +88,7 @@
         ReplicaConfig,
         ReplicaEvent,
         Role,
-        Saved,
+        SavedState,
         Ticket,
         WriteId, //
     },
@@ -347,7 +347,7 @@
     }
 
     /// Takes a place in a group with what the disk holds of it.
-    pub fn start(&mut self, cfg: ReplicaConfig, saved: Saved, now: MonoTime) -> Vec<Action> {
+    pub fn start(&mut self, cfg: ReplicaConfig, saved: SavedState, now: MonoTime) -> Vec<Action> {
         self.now = self.now.max(now);
         let (replica, actions) = Replica::new(cfg, saved, self.now);
         self.replica = Some(replica);
--- a/sesamebeam_core/src/gateway/coordinator/calls.rs
+++ b/sesamebeam_core/src/gateway/coordinator/calls.rs
@@ -180,9 +180,10 @@
         }
         let answer = match reason {
             Rejection::NotLeader(_) => self.elsewhere(),
-            Rejection::Full | Rejection::Busy | Rejection::Unsure | Rejection::Change(_) => {
-                Answer::Unavailable
-            }
+            Rejection::Full
+            | Rejection::Busy
+            | Rejection::OutcomeUnknown
+            | Rejection::Change(_) => Answer::Unavailable,
         };
         self.answer(ticket, answer);
     }
--- a/sesamebeam_core/src/gateway/coordinator/group.rs
+++ b/sesamebeam_core/src/gateway/coordinator/group.rs
@@ -250,7 +250,7 @@
         self.places.learn(node, domain);
         let change = match gone {
             Some(gone) => MemberChange::Replace {
-                gone,
+                old: gone,
                 new: node,
                 incarnation,
                 addr,
--- a/sesamebeam_core/src/replica.rs
+++ b/sesamebeam_core/src/replica.rs
@@ -1,12 +1,13 @@
-//! A replica of the control group: our own replicated log.
+//! A replica of the control group, which keeps a replicated log.
 //!
 //! The algorithm is Raft's with pre-vote, leader leases, learners and chunked
-//! snapshots (Ongaro, "Consensus: Bridging Theory and Practice", 2014). The
-//! replica reads no clock, disk or socket: it is handed the time with each
-//! event and answers with actions.
+//! snapshots (Ongaro, "Consensus: Bridging Theory and Practice", 2014). The replica
+//! does no I/O and reads no clock: each event carries the current time, and the
+//! replica returns the actions to perform.
 //!
 //! Clocks may run at rates that differ from true time by at most
-//! [`ReplicaConfig::drift`]; leases are shortened to hold under that bound.
+//! [`ReplicaConfig::drift`]; leader leases are shortened so that they are safe
+//! within this bound.
 
 pub mod lease;
 pub mod member;
@@ -30,7 +31,7 @@
     ReplicaConfig, //
 };
 pub use member::{
-    ChangeFault,
+    ChangeError,
     Member,
     MemberChange,
     Members, //
@@ -40,14 +41,14 @@
     Entry,
     EntryBody,
     HardState,
-    LogEnd,
+    LogPosition,
     Rejection,
     ReplicaAction,
     ReplicaBody,
     ReplicaEvent,
     ReplicaMessage,
     Role,
-    Saved,
+    SavedState,
     Snapshot,
     Ticket,
     WriteId, //
@@ -58,8 +59,8 @@
     election::Votes,
     leading::Leader,
     log::Log,
-    membership::Memberships,
-    snapshot::Incoming,
+    membership::MembershipHistory,
+    snapshot::IncomingSnapshot,
     writer::Writer, //
 };
 use crate::{
@@ -76,16 +77,16 @@
     rngs::StdRng, //
 };
 
-/// What a replica holds in each role.
+/// The role of a replica and the data specific to it.
 #[derive(Debug)]
-enum Standing {
-    /// Follows, or waits.
+enum RoleState {
+    /// Follows a leader or waits for one.
     Follower,
-    /// Asks whether it would win.
+    /// Collects pre-votes.
     PreCandidate(Votes),
-    /// Stands.
+    /// Collects votes.
     Candidate(Votes),
-    /// Leads.
+    /// Leads the group.
     Leader(Box<Leader>),
 }
 
@@ -94,53 +95,54 @@
 pub struct Replica {
     /// Settings.
     cfg: ReplicaConfig,
-    /// Time of the last event; never goes back.
+    /// Time of the last event; monotonic.
     now: MonoTime,
-    /// Source of the election time-outs.
+    /// Random number generator for election timeouts.
     rng: StdRng,
-    /// Term and vote.
+    /// Current term and vote.
     state: HardState,
     /// Entries kept in memory.
     log: Log,
-    /// Memberships by the position from which they are in force.
-    memberships: Memberships,
-    /// What the disk has and is still to get.
+    /// Memberships by the log index from which they apply.
+    memberships: MembershipHistory,
+    /// Pending and synced disk writes.
     writer: Writer,
-    /// Last entry known to be committed. All of them are applied.
+    /// Index of the last entry known to be committed. All entries up to it are
+    /// applied.
     committed: LogIndex,
-    /// Whether what was committed before this process started is applied.
+    /// Whether all entries committed before this process started are applied.
     current: bool,
-    /// End of the newest snapshot.
-    snapshot_end: LogEnd,
-    /// What the present role holds.
-    standing: Standing,
-    /// Leader of the present term, if known.
+    /// Last log position covered by the newest snapshot.
+    snapshot_end: LogPosition,
+    /// Role and the data specific to it.
+    role_state: RoleState,
+    /// Leader of the current term, if known.
     leader: Option<NodeId>,
-    /// When this replica stands for election.
-    election_at: MonoTime,
-    /// Until when it votes for nobody, because it heard a live leader.
-    promise_until: MonoTime,
-    /// Highest round heard of the present term's leader.
-    round_heard: u64,
-    /// Last entry known to match the log of the present term's leader.
-    verified: LogIndex,
-    /// Messages that wait until term and vote are synced.
-    held: Vec<(NodeId, ReplicaBody, Term)>,
+    /// When this replica starts an election.
+    election_deadline: MonoTime,
+    /// Until when this replica grants no vote, because it heard from a live leader.
+    vote_blocked_until: MonoTime,
+    /// Highest round received from the leader of the current term.
+    latest_round: u64,
+    /// Index of the last entry known to match the log of the current term's leader.
+    match_index: LogIndex,
+    /// Messages held back until term and vote are synced.
+    outbox: Vec<(NodeId, ReplicaBody, Term)>,
     /// Whether the disk is full.
-    full: bool,
-    /// Snapshot that is being received.
-    incoming: Option<Incoming>,
-    /// Snapshot that the state was asked for.
-    taking: Option<LogIndex>,
-    /// Proposals by the position they were given.
+    disk_full: bool,
+    /// Snapshot being received.
+    incoming_snapshot: Option<IncomingSnapshot>,
+    /// Index of the snapshot requested from the state machine.
+    requested_snapshot: Option<LogIndex>,
+    /// Tickets of proposals by log index.
     tickets: BTreeMap<LogIndex, Ticket>,
-    /// Actions of the event being handled.
+    /// Actions produced by the event being handled.
     actions: Vec<ReplicaAction>,
 }
 
 impl Replica {
-    /// Makes a replica from what its disk holds.
-    pub fn new(cfg: ReplicaConfig, saved: Saved, now: MonoTime) -> (Self, Vec<ReplicaAction>) {
+    /// Creates a replica from its persisted state.
+    pub fn new(cfg: ReplicaConfig, saved: SavedState, now: MonoTime) -> (Self, Vec<ReplicaAction>) {
         let bootstraps = saved.is_empty()
             && cfg.members.get(cfg.id).map(|m| m.incarnation) == Some(cfg.incarnation);
         let mut replica = Replica::from_saved(cfg, saved, now);
@@ -148,19 +150,20 @@
             replica.bootstrap();
         }
         if replica.cfg.eager {
-            replica.set_first_election();
+            replica.set_initial_election_deadline();
         } else {
-            replica.reset_election();
+            replica.reset_election_deadline();
         }
         if replica.is_sole_voter() {
-            replica.election_at = now;
+            replica.election_deadline = now;
         }
-        replica.settle();
+        replica.process_pending();
         let actions = std::mem::take(&mut replica.actions);
         (replica, actions)
     }
 
-    /// Handles an event at a time that never goes back.
+    /// Handles an event. A `now` before the time of an earlier event is raised to
+    /// it.
     pub fn handle(&mut self, now: MonoTime, event: ReplicaEvent) -> Vec<ReplicaAction> {
         self.now = self.now.max(now);
         match event {
@@ -170,102 +173,105 @@
             ReplicaEvent::Read { ticket } => self.read(ticket),
             ReplicaEvent::Change { ticket, change } => self.change(ticket, &change),
             ReplicaEvent::Synced { write } => self.synced(write),
-            ReplicaEvent::DiskFull(full) => self.full = full,
-            ReplicaEvent::Snapshot { index, data } => self.keep_snapshot(index, data),
+            ReplicaEvent::DiskFull(disk_full) => self.disk_full = disk_full,
+            ReplicaEvent::Snapshot { index, data } => self.store_snapshot(index, data),
         }
-        self.settle();
+        self.process_pending();
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns its number.
+    /// Returns the ID of this replica.
     pub fn id(&self) -> NodeId {
         self.cfg.id
     }
 
-    /// Returns the identity of the group.
+    /// Returns the group ID.
     pub fn group(&self) -> u128 {
         self.cfg.group
     }
 
-    /// Returns the role.
+    /// Returns the current role.
     pub fn role(&self) -> Role {
-        match self.standing {
-            Standing::Follower => Role::Follower,
-            Standing::PreCandidate(_) => Role::PreCandidate,
-            Standing::Candidate(_) => Role::Candidate,
-            Standing::Leader(_) => Role::Leader,
+        match self.role_state {
+            RoleState::Follower => Role::Follower,
+            RoleState::PreCandidate(_) => Role::PreCandidate,
+            RoleState::Candidate(_) => Role::Candidate,
+            RoleState::Leader(_) => Role::Leader,
         }
     }
 
-    /// Returns the leader of the present term, if one is known.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// Returns the present term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.state.term
     }
 
-    /// Returns the last position known to be committed.
+    /// Returns the index of the last entry known to be committed.
     pub fn committed(&self) -> LogIndex {
         self.committed
     }
 
-    /// Returns whether all that was committed before this process started has been
-    /// applied here. What a replica finds on its disk may be long out of date, and
-    /// it learns how far that is committed only from a leader.
+    /// Returns whether all entries committed before this process started are
+    /// applied here. The log on disk may be far behind, and only a leader can tell
+    /// the replica how much of it is committed.
     pub fn is_current(&self) -> bool {
         self.current
     }
 
-    /// Returns the end of the log, synced or not.
+    /// Returns the index of the last log entry, synced or not.
     pub fn last_index(&self) -> LogIndex {
         self.log.end().index
     }
 
-    /// Returns whether this replica leads under a lease that has not ended.
+    /// Returns whether this replica is a leader with an unexpired lease.
     ///
-    /// While it does, no other replica can win an election.
+    /// Until the lease expires, no other replica can win an election.
     pub fn has_lease(&self, now: MonoTime) -> bool {
         self.lease_end().is_some_and(|end| now < end)
     }
 
-    /// Returns the membership in force here.
+    /// Returns the membership that applies at this replica.
     pub fn members(&self) -> &Members {
         self.memberships.current()
     }
 
-    /// Returns the state of each replica, as this leader sees it; nothing if
-    /// this replica does not lead.
+    /// Returns the leader's view of each replica's replication status, or an empty
+    /// list if this replica is not the leader.
     pub fn progress(&self, now: MonoTime) -> Vec<ReplicaStatus> {
-        let Standing::Leader(leader) = &self.standing else {
+        let RoleState::Leader(leader) = &self.role_state else {
             return Vec::new();
         };
         let status = |(&node, member): (&NodeId, &Member)| ReplicaStatus {
             node,
             voter: member.voter,
-            synced: self.matched(leader, node),
-            silent: leader.silent(self.cfg.id, node, now),
+            synced: self.match_index_of(leader, node),
+            silent: leader.time_since_contact(self.cfg.id, node, now),
         };
         self.members().members.iter().map(status).collect()
     }
 
     /// Returns when the replica next needs a [`ReplicaEvent::Tick`].
     pub fn next_wake(&self) -> MonoTime {
-        match &self.standing {
-            Standing::Leader(leader) => leader.heartbeat_at,
-            _ => self.election_at,
+        match &self.role_state {
+            RoleState::Leader(leader) => leader.heartbeat_at,
+            _ => self.election_deadline,
         }
     }
 
-    /// Takes over what the disk holds.
-    fn from_saved(cfg: ReplicaConfig, saved: Saved, now: MonoTime) -> Self {
-        let end = saved.snapshot.as_ref().map_or(LogEnd::default(), |s| s.end);
-        let mut memberships = Memberships::default();
+    /// Restores a replica from its persisted state.
+    fn from_saved(cfg: ReplicaConfig, saved: SavedState, now: MonoTime) -> Self {
+        let end = saved
+            .snapshot
+            .as_ref()
+            .map_or(LogPosition::default(), |s| s.end);
+        let mut memberships = MembershipHistory::default();
         let mut actions = Vec::new();
         if let Some(snapshot) = saved.snapshot {
-            memberships.adopt(end.index, snapshot.members);
+            memberships.insert(end.index, snapshot.members);
             if end.index > 0 {
                 actions.push(ReplicaAction::Restore {
                     index: end.index,
@@ -275,7 +281,7 @@
         }
         for entry in &saved.entries {
             if let EntryBody::Members(members) = &entry.body {
-                memberships.adopt(entry.index, members.clone());
+                memberships.insert(entry.index, members.clone());
             }
         }
         if !memberships.current().members.is_empty() {
@@ -292,93 +298,97 @@
             committed: end.index,
             current: false,
             snapshot_end: end,
-            standing: Standing::Follower,
+            role_state: RoleState::Follower,
             leader: None,
-            election_at: now,
-            promise_until: initial_promise(&cfg, saved.state, now),
-            round_heard: 0,
-            verified: 0,
-            held: Vec::new(),
-            full: false,
-            incoming: None,
-            taking: None,
+            election_deadline: now,
+            vote_blocked_until: initial_vote_block(&cfg, saved.state, now),
+            latest_round: 0,
+            match_index: 0,
+            outbox: Vec::new(),
+            disk_full: false,
+            incoming_snapshot: None,
+            requested_snapshot: None,
             tickets: BTreeMap::new(),
             actions,
             cfg,
         }
     }
 
-    /// Starts a group: the first membership is a snapshot before all entries.
+    /// Bootstraps a group: the initial membership is stored as a snapshot that
+    /// precedes all entries.
     fn bootstrap(&mut self) {
         let members = self.cfg.members.clone();
-        self.memberships.adopt(0, members.clone());
+        self.memberships.insert(0, members.clone());
         self.actions.push(ReplicaAction::Members(members.clone()));
-        self.writer.keep_snapshot(Snapshot {
-            end: LogEnd::default(),
+        self.writer.store_snapshot(Snapshot {
+            end: LogPosition::default(),
             members,
             data: Vec::new().into(),
         });
     }
 
-    /// Does what time asks for.
+    /// Handles timers that have expired.
     fn tick(&mut self) {
-        match &self.standing {
-            Standing::Leader(_) => self.tick_leader(),
-            _ if self.now >= self.election_at => self.stand_if_eligible(),
+        match &self.role_state {
+            RoleState::Leader(_) => self.tick_leader(),
+            _ if self.now >= self.election_deadline => self.start_election_if_eligible(),
             _ => {}
         }
     }
 
-    /// Handles a message, if its sender is who the group knows.
+    /// Handles a message from a sender that the group recognises.
     fn receive(&mut self, from: NodeId, message: ReplicaMessage) {
-        if !self.is_known(from, &message) {
+        if !self.is_valid_sender(from, &message) {
             return;
         }
         let ReplicaMessage { term, body, .. } = message;
         match body {
-            ReplicaBody::PreVote { last } => self.on_pre_vote(from, term, last),
-            ReplicaBody::Vote { last, transfer } => self.on_vote(from, term, last, transfer),
-            // A voter that is a term behind answers in its own term.
-            ReplicaBody::PreVoted { asked, granted } if term <= self.state.term => {
-                self.on_pre_voted(from, asked, granted);
+            ReplicaBody::PreVoteRequest { last } => self.on_pre_vote_request(from, term, last),
+            ReplicaBody::VoteRequest { last, transfer } => {
+                self.on_vote_request(from, term, last, transfer)
+            }
+            // A voter that is one term behind responds with its own, lower term.
+            ReplicaBody::PreVoteResponse { vote_term, granted } if term <= self.state.term => {
+                self.on_pre_vote_response(from, vote_term, granted);
             }
             body => {
                 if term > self.state.term {
                     self.enter_term(term);
                 }
                 if term < self.state.term {
-                    self.refuse_old_term(from, &body);
+                    self.reject_stale_term(from, &body);
                     return;
                 }
-                self.receive_in_term(from, body);
+                self.receive_in_current_term(from, body);
             }
         }
     }
 
-    /// Handles a message of the present term.
-    fn receive_in_term(&mut self, from: NodeId, body: ReplicaBody) {
+    /// Handles a message of the current term.
+    fn receive_in_current_term(&mut self, from: NodeId, body: ReplicaBody) {
         match body {
-            // Handled before the terms are compared, or refused by the newer one.
-            ReplicaBody::PreVote { .. }
-            | ReplicaBody::PreVoted { .. }
-            | ReplicaBody::Vote { .. } => {}
-            ReplicaBody::Voted { granted } => self.on_voted(from, granted),
-            ReplicaBody::Append {
+            // These are handled before the terms are compared, or rejected because
+            // their term is stale.
+            ReplicaBody::PreVoteRequest { .. }
+            | ReplicaBody::PreVoteResponse { .. }
+            | ReplicaBody::VoteRequest { .. } => {}
+            ReplicaBody::VoteResponse { granted } => self.on_vote_response(from, granted),
+            ReplicaBody::AppendRequest {
                 round,
                 prev,
                 entries,
                 committed,
             } => {
-                self.hear_leader(from, round);
-                self.on_append(from, prev, entries, committed);
+                self.on_leader_contact(from, round);
+                self.on_append_request(from, prev, entries, committed);
             }
-            ReplicaBody::Appended {
+            ReplicaBody::AppendResponse {
                 round,
                 synced,
-                full,
+                disk_full,
                 hint,
-            } => self.on_appended(from, round, synced, full, hint),
-            ReplicaBody::Chunk {
+            } => self.on_append_response(from, round, synced, disk_full, hint),
+            ReplicaBody::SnapshotChunk {
                 round,
                 end,
                 members,
@@ -386,27 +396,28 @@
                 total,
                 data,
             } => {
-                self.hear_leader(from, round);
-                self.on_chunk(from, end, members, offset, total, &data);
+                self.on_leader_contact(from, round);
+                self.on_snapshot_chunk(from, end, members, offset, total, &data);
             }
-            ReplicaBody::Chunked {
+            ReplicaBody::SnapshotChunkResponse {
                 round,
                 index,
                 offset,
-            } => self.on_chunked(from, round, index, offset),
-            ReplicaBody::Stand => self.on_stand(from),
+            } => self.on_chunk_response(from, round, index, offset),
+            ReplicaBody::TimeoutNow => self.on_timeout_now(from),
         }
     }
 
-    /// Returns whether a message is of this group and of the data folder that
-    /// the group knows under the sender's number.
+    /// Returns whether a message belongs to this group and comes from the data
+    /// folder recorded for the sender's ID.
     ///
-    /// A replica whose disk was lost or swapped has forgotten what it
-    /// acknowledged. Counted under its old number it could help to elect a
-    /// leader that lacks committed entries, and accepted changes would be gone.
-    /// Its new folder has another incarnation, so nothing it says counts. A
-    /// sender that is no member here may be one in a later membership.
-    fn is_known(&self, from: NodeId, message: &ReplicaMessage) -> bool {
+    /// A replica whose disk was lost or swapped no longer holds the entries it
+    /// acknowledged. If it still counted under its old ID, it could help elect a
+    /// leader without committed entries, and accepted changes would be lost. Its
+    /// new folder has a different incarnation, so its messages are ignored. Senders
+    /// that are not members here are accepted, because they may belong to a later
+    /// membership.
+    fn is_valid_sender(&self, from: NodeId, message: &ReplicaMessage) -> bool {
         let members = self.members();
         let recorded = members.get(from).map(|m| m.incarnation);
         let folder_known = recorded.is_none_or(|i| i == message.incarnation);
@@ -417,25 +428,26 @@
             && (folder_known || self.cfg.faults.accept_swapped_disk)
     }
 
-    /// Notes that a write is synced.
+    /// Handles the completion of a disk write.
     fn synced(&mut self, write: WriteId) {
         let before = self.writer.synced();
-        if !self.writer.finish(write) {
+        if !self.writer.complete(write) {
             return;
         }
         self.count_own_vote();
         let grew = self.writer.synced() > before;
-        if let (true, Standing::Follower, Some(leader)) = (grew, &self.standing, self.leader) {
+        if let (true, RoleState::Follower, Some(leader)) = (grew, &self.role_state, self.leader) {
             self.acknowledge(leader, None);
         }
     }
 
-    /// Does what the event has made possible: commits, writes, sends.
-    fn settle(&mut self) {
+    /// Performs the work that the event has enabled: commits, disk writes and
+    /// sends.
+    fn process_pending(&mut self) {
         self.commit_by_quorum();
-        self.take_owed_step();
-        self.answer_reads();
-        self.yield_if_full();
+        self.append_pending_step();
+        self.complete_reads();
+        self.transfer_if_disk_full();
         let flushed = self
             .writer
             .flush(self.state, &self.log, self.cfg.max_batch_bytes);
@@ -444,25 +456,25 @@
         }
         self.actions.extend(flushed);
         self.replicate();
-        self.release_held();
+        self.send_outbox();
     }
 
-    /// Sends a message, or holds it until term and vote are synced.
+    /// Queues a message until term and vote are synced.
     ///
-    /// A vote or acknowledgement that is sent before its term is on the disk
-    /// can be forgotten in a crash and given a second time: two leaders in one
-    /// term. Holding every message until the sync is enough, since to the
-    /// others it looks like a slow network.
+    /// A vote or acknowledgement sent before its term is on disk can be lost in a
+    /// crash and given again, which allows two leaders in one term. Delaying every
+    /// message until the sync is safe, because other replicas cannot tell it from
+    /// network latency.
     fn send(&mut self, to: NodeId, body: ReplicaBody) {
-        self.held.push((to, body, self.state.term));
+        self.outbox.push((to, body, self.state.term));
     }
 
-    /// Sends the messages whose term and vote are synced.
-    fn release_held(&mut self) {
+    /// Sends the queued messages once term and vote are synced.
+    fn send_outbox(&mut self) {
         if !self.writer.state_synced() {
             return;
         }
-        for (to, body, term) in std::mem::take(&mut self.held) {
+        for (to, body, term) in std::mem::take(&mut self.outbox) {
             let message = ReplicaMessage {
                 group: self.cfg.group,
                 node: self.cfg.id,
@@ -474,28 +486,29 @@
         }
     }
 
-    /// Rejects a ticket.
+    /// Rejects the request with this ticket.
     fn reject(&mut self, ticket: Ticket, reason: Rejection) {
         self.actions
             .push(ReplicaAction::Rejected { ticket, reason });
     }
 
-    /// Changes the role and tells of it.
-    fn take_role(&mut self, standing: Standing) {
+    /// Changes the role and emits an action if it differs.
+    fn set_role(&mut self, role_state: RoleState) {
         let before = self.role();
-        self.standing = standing;
+        self.role_state = role_state;
         if self.role() != before {
             self.actions.push(ReplicaAction::Role(self.role()));
         }
     }
 }
 
-/// Returns until when a replica that has just started votes for nobody.
+/// Returns until when a replica that has just started grants no vote.
 ///
-/// It may have promised a leader not to vote right before it went down. If it
-/// voted at once, another could win while that leader still serves under its
-/// lease. Waiting out a whole lease is enough, for the promise was no longer.
-fn initial_promise(cfg: &ReplicaConfig, state: HardState, now: MonoTime) -> MonoTime {
+/// It may have promised its vote to a leader's lease right before it stopped. If it
+/// voted at once, another candidate could win while that leader still serves reads
+/// under its lease. Waiting for one full lease is enough, because the promise lasts
+/// no longer than that.
+fn initial_vote_block(cfg: &ReplicaConfig, state: HardState, now: MonoTime) -> MonoTime {
     if state.term == 0 || cfg.faults.forget_promise {
         return now;
     }
--- a/sesamebeam_core/src/replica/election.rs
+++ b/sesamebeam_core/src/replica/election.rs
@@ -1,4 +1,4 @@
-//! Elections: who stands, who votes, and when neither may happen.
+//! Leader elections: pre-votes, votes and the conditions that block them.
 
 use std::{
     collections::BTreeSet,
@@ -8,10 +8,10 @@
 use rand::RngExt;
 
 use super::{
-    Replica, Standing,
+    Replica, RoleState,
     leading::Leader,
     message::{
-        LogEnd,
+        LogPosition,
         Rejection,
         ReplicaAction,
         ReplicaBody,
@@ -26,7 +26,7 @@
 /// Votes received.
 #[derive(Debug, Default)]
 pub(super) struct Votes {
-    /// Voters that are for this replica.
+    /// Voters that granted their vote to this replica.
     granted: BTreeSet<NodeId>,
 }
 
@@ -36,40 +36,39 @@
         self.is_eligible() && self.members().voters().count() == 1
     }
 
-    /// Sets the next time at which this replica stands, drawn at random so that
-    /// two rarely stand at once.
-    pub(super) fn reset_election(&mut self) {
+    /// Resets the election timeout. It is randomised so that two replicas rarely
+    /// start an election at once.
+    pub(super) fn reset_election_deadline(&mut self) {
         let election = self.cfg.election.max(self.cfg.lease);
         let extra = election.mul_f64(self.rng.random::<f64>());
-        self.election_at = self.now + election + extra;
+        self.election_deadline = self.now + election + extra;
     }
 
-    /// Sets the time at which a replica that has just started stands.
+    /// Sets the first election timeout after a start.
     ///
-    /// A leader that is there makes itself heard within two heartbeats. When all
-    /// replicas were down, nobody is served until one leads, and they may vote as
-    /// soon as what they promised before is over; waiting for a leader as long as
-    /// one that was heard of late only prolongs that.
-    pub(super) fn set_first_election(&mut self) {
-        let heard = self.now + self.cfg.heartbeat * 2;
+    /// An existing leader sends a message within two heartbeats. If all replicas
+    /// were down, no request is served until one leads, and replicas may vote as
+    /// soon as their promise from before the restart expires. A full election
+    /// timeout would only prolong the outage.
+    pub(super) fn set_initial_election_deadline(&mut self) {
+        let leader_contact = self.now + self.cfg.heartbeat * 2;
         let extra = self.cfg.heartbeat.mul_f64(self.rng.random::<f64>());
-        self.election_at = self.promise_until.max(heard) + extra;
+        self.election_deadline = self.vote_blocked_until.max(leader_contact) + extra;
     }
 
-    /// Sets the next time at which a replica asks for pre-votes again.
+    /// Schedules another round of pre-votes after about one heartbeat.
     ///
-    /// The others may still be bound by what they promised, or not be reached
-    /// yet. Asking does no harm, and two that ask at once do not stand in each
-    /// other's way.
-    fn ask_again_soon(&mut self) {
+    /// Other voters may still be bound by a promise or be unreachable. Pre-votes
+    /// change no state, so concurrent pre-candidates do not block each other.
+    fn schedule_pre_vote_retry(&mut self) {
         let extra = self.cfg.heartbeat.mul_f64(self.rng.random::<f64>());
-        self.election_at = self.now + self.cfg.heartbeat + extra;
+        self.election_deadline = self.now + self.cfg.heartbeat + extra;
     }
 
-    /// Stands for election if this replica may.
-    pub(super) fn stand_if_eligible(&mut self) {
-        self.reset_election();
-        if !self.is_eligible() || self.full {
+    /// Starts an election if this replica is eligible.
+    pub(super) fn start_election_if_eligible(&mut self) {
+        self.reset_election_deadline();
+        if !self.is_eligible() || self.disk_full {
             return;
         }
         if self.cfg.faults.no_pre_vote {
@@ -78,44 +77,50 @@
         }
         self.leader = None;
         if self.cfg.eager {
-            self.ask_again_soon();
+            self.schedule_pre_vote_retry();
         }
         let mut votes = Votes::default();
         votes.granted.insert(self.cfg.id);
-        self.take_role(Standing::PreCandidate(votes));
+        self.set_role(RoleState::PreCandidate(votes));
         let last = self.log.end();
-        self.ask_voters(|| ReplicaBody::PreVote { last });
+        self.send_to_voters(|| ReplicaBody::PreVoteRequest { last });
         self.campaign_if_granted();
     }
 
-    /// Answers a replica that asks whether it would win.
-    pub(super) fn on_pre_vote(&mut self, from: NodeId, term: Term, last: LogEnd) {
-        let granted = !self.is_promised() && term >= self.state.term && last >= self.log.end();
-        let asked = term + 1;
-        self.send(from, ReplicaBody::PreVoted { asked, granted });
+    /// Responds to a pre-vote request.
+    pub(super) fn on_pre_vote_request(&mut self, from: NodeId, term: Term, last: LogPosition) {
+        let granted = !self.is_vote_blocked() && term >= self.state.term && last >= self.log.end();
+        let vote_term = term + 1;
+        self.send(from, ReplicaBody::PreVoteResponse { vote_term, granted });
     }
 
-    /// Counts the answer to a pre-vote.
-    pub(super) fn on_pre_voted(&mut self, from: NodeId, asked: Term, granted: bool) {
+    /// Counts a pre-vote.
+    pub(super) fn on_pre_vote_response(&mut self, from: NodeId, vote_term: Term, granted: bool) {
         let is_voter = self.members().is_voter(from);
-        let Standing::PreCandidate(votes) = &mut self.standing else {
+        let RoleState::PreCandidate(votes) = &mut self.role_state else {
             return;
         };
-        if granted && is_voter && asked == self.state.term + 1 {
+        if granted && is_voter && vote_term == self.state.term + 1 {
             votes.granted.insert(from);
             self.campaign_if_granted();
         }
     }
 
-    /// Answers a replica that stands.
+    /// Responds to a vote request.
     ///
-    /// A replica that cannot hear the leader stands again and again. If it got
-    /// votes, or merely raised the others' term, a healthy leader would fall
-    /// while it may still serve under its lease. So a replica that hears a live
-    /// leader takes no notice, unless that leader itself asked for the election
-    /// after it gave up its lease.
-    pub(super) fn on_vote(&mut self, from: NodeId, term: Term, last: LogEnd, transfer: bool) {
-        if self.is_promised() && !transfer {
+    /// A replica that is cut off from the leader starts elections repeatedly. If it
+    /// received votes, or merely raised the term of the others, a healthy leader
+    /// would be deposed while it may still serve under its lease. A replica in
+    /// contact with a live leader therefore ignores vote requests, unless that
+    /// leader gave up its lease and asked for the election.
+    pub(super) fn on_vote_request(
+        &mut self,
+        from: NodeId,
+        term: Term,
+        last: LogPosition,
+        transfer: bool,
+    ) {
+        if self.is_vote_blocked() && !transfer {
             return;
         }
         if term > self.state.term {
@@ -126,100 +131,101 @@
             && last >= self.log.end();
         if granted && self.state.voted.is_none() {
             self.state.voted = Some(from);
-            self.writer.change_state();
-            self.follow(None);
-            self.reset_election();
+            self.writer.mark_state_changed();
+            self.become_follower(None);
+            self.reset_election_deadline();
         }
-        self.send(from, ReplicaBody::Voted { granted });
+        self.send(from, ReplicaBody::VoteResponse { granted });
     }
 
     /// Counts a vote.
-    pub(super) fn on_voted(&mut self, from: NodeId, granted: bool) {
+    pub(super) fn on_vote_response(&mut self, from: NodeId, granted: bool) {
         let is_voter = self.members().is_voter(from);
-        let Standing::Candidate(votes) = &mut self.standing else {
+        let RoleState::Candidate(votes) = &mut self.role_state else {
             return;
         };
         if granted && is_voter {
             votes.granted.insert(from);
-            self.lead_if_elected();
+            self.become_leader_if_elected();
         }
     }
 
-    /// Counts this replica's vote for itself, once it is synced.
+    /// Counts this replica's own vote once it is synced.
     pub(super) fn count_own_vote(&mut self) {
         if !self.writer.state_synced() {
             return;
         }
-        if let Standing::Candidate(votes) = &mut self.standing {
+        if let RoleState::Candidate(votes) = &mut self.role_state {
             votes.granted.insert(self.cfg.id);
-            self.lead_if_elected();
+            self.become_leader_if_elected();
         }
     }
 
-    /// Stands at once, because the leader asks for it.
-    pub(super) fn on_stand(&mut self, from: NodeId) {
+    /// Starts an election at once at the leader's request.
+    pub(super) fn on_timeout_now(&mut self, from: NodeId) {
         let from_leader = self.leader == Some(from);
-        if from_leader && self.is_eligible() && !self.full {
+        if from_leader && self.is_eligible() && !self.disk_full {
             self.campaign(true);
         }
     }
 
-    /// Follows in a new term, with no leader known yet.
+    /// Becomes a follower in a new term with no known leader.
     pub(super) fn enter_term(&mut self, term: Term) {
         debug_assert!(term > self.state.term);
         self.state.term = term;
         self.state.voted = None;
-        self.writer.change_state();
-        self.round_heard = 0;
-        self.verified = 0;
-        self.incoming = None;
-        self.follow(None);
+        self.writer.mark_state_changed();
+        self.latest_round = 0;
+        self.match_index = 0;
+        self.incoming_snapshot = None;
+        self.become_follower(None);
     }
 
-    /// Follows a leader, or waits for one. Proposals in flight may or may not
-    /// come through.
-    pub(super) fn follow(&mut self, leader: Option<NodeId>) {
+    /// Becomes a follower, of `leader` if known. The outcome of proposals in flight
+    /// is unknown.
+    pub(super) fn become_follower(&mut self, leader: Option<NodeId>) {
         self.leader = leader;
-        let before = std::mem::replace(&mut self.standing, Standing::Follower);
+        let before = std::mem::replace(&mut self.role_state, RoleState::Follower);
         match before {
-            Standing::Follower => return,
-            Standing::PreCandidate(_) | Standing::Candidate(_) => {}
-            Standing::Leader(led) => self.give_up_leading(&led),
+            RoleState::Follower => return,
+            RoleState::PreCandidate(_) | RoleState::Candidate(_) => {}
+            RoleState::Leader(former_leader) => self.fail_pending_requests(&former_leader),
         }
         self.actions.push(ReplicaAction::Role(Role::Follower));
     }
 
-    /// Answers those who wait on this replica's leadership.
-    fn give_up_leading(&mut self, led: &Leader) {
-        for ticket in led.pending_reads() {
+    /// Rejects the requests that wait on this replica's leadership.
+    fn fail_pending_requests(&mut self, former_leader: &Leader) {
+        for ticket in former_leader.pending_reads() {
             self.reject(ticket, Rejection::NotLeader(self.leader));
         }
-        if let Some(ticket) = led.pending_change() {
-            self.reject(ticket, Rejection::Unsure);
+        if let Some(ticket) = former_leader.pending_change() {
+            self.reject(ticket, Rejection::OutcomeUnknown);
         }
         for ticket in std::mem::take(&mut self.tickets).into_values() {
-            self.reject(ticket, Rejection::Unsure);
+            self.reject(ticket, Rejection::OutcomeUnknown);
         }
-        self.reset_election();
+        self.reset_election_deadline();
     }
 
-    /// Tells a sender with an old term of the present one.
-    pub(super) fn refuse_old_term(&mut self, from: NodeId, body: &ReplicaBody) {
+    /// Informs a leader with a stale term of the current one.
+    pub(super) fn reject_stale_term(&mut self, from: NodeId, body: &ReplicaBody) {
         match body {
-            ReplicaBody::Append { .. } | ReplicaBody::Chunk { .. } => {
-                let refusal = ReplicaBody::Appended {
+            ReplicaBody::AppendRequest { .. } | ReplicaBody::SnapshotChunk { .. } => {
+                let response = ReplicaBody::AppendResponse {
                     round: 0,
                     synced: 0,
-                    full: self.full,
+                    disk_full: self.disk_full,
                     hint: None,
                 };
-                self.send(from, refusal);
+                self.send(from, response);
             }
             _ => {}
         }
     }
 
-    /// Returns whether this replica votes in the group, with this data folder.
+    /// Returns whether this replica, with this data folder, is a voter of the
+    /// group.
     fn is_eligible(&self) -> bool {
         let member = self.members().get(self.cfg.id);
         let folder_known = |incarnation| {
@@ -228,53 +234,53 @@
         member.is_some_and(|m| m.voter && folder_known(m.incarnation))
     }
 
-    /// Returns whether a live leader rules out any other.
-    fn is_promised(&self) -> bool {
+    /// Returns whether a live leader's lease forbids voting for another replica.
+    fn is_vote_blocked(&self) -> bool {
         if self.cfg.faults.vote_during_lease {
             return false;
         }
-        self.now < self.promise_until || self.has_lease(self.now)
+        self.now < self.vote_blocked_until || self.has_lease(self.now)
     }
 
-    /// Stands in a new term.
+    /// Becomes a candidate in a new term and requests votes.
     fn campaign(&mut self, transfer: bool) {
         self.enter_term(self.state.term + 1);
         self.state.voted = Some(self.cfg.id);
-        self.take_role(Standing::Candidate(Votes::default()));
-        self.reset_election();
+        self.set_role(RoleState::Candidate(Votes::default()));
+        self.reset_election_deadline();
         let last = self.log.end();
-        self.ask_voters(|| ReplicaBody::Vote { last, transfer });
+        self.send_to_voters(|| ReplicaBody::VoteRequest { last, transfer });
     }
 
-    /// Stands if enough voters would vote for this replica.
+    /// Becomes a candidate once a quorum has granted its pre-vote.
     fn campaign_if_granted(&mut self) {
-        if let Standing::PreCandidate(votes) = &self.standing
+        if let RoleState::PreCandidate(votes) = &self.role_state
             && votes.granted.len() >= self.members().quorum()
         {
             self.campaign(false);
         }
     }
 
-    /// Leads if enough voters voted for this replica.
-    fn lead_if_elected(&mut self) {
-        if let Standing::Candidate(votes) = &self.standing
+    /// Becomes the leader once a quorum has granted its vote.
+    fn become_leader_if_elected(&mut self) {
+        if let RoleState::Candidate(votes) = &self.role_state
             && votes.granted.len() >= self.members().quorum()
         {
-            self.lead();
+            self.become_leader();
         }
     }
 
-    /// Sends a question to every other voter.
-    fn ask_voters(&mut self, question: impl Fn() -> ReplicaBody) {
+    /// Sends a message to every other voter.
+    fn send_to_voters(&mut self, request: impl Fn() -> ReplicaBody) {
         let own = self.cfg.id;
         let voters: Vec<NodeId> = self.members().voters().filter(|&v| v != own).collect();
         for voter in voters {
-            self.send(voter, question());
+            self.send(voter, request());
         }
     }
 
-    /// Returns the time after which a leader that no quorum answers gives up.
-    pub(super) fn patience(&self) -> Duration {
+    /// Returns how long a leader without responses from a quorum keeps its role.
+    pub(super) fn quorum_timeout(&self) -> Duration {
         self.cfg.election.max(self.cfg.lease) * 2
     }
 }
--- a/sesamebeam_core/src/replica/following.rs
+++ b/sesamebeam_core/src/replica/following.rs
@@ -1,11 +1,11 @@
-//! What a follower does with a leader's entries.
+//! The follower role: receiving entries from the leader.
 
 use super::{
     Replica,
     message::{
         Entry,
         EntryBody,
-        LogEnd,
+        LogPosition,
         ReplicaBody, //
     },
 };
@@ -15,88 +15,90 @@
 };
 
 impl Replica {
-    /// Notes that the leader of the present term lives.
+    /// Records contact with the leader of the current term.
     ///
-    /// Only a round that was not heard before renews the promise: an old
-    /// message that the network kept says nothing about now.
-    pub(super) fn hear_leader(&mut self, from: NodeId, round: u64) {
-        self.follow(Some(from));
-        if round > self.round_heard {
-            self.round_heard = round;
-            self.promise_until = self.now + self.cfg.lease;
-            self.reset_election();
+    /// Only a new round renews the promise not to vote for others: a delayed
+    /// message does not show that the leader is still alive.
+    pub(super) fn on_leader_contact(&mut self, from: NodeId, round: u64) {
+        self.become_follower(Some(from));
+        if round > self.latest_round {
+            self.latest_round = round;
+            self.vote_blocked_until = self.now + self.cfg.lease;
+            self.reset_election_deadline();
         }
     }
 
-    /// Takes entries that follow on, or tells where to go on from.
-    pub(super) fn on_append(
+    /// Appends entries that continue the log, or responds with a hint where to
+    /// resume.
+    pub(super) fn on_append_request(
         &mut self,
         from: NodeId,
-        prev: LogEnd,
+        prev: LogPosition,
         entries: Vec<Entry>,
         committed: LogIndex,
     ) {
-        if !self.fits(prev) {
-            let hint = self.log.agreement(prev);
+        if !self.log_matches(prev) {
+            let hint = self.log.last_possible_match(prev);
             self.acknowledge(from, Some(hint));
             return;
         }
-        let wanted = entries.len();
-        let entries = if self.full { Vec::new() } else { entries };
-        let took_all = entries.len() == wanted;
+        let received = entries.len();
+        let entries = if self.disk_full { Vec::new() } else { entries };
+        let accepted_all = entries.len() == received;
         let end = entries.last().map_or(prev.index, |entry| entry.index);
-        let grew = self.take_entries(entries);
-        self.verified = self.verified.max(end);
-        self.commit_to(committed.min(self.verified));
-        // An entry of the leader's own term is committed after all before it.
+        let grew = self.append_entries(entries);
+        self.match_index = self.match_index.max(end);
+        self.commit_to(committed.min(self.match_index));
+        // An entry of the leader's own term is committed only after all earlier
+        // ones.
         let in_term = self.log.term_at(committed) == Some(self.state.term);
         self.current |= in_term && committed <= self.committed;
-        if !took_all {
-            let hint = self.log.agreement(prev);
+        if !accepted_all {
+            let hint = self.log.last_possible_match(prev);
             self.acknowledge(from, Some(hint));
         } else if !grew || self.cfg.faults.count_unsynced {
-            // Otherwise the answer follows on the sync.
+            // Otherwise the response is sent after the sync.
             self.acknowledge(from, None);
         }
     }
 
-    /// Answers the leader with what is synced here and matches its log.
+    /// Sends the leader the last index that is synced here and matches its log.
     ///
-    /// An entry that is acknowledged before it is synced can be counted as
-    /// committed and then be lost in a power cut on every replica that holds
-    /// it. So only synced entries are acknowledged.
-    pub(super) fn acknowledge(&mut self, leader: NodeId, hint: Option<LogEnd>) {
-        let held = if self.cfg.faults.count_unsynced {
+    /// Only synced entries are acknowledged. An entry acknowledged before its sync
+    /// could be committed and then lost in a power failure on every replica that
+    /// holds it.
+    pub(super) fn acknowledge(&mut self, leader: NodeId, hint: Option<LogPosition>) {
+        let last = if self.cfg.faults.count_unsynced {
             self.log.end().index
         } else {
             self.writer.synced()
         };
-        let answer = ReplicaBody::Appended {
-            round: self.round_heard,
-            synced: held.min(self.verified),
-            full: self.full,
+        let response = ReplicaBody::AppendResponse {
+            round: self.latest_round,
+            synced: last.min(self.match_index),
+            disk_full: self.disk_full,
             hint,
         };
-        self.send(leader, answer);
+        self.send(leader, response);
     }
 
-    /// Drops the entries from a position on, and the memberships among them.
-    fn drop_from(&mut self, from: LogIndex) {
+    /// Removes the entries from index `from` on, with the memberships they contain.
+    fn truncate_from(&mut self, from: LogIndex) {
         debug_assert!(from > self.committed);
         self.log.truncate(from);
         self.writer.truncate(from);
-        self.drop_memberships(from);
+        self.truncate_memberships(from);
     }
 
-    /// Returns whether entries after `prev` follow on here. What is before the
-    /// base is committed and so matches any leader's log.
-    fn fits(&self, prev: LogEnd) -> bool {
+    /// Returns whether entries after `prev` continue this log. Entries before the
+    /// base are committed and therefore match the log of any leader.
+    fn log_matches(&self, prev: LogPosition) -> bool {
         prev.index < self.log.base().index || self.log.term_at(prev.index) == Some(prev.term)
     }
 
-    /// Takes entries, replacing those that conflict. Returns whether the log
-    /// has entries that it lacked.
-    fn take_entries(&mut self, entries: Vec<Entry>) -> bool {
+    /// Appends entries and replaces conflicting ones. Returns whether any entry was
+    /// added.
+    fn append_entries(&mut self, entries: Vec<Entry>) -> bool {
         let mut grew = false;
         for entry in entries {
             if entry.index <= self.log.base().index {
@@ -104,7 +106,7 @@
             }
             match self.log.term_at(entry.index) {
                 Some(term) if term == entry.term => continue,
-                Some(_) => self.drop_from(entry.index),
+                Some(_) => self.truncate_from(entry.index),
                 None => {}
             }
             self.push_entry(entry);
@@ -113,10 +115,10 @@
         grew
     }
 
-    /// Appends an entry; a membership is in force from then on.
+    /// Appends an entry. A membership entry applies as soon as it is appended.
     pub(super) fn push_entry(&mut self, entry: Entry) {
         if let EntryBody::Members(members) = &entry.body {
-            self.adopt_members(entry.index, members.clone());
+            self.insert_members(entry.index, members.clone());
         }
         self.log.push(entry);
     }
--- a/sesamebeam_core/src/replica/leading.rs
+++ b/sesamebeam_core/src/replica/leading.rs
@@ -1,4 +1,4 @@
-//! What a leader does: takes proposals, replicates, commits, serves reads.
+//! The leader role: proposals, replication, commits and linearizable reads.
 
 use std::{
     collections::{
@@ -9,7 +9,7 @@
 };
 
 use super::{
-    Replica, Standing,
+    Replica, RoleState,
     lease::{
         Rounds,
         leader_lease, //
@@ -20,7 +20,7 @@
         DiskOp,
         Entry,
         EntryBody,
-        LogEnd,
+        LogPosition,
         Rejection,
         ReplicaAction,
         ReplicaBody,
@@ -29,8 +29,8 @@
     },
     progress::{
         Mode,
-        Outgoing,
-        Progress, //
+        Progress,
+        SendContext, //
     },
 };
 use crate::ids::{
@@ -39,81 +39,81 @@
     NodeId, //
 };
 
-/// Batches that may wait for the disk before proposals are refused.
-const MAX_BATCHES_WAITING: usize = 16;
+/// Number of unwritten batches above which proposals are rejected.
+const MAX_UNWRITTEN_BATCHES: usize = 16;
 
-/// What a leader holds.
+/// State of a leader.
 #[derive(Debug)]
 pub(super) struct Leader {
-    /// The entry that began its term here.
-    pub(super) first: LogIndex,
-    /// When it was elected.
+    /// Index of the first entry of the leader's term.
+    pub(super) term_start: LogIndex,
+    /// Time of the election.
     elected_at: MonoTime,
     /// When the next heartbeat is due.
     pub(super) heartbeat_at: MonoTime,
-    /// Whether a heartbeat goes out with the present event.
-    beat: bool,
-    /// Whether a read waits for a round that is sent after it.
-    fresh: bool,
-    /// Sending rounds.
+    /// Whether a heartbeat is sent with the current event.
+    heartbeat_due: bool,
+    /// Whether a pending read needs a round that starts after it.
+    needs_new_round: bool,
+    /// Message rounds and their acknowledgement.
     rounds: Rounds,
-    /// The other replicas.
+    /// Replication progress of the other replicas.
     pub(super) progress: BTreeMap<NodeId, Progress>,
-    /// Reads with the round that a quorum must hear first.
+    /// Pending reads, each with the round that a quorum must acknowledge first.
     reads: VecDeque<(Ticket, u64)>,
-    /// The membership change in flight.
+    /// Index and ticket of the membership change in flight.
     pub(super) change: Option<(LogIndex, Option<Ticket>)>,
-    /// Snapshot that is sent to replicas that lag far behind.
+    /// Snapshot being sent to replicas that lag too far behind the log.
     pub(super) snapshot: Option<Snapshot>,
-    /// Bytes of entries that wait for the disk.
-    waiting_bytes: usize,
+    /// Bytes of entries not handed to the disk yet.
+    unwritten_bytes: usize,
 }
 
 impl Leader {
-    /// Starts leading.
-    fn new(now: MonoTime, first: LogIndex) -> Self {
+    /// Creates the state of a newly elected leader.
+    fn new(now: MonoTime, term_start: LogIndex) -> Self {
         Leader {
-            first,
+            term_start,
             elected_at: now,
             heartbeat_at: now,
-            beat: true,
-            fresh: false,
+            heartbeat_due: true,
+            needs_new_round: false,
             rounds: Rounds::new(),
             progress: BTreeMap::new(),
             reads: VecDeque::new(),
             change: None,
             snapshot: None,
-            waiting_bytes: 0,
+            unwritten_bytes: 0,
         }
     }
 
-    /// Returns the reads that are not answered.
+    /// Returns the tickets of pending reads.
     pub(super) fn pending_reads(&self) -> impl Iterator<Item = Ticket> + '_ {
         self.reads.iter().map(|&(ticket, _)| ticket)
     }
 
-    /// Returns the change that is not committed.
+    /// Returns the ticket of the uncommitted membership change.
     pub(super) fn pending_change(&self) -> Option<Ticket> {
         self.change.and_then(|(_, ticket)| ticket)
     }
 
-    /// Returns the time since a replica was last heard of.
-    pub(super) fn silent(&self, own: NodeId, node: NodeId, now: MonoTime) -> Duration {
+    /// Returns the time since the last message from a replica.
+    pub(super) fn time_since_contact(&self, own: NodeId, node: NodeId, now: MonoTime) -> Duration {
         if own == node {
             return Duration::ZERO;
         }
-        let heard_at = self.progress.get(&node).and_then(|p| p.heard_at);
-        now.saturating_sub(heard_at.unwrap_or(self.elected_at))
+        let last_contact = self.progress.get(&node).and_then(|p| p.last_contact);
+        now.saturating_sub(last_contact.unwrap_or(self.elected_at))
     }
 
-    /// Returns whether a replica waits for a snapshot or is being sent one.
-    pub(super) fn sends_snapshot(&self) -> bool {
+    /// Returns whether any replica needs a snapshot or is receiving one.
+    pub(super) fn needs_snapshot(&self) -> bool {
         let in_snapshot = |p: &Progress| matches!(p.mode, Mode::Snapshot { .. });
         self.progress.values().any(in_snapshot)
     }
 
-    /// Follows a change of the membership.
-    fn track(&mut self, own: NodeId, members: &Members, next: LogIndex) {
+    /// Adds and removes progress entries to match the membership.
+    fn update_members(&mut self, own: NodeId, members: &Members, next: LogIndex) {
         self.progress
             .retain(|node, _| members.members.contains_key(node));
         for &node in members.members.keys().filter(|&&node| node != own) {
@@ -123,19 +123,19 @@
         }
     }
 
-    /// Notes what a quorum has heard.
-    fn note_heard(&mut self, own: NodeId, members: &Members) {
-        let heard = |node| match self.progress.get(&node) {
+    /// Updates the last round acknowledged by a quorum.
+    fn note_acked_round(&mut self, own: NodeId, members: &Members) {
+        let acked = |node| match self.progress.get(&node) {
             Some(p) => p.round,
             None if node == own => self.rounds.last(),
             None => 0,
         };
-        let round = quorum_value(members, heard);
-        self.rounds.note_heard(round);
+        let round = quorum_value(members, acked);
+        self.rounds.note_acked_round(round);
     }
 }
 
-/// Returns the highest value that a quorum of voters has reached.
+/// Returns the highest value reached by a quorum of voters.
 fn quorum_value(members: &Members, value: impl Fn(NodeId) -> u64) -> u64 {
     let mut values: Vec<u64> = members.voters().map(value).collect();
     values.sort_unstable_by(|a, b| b.cmp(a));
@@ -143,46 +143,46 @@
 }
 
 impl Replica {
-    /// Starts to lead.
+    /// Becomes the leader and appends the first entry of the term.
     ///
-    /// The first entry holds nothing. Entries of earlier terms are committed
-    /// only along with it: counted by themselves they could still be replaced
-    /// by a leader that never had them, after they were applied here.
-    pub(super) fn lead(&mut self) {
-        let first = self.log.end().index + 1;
-        let leader = Leader::new(self.now, first);
+    /// The first entry is a no-op. Entries of earlier terms are committed only
+    /// through it: committed by replica count alone, they could still be
+    /// overwritten by a leader without them after they were applied here.
+    pub(super) fn become_leader(&mut self) {
+        let term_start = self.log.end().index + 1;
+        let leader = Leader::new(self.now, term_start);
         self.leader = Some(self.cfg.id);
-        self.take_role(Standing::Leader(Box::new(leader)));
+        self.set_role(RoleState::Leader(Box::new(leader)));
         self.append(EntryBody::Noop);
-        self.track_members();
+        self.update_leader_members();
     }
 
-    /// Does what time asks of a leader.
+    /// Handles the leader's timers.
     ///
-    /// A leader that no quorum has answered for long gives up, so that its
-    /// callers look elsewhere. Its lease has ended well before.
+    /// A leader steps down if no quorum has responded for the quorum timeout, so
+    /// that its callers try another replica. Its lease has expired long before.
     pub(super) fn tick_leader(&mut self) {
-        let patience = self.patience();
+        let quorum_timeout = self.quorum_timeout();
         let heartbeat = self.cfg.heartbeat;
         let now = self.now;
-        let sole = self.is_sole_voter();
-        let Standing::Leader(leader) = &mut self.standing else {
+        let sole_voter = self.is_sole_voter();
+        let RoleState::Leader(leader) = &mut self.role_state else {
             return;
         };
-        let heard = leader.rounds.heard_sent().unwrap_or(leader.elected_at);
-        if !sole && now > heard + patience {
-            self.follow(None);
+        let acked_at = leader.rounds.acked_sent_at().unwrap_or(leader.elected_at);
+        if !sole_voter && now > acked_at + quorum_timeout {
+            self.become_follower(None);
             return;
         }
         if now >= leader.heartbeat_at {
-            leader.beat = true;
+            leader.heartbeat_due = true;
             leader.heartbeat_at = now + heartbeat;
         }
     }
 
-    /// Takes a proposal.
+    /// Appends a proposal to the log.
     pub(super) fn propose(&mut self, ticket: Ticket, data: Vec<u8>) {
-        if let Err(reason) = self.may_propose() {
+        if let Err(reason) = self.check_can_propose() {
             self.reject(ticket, reason);
             return;
         }
@@ -190,83 +190,89 @@
         self.tickets.insert(index, ticket);
     }
 
-    /// Takes a read, to be answered under the lease or after a quorum round.
+    /// Queues a read until the lease or a quorum round confirms leadership.
     pub(super) fn read(&mut self, ticket: Ticket) {
         let has_lease = self.has_lease(self.now);
-        match &mut self.standing {
-            Standing::Leader(leader) => {
+        match &mut self.role_state {
+            RoleState::Leader(leader) => {
                 leader.reads.push_back((ticket, leader.rounds.last() + 1));
-                leader.fresh |= !has_lease;
+                leader.needs_new_round |= !has_lease;
             }
             _ => self.reject(ticket, Rejection::NotLeader(self.leader)),
         }
     }
 
-    /// Answers the reads that are safe by now.
+    /// Completes the reads that are known to be linearizable.
     ///
-    /// A leader that was replaced without knowing would answer from an old
-    /// state. Under the lease nobody can have replaced it; without one, a
-    /// quorum that hears a round sent after the read proves the same.
-    pub(super) fn answer_reads(&mut self) {
+    /// A leader that was deposed without noticing would serve stale state. A valid
+    /// lease rules this out. Without one, a quorum that acknowledges a round sent
+    /// after the read proves that this replica was still the leader.
+    pub(super) fn complete_reads(&mut self) {
         let under_lease = self.has_lease(self.now) || self.cfg.faults.serve_after_lease;
-        let Standing::Leader(leader) = &mut self.standing else {
+        let RoleState::Leader(leader) = &mut self.role_state else {
             return;
         };
-        if self.committed < leader.first {
+        if self.committed < leader.term_start {
             return;
         }
-        let heard = leader.rounds.heard();
+        let acked = leader.rounds.acked();
         while let Some((ticket, _)) = leader
             .reads
-            .pop_front_if(|(_, round)| under_lease || *round <= heard)
+            .pop_front_if(|(_, round)| under_lease || *round <= acked)
         {
             self.actions.push(ReplicaAction::ReadReady { ticket });
         }
     }
 
-    /// Handles a replica's answer to entries or a heartbeat.
-    pub(super) fn on_appended(
+    /// Handles a replica's response to entries or a heartbeat.
+    pub(super) fn on_append_response(
         &mut self,
         from: NodeId,
         round: u64,
         synced: LogIndex,
-        full: bool,
-        hint: Option<LogEnd>,
+        disk_full: bool,
+        hint: Option<LogPosition>,
     ) {
         let limit = self.cfg.election;
         let end = self.log.end().index;
-        let Standing::Leader(leader) = &mut self.standing else {
+        let RoleState::Leader(leader) = &mut self.role_state else {
             return;
         };
         let Some(progress) = leader.progress.get_mut(&from) else {
             return;
         };
-        progress.hear(self.now, round);
-        progress.full = full;
+        progress.record_contact(self.now, round);
+        progress.disk_full = disk_full;
         match hint {
-            Some(hint) => progress.probe_after(self.log.probe_point(hint)),
+            Some(hint) => progress.probe_after(self.log.probe_index(hint)),
             None => progress.advance(synced.min(end)),
         }
-        progress.measure(self.now, end, limit);
-        leader.note_heard(self.cfg.id, self.memberships.current());
+        progress.update_caught_up(self.now, end, limit);
+        leader.note_acked_round(self.cfg.id, self.memberships.current());
     }
 
-    /// Handles a replica's answer to a part of a snapshot.
-    pub(super) fn on_chunked(&mut self, from: NodeId, round: u64, index: LogIndex, offset: u64) {
-        let Standing::Leader(leader) = &mut self.standing else {
+    /// Handles a replica's response to a snapshot chunk.
+    pub(super) fn on_chunk_response(
+        &mut self,
+        from: NodeId,
+        round: u64,
+        index: LogIndex,
+        offset: u64,
+    ) {
+        let RoleState::Leader(leader) = &mut self.role_state else {
             return;
         };
         let Some(progress) = leader.progress.get_mut(&from) else {
             return;
         };
-        progress.hear(self.now, round);
+        progress.record_contact(self.now, round);
         if let Some(snapshot) = leader.snapshot.as_ref().filter(|s| s.end.index == index) {
             progress.note_chunk(index, snapshot.data.len() as u64, offset);
         }
-        leader.note_heard(self.cfg.id, self.memberships.current());
+        leader.note_acked_round(self.cfg.id, self.memberships.current());
     }
 
-    /// Appends an entry of this term.
+    /// Appends an entry in the current term.
     pub(super) fn append(&mut self, body: EntryBody) -> LogIndex {
         let index = self.log.end().index + 1;
         let entry = Entry {
@@ -274,27 +280,27 @@
             index,
             body,
         };
-        if let Standing::Leader(leader) = &mut self.standing {
-            leader.waiting_bytes += entry_bytes(&entry);
+        if let RoleState::Leader(leader) = &mut self.role_state {
+            leader.unwritten_bytes += entry_bytes(&entry);
         }
         self.push_entry(entry);
         index
     }
 
-    /// Follows the membership in force.
-    pub(super) fn track_members(&mut self) {
+    /// Updates the tracked replicas to the current membership.
+    pub(super) fn update_leader_members(&mut self) {
         let next = self.log.end().index;
-        if let Standing::Leader(leader) = &mut self.standing {
-            leader.track(self.cfg.id, self.memberships.current(), next);
+        if let RoleState::Leader(leader) = &mut self.role_state {
+            leader.update_members(self.cfg.id, self.memberships.current(), next);
         }
     }
 
-    /// Commits what a quorum has synced.
+    /// Commits the entries that a quorum has synced.
     pub(super) fn commit_by_quorum(&mut self) {
-        let Standing::Leader(leader) = &self.standing else {
+        let RoleState::Leader(leader) = &self.role_state else {
             return;
         };
-        let index = quorum_value(self.members(), |node| self.matched(leader, node));
+        let index = quorum_value(self.members(), |node| self.match_index_of(leader, node));
         let own_term = self.log.term_at(index) == Some(self.state.term);
         if index > self.committed && (own_term || self.cfg.faults.commit_old_terms) {
             self.commit_to(index);
@@ -302,7 +308,7 @@
         }
     }
 
-    /// Applies the entries up to a position, which are committed.
+    /// Commits and applies the entries up to `index`.
     pub(super) fn commit_to(&mut self, index: LogIndex) {
         while self.committed < index {
             let next = self.committed + 1;
@@ -318,46 +324,47 @@
                     ticket: self.tickets.remove(&next),
                     data: data.to_vec(),
                 }),
-                EntryBody::Members(_) => self.members_committed(next),
+                EntryBody::Members(_) => self.on_members_committed(next),
             }
         }
         self.snapshot_if_due();
     }
 
-    /// Returns the last entry that a replica has synced.
-    pub(super) fn matched(&self, leader: &Leader, node: NodeId) -> LogIndex {
+    /// Returns the index of the last matching entry that a replica has synced.
+    pub(super) fn match_index_of(&self, leader: &Leader, node: NodeId) -> LogIndex {
         match leader.progress.get(&node) {
-            Some(progress) => progress.matched,
+            Some(progress) => progress.match_index,
             None if node != self.cfg.id => 0,
             None if self.cfg.faults.count_unsynced => self.log.end().index,
             None => self.writer.synced(),
         }
     }
 
-    /// Returns whether a learner has caught up and is still heard.
+    /// Returns whether a learner has caught up and responded recently.
     pub(super) fn has_caught_up(&self, node: NodeId) -> bool {
         if self.cfg.faults.promote_early {
             return true;
         }
-        let Standing::Leader(leader) = &self.standing else {
+        let RoleState::Leader(leader) = &self.role_state else {
             return false;
         };
-        self.is_heard(node) && leader.progress.get(&node).is_some_and(|p| p.caught_up)
+        self.is_active(node) && leader.progress.get(&node).is_some_and(|p| p.caught_up)
     }
 
-    /// Returns whether a replica has answered this leader of late.
-    pub(super) fn is_heard(&self, node: NodeId) -> bool {
-        let Standing::Leader(leader) = &self.standing else {
+    /// Returns whether a replica has responded to this leader within an election
+    /// timeout.
+    pub(super) fn is_active(&self, node: NodeId) -> bool {
+        let RoleState::Leader(leader) = &self.role_state else {
             return false;
         };
-        let heard_at = leader.progress.get(&node).and_then(|p| p.heard_at);
-        let of_late = |at| self.now.saturating_sub(at) <= self.cfg.election;
-        node == self.cfg.id || heard_at.is_some_and(of_late)
+        let last_contact = leader.progress.get(&node).and_then(|p| p.last_contact);
+        let recently = |at| self.now.saturating_sub(at) <= self.cfg.election;
+        node == self.cfg.id || last_contact.is_some_and(recently)
     }
 
-    /// Returns when the leader's lease ends; nothing for other roles.
+    /// Returns when the leader's lease expires, or `None` in other roles.
     pub(super) fn lease_end(&self) -> Option<MonoTime> {
-        let Standing::Leader(leader) = &self.standing else {
+        let RoleState::Leader(leader) = &self.role_state else {
             return None;
         };
         if self.is_sole_voter() {
@@ -368,14 +375,14 @@
         } else {
             self.cfg.drift
         };
-        let sent = leader.rounds.heard_sent()?;
+        let sent = leader.rounds.acked_sent_at()?;
         Some(sent + leader_lease(self.cfg.lease, drift))
     }
 
-    /// Sends each replica what it lacks, up to what the disk here was handed:
-    /// a batch goes to the disk and to the others side by side.
+    /// Sends each replica the entries it lacks, up to the last one handed to the
+    /// local disk. A batch is written locally and replicated in parallel.
     pub(super) fn replicate(&mut self) {
-        let Standing::Leader(leader) = &mut self.standing else {
+        let RoleState::Leader(leader) = &mut self.role_state else {
             return;
         };
         let written = if self.cfg.faults.count_unsynced {
@@ -383,105 +390,115 @@
         } else {
             self.writer.written()
         };
-        let cx = Outgoing {
+        let cx = SendContext {
             log: &self.log,
             written,
             committed: self.committed,
             max_batch_bytes: self.cfg.max_batch_bytes,
             snapshot_chunk: self.cfg.snapshot_chunk,
             snapshot: leader.snapshot.as_ref(),
-            beat: std::mem::take(&mut leader.beat) || leader.fresh,
+            heartbeat_due: std::mem::take(&mut leader.heartbeat_due) || leader.needs_new_round,
         };
-        if std::mem::take(&mut leader.fresh) {
-            leader.rounds.renew(self.now);
+        if std::mem::take(&mut leader.needs_new_round) {
+            leader.rounds.begin_new(self.now);
         } else {
             leader.rounds.begin(self.now);
         }
         let round = leader.rounds.last();
         for (&node, progress) in &mut leader.progress {
-            let mut beat = cx.beat;
-            while let Some(body) = progress.next_message(round, &cx, beat) {
-                beat = false;
-                self.held.push((node, body, self.state.term));
+            let mut heartbeat_due = cx.heartbeat_due;
+            while let Some(body) = progress.next_message(round, &cx, heartbeat_due) {
+                heartbeat_due = false;
+                self.outbox.push((node, body, self.state.term));
             }
         }
-        leader.note_heard(self.cfg.id, self.memberships.current());
-        self.provide_snapshot();
+        leader.note_acked_round(self.cfg.id, self.memberships.current());
+        self.update_transfer_snapshot();
     }
 
-    /// Notes how many bytes a write took from those that wait.
+    /// Subtracts the bytes of a started write from the unwritten bytes.
     pub(super) fn note_flushed(&mut self, ops: &[DiskOp]) {
-        let Standing::Leader(leader) = &mut self.standing else {
+        let RoleState::Leader(leader) = &mut self.role_state else {
             return;
         };
         for op in ops {
             if let DiskOp::Entries(entries) = op {
                 let bytes: usize = entries.iter().map(entry_bytes).sum();
-                leader.waiting_bytes = leader.waiting_bytes.saturating_sub(bytes);
+                leader.unwritten_bytes = leader.unwritten_bytes.saturating_sub(bytes);
             }
         }
     }
 
-    /// Gives up leading if the disk is full and another replica can lead.
+    /// Transfers leadership if the disk is full and another replica can lead.
     ///
-    /// With nobody to take over, this replica goes on to serve reads.
-    pub(super) fn yield_if_full(&mut self) {
-        if self.full && self.quorum_has_space() && self.best_successor().is_some() {
-            self.hand_over();
+    /// If no replica can take over, this one continues to serve reads.
+    pub(super) fn transfer_if_disk_full(&mut self) {
+        if self.disk_full && self.quorum_has_disk_space() && self.transfer_target().is_some() {
+            self.transfer_leadership();
         }
     }
 
-    /// Returns whether the other voters with space on their disks are a quorum.
+    /// Returns whether the other voters with free disk space form a quorum.
     ///
-    /// A new leader answers reads only once its first entry is committed. With
-    /// fewer disks it could not commit that, and what this leader still serves
-    /// would be served by nobody.
-    fn quorum_has_space(&self) -> bool {
-        let Standing::Leader(leader) = &self.standing else {
+    /// A new leader serves reads only once its first entry is committed. Without a
+    /// quorum of writable disks it could not commit that entry, and the reads that
+    /// this leader can still serve would fail.
+    fn quorum_has_disk_space(&self) -> bool {
+        let RoleState::Leader(leader) = &self.role_state else {
             return false;
         };
         let has_space =
-            |(node, p): &(&NodeId, &Progress)| self.members().is_voter(**node) && !p.full;
+            |(node, p): &(&NodeId, &Progress)| self.members().is_voter(**node) && !p.disk_full;
         let with_space = leader.progress.iter().filter(has_space).count();
         with_space >= self.members().quorum()
     }
 
-    /// Stops leading and asks the best other replica to stand at once.
+    /// Steps down and asks the most up-to-date replica to start an election at
+    /// once.
     ///
-    /// The lease ends here, before the request is sent: otherwise the new
-    /// leader could win while this one still serves.
-    pub(super) fn hand_over(&mut self) {
-        let successor = self.best_successor();
-        self.follow(None);
-        if let Some(node) = successor {
-            self.send(node, ReplicaBody::Stand);
+    /// The lease is given up before the request is sent; otherwise the new leader
+    /// could win while this one still serves reads.
+    pub(super) fn transfer_leadership(&mut self) {
+        let target = self.transfer_target();
+        self.become_follower(None);
+        if let Some(node) = target {
+            self.send(node, ReplicaBody::TimeoutNow);
         }
     }
 
-    /// Returns the live voter with the longest log, if it has all that is
-    /// committed and space on its disk.
-    fn best_successor(&self) -> Option<NodeId> {
-        let Standing::Leader(leader) = &self.standing else {
+    /// Returns the live voter with the longest log among those that have all
+    /// committed entries and free disk space.
+    fn transfer_target(&self) -> Option<NodeId> {
+        let RoleState::Leader(leader) = &self.role_state else {
             return None;
         };
-        let fit = |node: NodeId, p: &Progress| {
-            let live = leader.silent(self.cfg.id, node, self.now) <= self.cfg.lease;
-            let heard = p.heard_at.is_some();
-            self.members().is_voter(node) && heard && live && !p.full && p.matched >= self.committed
+        let eligible = |node: NodeId, p: &Progress| {
+            let live = leader.time_since_contact(self.cfg.id, node, self.now) <= self.cfg.lease;
+            let contacted = p.last_contact.is_some();
+            self.members().is_voter(node)
+                && contacted
+                && live
+                && !p.disk_full
+                && p.match_index >= self.committed
         };
-        let fits = leader.progress.iter().filter(|&(&node, p)| fit(node, p));
-        fits.max_by_key(|(_, p)| p.matched).map(|(&node, _)| node)
+        let candidates = leader
+            .progress
+            .iter()
+            .filter(|&(&node, p)| eligible(node, p));
+        candidates
+            .max_by_key(|(_, p)| p.match_index)
+            .map(|(&node, _)| node)
     }
 
-    /// Returns whether a proposal may be taken.
-    fn may_propose(&self) -> Result<(), Rejection> {
-        let Standing::Leader(leader) = &self.standing else {
+    /// Checks whether a proposal can be accepted.
+    fn check_can_propose(&self) -> Result<(), Rejection> {
+        let RoleState::Leader(leader) = &self.role_state else {
             return Err(Rejection::NotLeader(self.leader));
         };
-        if self.full {
+        if self.disk_full {
             return Err(Rejection::Full);
         }
-        if leader.waiting_bytes > MAX_BATCHES_WAITING * self.cfg.max_batch_bytes {
+        if leader.unwritten_bytes > MAX_UNWRITTEN_BATCHES * self.cfg.max_batch_bytes {
             return Err(Rejection::Busy);
         }
         Ok(())
--- a/sesamebeam_core/src/replica/log.rs
+++ b/sesamebeam_core/src/replica/log.rs
@@ -1,24 +1,24 @@
-//! The part of the log that is kept in memory.
+//! The in-memory part of the log.
 
 use std::collections::VecDeque;
 
 use super::message::{
     Entry,
     EntryBody,
-    LogEnd, //
+    LogPosition, //
 };
 use crate::ids::{
     LogIndex,
     Term, //
 };
 
-/// Bytes that an entry takes beside its data.
+/// Estimated size in bytes of an entry without its data.
 const ENTRY_OVERHEAD: usize = 32;
 
-/// Bytes that one member takes in an entry.
+/// Estimated size in bytes of one member in a membership entry.
 const MEMBER_BYTES: usize = 64;
 
-/// Returns about how many bytes an entry takes in a message.
+/// Returns the approximate encoded size of an entry in bytes.
 pub(super) fn entry_bytes(entry: &Entry) -> usize {
     let body = match &entry.body {
         EntryBody::Noop => 0,
@@ -30,46 +30,46 @@
     ENTRY_OVERHEAD + body
 }
 
-/// Entries after a base, without a gap.
+/// Contiguous log entries after a base position.
 #[derive(Debug, Default)]
 pub(super) struct Log {
-    /// End of what is no longer kept.
-    base: LogEnd,
+    /// Position of the last entry that was compacted away.
+    base: LogPosition,
     /// Entries after the base.
     ///
-    /// INVARIANT: The n-th has index `base.index + 1 + n`; terms never fall.
+    /// INVARIANT: Entry `n` has index `base.index + 1 + n`; terms never decrease.
     entries: VecDeque<Entry>,
 }
 
 impl Log {
-    /// Makes a log that goes on after `base`.
-    pub(super) fn new(base: LogEnd, entries: Vec<Entry>) -> Self {
+    /// Creates a log that continues after `base`.
+    pub(super) fn new(base: LogPosition, entries: Vec<Entry>) -> Self {
         Log {
             base,
             entries: entries.into(),
         }
     }
 
-    /// Returns the end of what is no longer kept.
-    pub(super) fn base(&self) -> LogEnd {
+    /// Returns the position of the last entry that was compacted away.
+    pub(super) fn base(&self) -> LogPosition {
         self.base
     }
 
-    /// Returns the end of the log.
-    pub(super) fn end(&self) -> LogEnd {
-        self.entries.back().map_or(self.base, |entry| LogEnd {
+    /// Returns the position of the last entry.
+    pub(super) fn end(&self) -> LogPosition {
+        self.entries.back().map_or(self.base, |entry| LogPosition {
             term: entry.term,
             index: entry.index,
         })
     }
 
-    /// Returns the entry at a position, if it is kept.
+    /// Returns the entry at `index`, if it is in memory.
     pub(super) fn get(&self, index: LogIndex) -> Option<&Entry> {
         let nth = index.checked_sub(self.base.index + 1)?;
         self.entries.get(usize::try_from(nth).ok()?)
     }
 
-    /// Returns the term at a position, the base included.
+    /// Returns the term at `index`, which may be the base.
     pub(super) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -77,29 +77,29 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// Returns the log's end as if it ended at a position.
-    pub(super) fn end_at(&self, index: LogIndex) -> Option<LogEnd> {
-        self.term_at(index).map(|term| LogEnd { term, index })
+    /// Returns the position (term and index) at `index`, which may be the base.
+    pub(super) fn end_at(&self, index: LogIndex) -> Option<LogPosition> {
+        self.term_at(index).map(|term| LogPosition { term, index })
     }
 
-    /// Adds an entry that follows on.
+    /// Appends the next entry.
     pub(super) fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.end().index + 1);
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from a position on.
+    /// Removes the entries from index `from` on.
     pub(super) fn truncate(&mut self, from: LogIndex) {
         let kept = from.saturating_sub(self.base.index + 1);
         self.entries
             .truncate(usize::try_from(kept).unwrap_or(usize::MAX));
     }
 
-    /// Forgets the entries up to a position.
+    /// Removes the entries up to index `to`, which becomes the new base.
     pub(super) fn compact(&mut self, to: LogIndex) {
         while self.entries.front().is_some_and(|e| e.index <= to) {
             if let Some(entry) = self.entries.pop_front() {
-                self.base = LogEnd {
+                self.base = LogPosition {
                     term: entry.term,
                     index: entry.index,
                 };
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Copies entries between two positions, at least one and otherwise no more
-    /// than `max_bytes`.
+    /// Copies the entries from `from` to `to`: at least one, and no more than
+    /// `max_bytes` unless the first alone exceeds it.
     pub(super) fn slice(&self, from: LogIndex, to: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let mut bytes = 0;
         let mut entries = Vec::new();
@@ -123,12 +123,12 @@
         entries
     }
 
-    /// Returns the highest position at or before `end` at which a log with
-    /// that end may agree with this one.
+    /// Returns the last position, no later than `end`, at which a log ending at
+    /// `end` may match this one.
     ///
-    /// Whole terms are passed over at a time, so that a replica that is far
-    /// astray is brought back in a message a term instead of one an entry.
-    pub(super) fn agreement(&self, end: LogEnd) -> LogEnd {
+    /// Skips a whole term at a time, so that a replica with a long divergent log
+    /// needs one message per term instead of one per entry.
+    pub(super) fn last_possible_match(&self, end: LogPosition) -> LogPosition {
         let mut index = end.index.min(self.end().index);
         while let Some(at) = self.end_at(index) {
             if at.term <= end.term || index == self.base.index {
@@ -139,15 +139,15 @@
         self.base
     }
 
-    /// Returns the position after which a replica whose log may agree up to
-    /// `hint` is sent entries.
+    /// Returns the index after which entries are sent to a replica whose log may
+    /// match up to `hint`.
     ///
-    /// If it cannot agree even at the base, its own entry there is another one,
-    /// or it lacks it: only a snapshot helps, so the position is before the
-    /// base. Probed at the base it would give the same hint for ever, as fast as
-    /// the network takes messages.
-    pub(super) fn probe_point(&self, hint: LogEnd) -> LogIndex {
-        let agreed = self.agreement(hint);
+    /// If the logs cannot match even at the base, the replica lacks that entry or
+    /// has a different one, and only a snapshot helps. The index returned is then
+    /// before the base. A probe at the base would return the same hint in an
+    /// endless exchange of messages.
+    pub(super) fn probe_index(&self, hint: LogPosition) -> LogIndex {
+        let agreed = self.last_possible_match(hint);
         if agreed.index <= hint.index && agreed.term <= hint.term {
             return agreed.index;
         }
--- a/sesamebeam_core/src/replica/member.rs
+++ b/sesamebeam_core/src/replica/member.rs
@@ -1,4 +1,4 @@
-//! Membership of the group: voters, learners and the single steps between.
+//! Group membership: voters, learners and single-step changes.
 
 use std::{
     collections::{
@@ -15,24 +15,24 @@
 
 use crate::ids::NodeId;
 
-/// One replica as the group records it.
+/// Membership record of one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Incarnation of its data folder; another one under the same number is
-    /// ignored.
+    /// Incarnation of its data folder. Messages under the same ID with a different
+    /// incarnation are ignored.
     pub incarnation: u128,
-    /// Address at which it listens, for the edge.
+    /// Listen address, used by the network layer.
     pub addr: Option<SocketAddr>,
     /// Whether it votes and counts towards a quorum.
     pub voter: bool,
-    /// Whether a learner becomes a voter once it has caught up.
+    /// Whether this learner is promoted to voter once it has caught up.
     pub promote: bool,
-    /// Replica that is removed before this one becomes a voter.
+    /// Replica to remove before this one becomes a voter.
     pub replaces: Option<NodeId>,
 }
 
 impl Member {
-    /// Makes a voter, as in the first membership of a group.
+    /// Creates a voter, as in the initial membership of a group.
     pub fn voter(incarnation: u128, addr: Option<SocketAddr>) -> Self {
         Member {
             incarnation,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Makes a learner.
+    /// Creates a learner.
     fn learner(incarnation: u128, addr: Option<SocketAddr>, promote: bool) -> Self {
         Member {
             incarnation,
@@ -55,65 +55,66 @@
     }
 }
 
-/// Membership of the group. Each change of it is one entry of the log.
+/// Group membership. Each change is one log entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// Replicas by number.
+    /// Members by ID.
     pub members: BTreeMap<NodeId, Member>,
-    /// Numbers that were members once. They are never given again, so that a
-    /// replica with an old membership cannot take one replica for another.
+    /// IDs of former members. They are never reused, so that a replica with an old
+    /// membership cannot mistake one replica for another.
     pub retired: BTreeSet<NodeId>,
 }
 
-/// A change of the membership.
+/// A membership change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberChange {
     /// Adds a replica as a learner; `promote` makes it a voter once it has
     /// caught up.
     Add {
-        /// Number of the replica, never used before.
+        /// ID of the replica, never used before.
         node: NodeId,
-        /// Incarnation of its data folder.
+        /// Incarnation of the replica's data folder.
         incarnation: u128,
-        /// Address at which it listens.
+        /// Listen address of the replica.
         addr: Option<SocketAddr>,
-        /// Whether it becomes a voter once it has caught up.
+        /// Whether the learner is promoted to voter once it has caught up.
         promote: bool,
     },
     /// Removes a replica.
     Remove {
-        /// Number of the replica.
+        /// ID of the replica.
         node: NodeId,
     },
-    /// Adds `new` as a learner and, once it has caught up, removes `gone` and
-    /// makes `new` a voter, in single steps that a new leader resumes.
+    /// Adds `new` as a learner and, once it has caught up, removes `old` and
+    /// promotes `new` to voter. The change consists of single steps that a new
+    /// leader resumes.
     Replace {
-        /// Replica whose disk is lost.
-        gone: NodeId,
-        /// Number of its replacement, never used before.
+        /// Replica to remove, whose disk is lost.
+        old: NodeId,
+        /// ID of the replacement, never used before.
         new: NodeId,
         /// Incarnation of the replacement's data folder.
         incarnation: u128,
-        /// Address at which the replacement listens.
+        /// Listen address of the replacement.
         addr: Option<SocketAddr>,
     },
 }
 
-/// Why a membership change is refused.
+/// Reason for rejecting a membership change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ChangeFault {
-    /// Another change is still in flight; ask again later.
+pub enum ChangeError {
+    /// Another change is in flight; retry later.
     InFlight,
-    /// The number is or was a member.
+    /// The ID is in use or was used before.
     Used,
-    /// The replica is no member.
+    /// The replica is not a member.
     Unknown,
-    /// The last voter cannot go.
+    /// The last voter cannot be removed.
     LastVoter,
 }
 
 impl Members {
-    /// Makes the first membership from voters.
+    /// Creates the initial membership from voters.
     pub fn of_voters(voters: impl IntoIterator<Item = (NodeId, u128)>) -> Self {
         let members = voters
             .into_iter()
@@ -125,12 +126,12 @@
         }
     }
 
-    /// Returns the record of a replica.
+    /// Returns the membership record of a replica.
     pub fn get(&self, node: NodeId) -> Option<&Member> {
         self.members.get(&node)
     }
 
-    /// Returns whether the replica votes.
+    /// Returns whether the replica is a voter.
     pub fn is_voter(&self, node: NodeId) -> bool {
         self.get(node).is_some_and(|m| m.voter)
     }
@@ -143,17 +144,17 @@
             .map(|(&node, _)| node)
     }
 
-    /// Returns the number of voters that make a quorum.
+    /// Returns the quorum size.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// Returns the membership after the first single step of a change.
+    /// Returns the membership after the first step of a change.
     ///
     /// # Errors
     ///
-    /// Fails if the change does not fit the present membership.
-    pub fn first_step(&self, change: &MemberChange) -> Result<Members, ChangeFault> {
+    /// Fails if the change conflicts with the current membership.
+    pub fn first_step(&self, change: &MemberChange) -> Result<Members, ChangeError> {
         let mut next = self.clone();
         match *change {
             MemberChange::Add {
@@ -171,36 +172,37 @@
                 next.remove(node);
             }
             MemberChange::Replace {
-                gone,
+                old,
                 new,
                 incarnation,
                 addr,
             } => {
                 self.check_unused(new)?;
-                self.get(gone).ok_or(ChangeFault::Unknown)?;
+                self.get(old).ok_or(ChangeError::Unknown)?;
                 let mut learner = Member::learner(incarnation, addr, true);
-                learner.replaces = Some(gone);
+                learner.replaces = Some(old);
                 next.members.insert(new, learner);
             }
         }
         Ok(next)
     }
 
-    /// Returns the membership after the next step that is owed to a learner
-    /// that has caught up: the replica it replaces goes, and it votes.
+    /// Returns the membership after the next pending step for a learner that has
+    /// caught up: first the replica it replaces is removed, then the learner is
+    /// promoted.
     ///
-    /// The gone one leaves first, because counting it beside its replacement
-    /// would need one more live replica for each commit. A step after which the
-    /// voters that live make no quorum is not taken: a replica that was cut off
-    /// when its replacement began may be the one that the group cannot do without
-    /// when it is back and others are lost, and no later step could be committed.
-    pub fn next_step(&self, learner: NodeId, lives: impl Fn(NodeId) -> bool) -> Option<Members> {
+    /// The old replica is removed first, because counting both would require one
+    /// more live replica for each commit. A step that would leave the live voters
+    /// without a quorum is skipped: a replica that was unreachable when its
+    /// replacement began may have returned and be needed for the quorum after
+    /// others failed. Without a quorum, no later step could be committed.
+    pub fn next_step(&self, learner: NodeId, is_alive: impl Fn(NodeId) -> bool) -> Option<Members> {
         let member = self.get(learner)?;
-        let gone = member.replaces.filter(|&gone| self.get(gone).is_some());
-        let without = gone.filter(|&gone| self.check_removable(gone).is_ok());
-        let without = without.map(|gone| {
+        let old = member.replaces.filter(|&old| self.get(old).is_some());
+        let removed = old.filter(|&old| self.check_removable(old).is_ok());
+        let removed = removed.map(|old| {
             let mut next = self.clone();
-            next.remove(gone);
+            next.remove(old);
             next
         });
         let promoted = (!member.voter && member.promote).then(|| {
@@ -208,11 +210,11 @@
             next.promote(learner);
             next
         });
-        let mut steps = [without, promoted].into_iter().flatten();
-        steps.find(|next| next.voters().filter(|&n| lives(n)).count() >= next.quorum())
+        let mut steps = [removed, promoted].into_iter().flatten();
+        steps.find(|next| next.voters().filter(|&n| is_alive(n)).count() >= next.quorum())
     }
 
-    /// Makes a learner a voter.
+    /// Promotes a learner to voter.
     fn promote(&mut self, learner: NodeId) {
         if let Some(member) = self.members.get_mut(&learner) {
             member.voter = true;
@@ -220,24 +222,24 @@
         }
     }
 
-    /// Takes a replica out for good.
+    /// Removes a replica and retires its ID.
     fn remove(&mut self, node: NodeId) {
         self.members.remove(&node);
         self.retired.insert(node);
     }
 
-    /// Refuses a number that is or was a member.
-    fn check_unused(&self, node: NodeId) -> Result<(), ChangeFault> {
+    /// Fails if the ID is in use or was used before.
+    fn check_unused(&self, node: NodeId) -> Result<(), ChangeError> {
         let used = self.members.contains_key(&node) || self.retired.contains(&node);
-        if used { Err(ChangeFault::Used) } else { Ok(()) }
+        if used { Err(ChangeError::Used) } else { Ok(()) }
     }
 
-    /// Refuses to take out the last voter.
-    fn check_removable(&self, node: NodeId) -> Result<(), ChangeFault> {
-        self.get(node).ok_or(ChangeFault::Unknown)?;
-        let left = self.voters().filter(|&voter| voter != node).count();
-        if left == 0 {
-            return Err(ChangeFault::LastVoter);
+    /// Fails if the replica is not a member or is the last voter.
+    fn check_removable(&self, node: NodeId) -> Result<(), ChangeError> {
+        self.get(node).ok_or(ChangeError::Unknown)?;
+        let remaining = self.voters().filter(|&voter| voter != node).count();
+        if remaining == 0 {
+            return Err(ChangeError::LastVoter);
         }
         Ok(())
     }
--- a/sesamebeam_core/src/replica/membership.rs
+++ b/sesamebeam_core/src/replica/membership.rs
@@ -1,11 +1,11 @@
-//! Changes of the membership, one at a time.
+//! Membership changes, one at a time.
 
 use std::collections::BTreeMap;
 
 use super::{
-    Replica, Standing,
+    Replica, RoleState,
     member::{
-        ChangeFault,
+        ChangeError,
         MemberChange,
         Members, //
     },
@@ -18,22 +18,22 @@
 };
 use crate::ids::LogIndex;
 
-/// Memberships by the position from which they are in force.
+/// Memberships by the log index from which they apply.
 #[derive(Debug, Default)]
-pub(super) struct Memberships {
-    /// Memberships of the snapshot and of the entries after it.
+pub(super) struct MembershipHistory {
+    /// Memberships from the snapshot and from later entries.
     by_index: BTreeMap<LogIndex, Members>,
-    /// The last of them.
+    /// The latest membership.
     current: Members,
 }
 
-impl Memberships {
-    /// Returns the membership in force.
+impl MembershipHistory {
+    /// Returns the latest membership.
     pub(super) fn current(&self) -> &Members {
         &self.current
     }
 
-    /// Returns the membership as of a position.
+    /// Returns the membership that applies at `index`.
     pub(super) fn at(&self, index: LogIndex) -> Members {
         let found = self.by_index.range(..=index).next_back();
         found
@@ -41,20 +41,21 @@
             .unwrap_or_default()
     }
 
-    /// Takes a membership over from a position on.
-    pub(super) fn adopt(&mut self, index: LogIndex, members: Members) {
+    /// Records a membership that applies from `index` on.
+    pub(super) fn insert(&mut self, index: LogIndex, members: Members) {
         self.current = members.clone();
         self.by_index.insert(index, members);
     }
 
-    /// Drops those from a position on. Returns whether any was.
+    /// Removes the memberships from index `from` on. Returns whether there were
+    /// any.
     fn truncate(&mut self, from: LogIndex) -> bool {
         let dropped = !self.by_index.split_off(&from).is_empty();
         self.current = self.at(LogIndex::MAX);
         dropped
     }
 
-    /// Forgets those that a later one up to `index` has replaced.
+    /// Removes the memberships superseded at or before `index`.
     pub(super) fn compact(&mut self, index: LogIndex) {
         let newest = self.by_index.range(..=index).next_back().map(|(&i, _)| i);
         if let Some(newest) = newest {
@@ -62,15 +63,15 @@
         }
     }
 
-    /// Forgets all but one.
-    pub(super) fn restart_from(&mut self, index: LogIndex, members: Members) {
+    /// Replaces the whole history by one membership.
+    pub(super) fn reset_to(&mut self, index: LogIndex, members: Members) {
         self.by_index.clear();
-        self.adopt(index, members);
+        self.insert(index, members);
     }
 }
 
 impl Replica {
-    /// Starts a change that an operator asks for.
+    /// Starts a membership change requested by an operator.
     pub(super) fn change(&mut self, ticket: Ticket, change: &MemberChange) {
         if let Err(reason) = self.try_change(ticket, change) {
             self.reject(ticket, reason);
@@ -79,14 +80,14 @@
 
     /// Appends the first step of a change.
     fn try_change(&mut self, ticket: Ticket, change: &MemberChange) -> Result<(), Rejection> {
-        let Standing::Leader(_) = &self.standing else {
+        let RoleState::Leader(_) = &self.role_state else {
             return Err(Rejection::NotLeader(self.leader));
         };
-        if self.full {
+        if self.disk_full {
             return Err(Rejection::Full);
         }
-        if !self.may_change() {
-            return Err(Rejection::Change(ChangeFault::InFlight));
+        if !self.can_start_change() {
+            return Err(Rejection::Change(ChangeError::InFlight));
         }
         let next = self.members().first_step(change);
         let next = next.map_err(Rejection::Change)?;
@@ -94,44 +95,46 @@
         Ok(())
     }
 
-    /// Returns whether a change may start.
+    /// Returns whether a membership change can start.
     ///
-    /// Two changes at once, or one before an entry of this term is committed,
-    /// can leave two quorums without a replica in common: each elects a leader
-    /// and commits what the other never sees. One committed step at a time
-    /// keeps every two quorums overlapping.
-    fn may_change(&self) -> bool {
-        let Standing::Leader(leader) = &self.standing else {
+    /// Two concurrent changes, or one before an entry of this term is committed,
+    /// can produce two disjoint quorums: each elects a leader and commits entries
+    /// that the other never receives. Committing one step at a time keeps any two
+    /// quorums overlapping.
+    fn can_start_change(&self) -> bool {
+        let RoleState::Leader(leader) = &self.role_state else {
             return false;
         };
-        let settled = leader.change.is_none() && self.committed >= leader.first;
-        settled || self.cfg.faults.overlapping_changes
+        let idle = leader.change.is_none() && self.committed >= leader.term_start;
+        idle || self.cfg.faults.overlapping_changes
     }
 
-    /// Takes the next step owed to a learner that has caught up. The steps are
-    /// read off the membership itself, so that a new leader resumes them.
-    pub(super) fn take_owed_step(&mut self) {
-        if self.full || !self.may_change() {
+    /// Appends the next pending step for a learner that has caught up. Pending
+    /// steps are derived from the membership itself, so that a new leader resumes
+    /// them.
+    pub(super) fn append_pending_step(&mut self) {
+        if self.disk_full || !self.can_start_change() {
             return;
         }
-        let owed = self.members().members.iter().find_map(|(&node, member)| {
-            let wants = member.promote || member.replaces.is_some();
-            let ready = wants && (member.voter || self.has_caught_up(node));
+        let pending = self.members().members.iter().find_map(|(&node, member)| {
+            let has_pending_step = member.promote || member.replaces.is_some();
+            let ready = has_pending_step && (member.voter || self.has_caught_up(node));
             if ready {
-                self.members().next_step(node, |voter| self.is_heard(voter))
+                self.members()
+                    .next_step(node, |voter| self.is_active(voter))
             } else {
                 None
             }
         });
-        if let Some(next) = owed {
+        if let Some(next) = pending {
             self.append_members(next, None);
         }
     }
 
-    /// Notes that a membership is committed. A leader that is no longer a
-    /// member hands over.
-    pub(super) fn members_committed(&mut self, index: LogIndex) {
-        let Standing::Leader(leader) = &mut self.standing else {
+    /// Handles the commit of a membership. A leader that is no longer a voter
+    /// transfers leadership.
+    pub(super) fn on_members_committed(&mut self, index: LogIndex) {
+        let RoleState::Leader(leader) = &mut self.role_state else {
             return;
         };
         if let Some((_, ticket)) = leader.change.take_if(|(at, _)| *at <= index)
@@ -140,35 +143,35 @@
             self.actions.push(ReplicaAction::Changed { ticket });
         }
         if !self.members().is_voter(self.cfg.id) {
-            self.hand_over();
+            self.transfer_leadership();
         }
     }
 
-    /// Puts a membership in force from a position on.
-    pub(super) fn adopt_members(&mut self, index: LogIndex, members: Members) {
-        self.memberships.adopt(index, members);
-        self.announce_members();
+    /// Applies a membership from `index` on.
+    pub(super) fn insert_members(&mut self, index: LogIndex, members: Members) {
+        self.memberships.insert(index, members);
+        self.notify_members();
     }
 
-    /// Goes back to the membership before a position.
-    pub(super) fn drop_memberships(&mut self, from: LogIndex) {
+    /// Reverts to the membership before index `from`.
+    pub(super) fn truncate_memberships(&mut self, from: LogIndex) {
         if self.memberships.truncate(from) {
-            self.announce_members();
+            self.notify_members();
         }
     }
 
-    /// Tells of the membership in force.
-    pub(super) fn announce_members(&mut self) {
+    /// Emits the current membership as an action.
+    pub(super) fn notify_members(&mut self) {
         let members = self.members().clone();
         self.actions.push(ReplicaAction::Members(members));
     }
 
-    /// Appends a membership as the one change in flight.
+    /// Appends a membership as the change in flight.
     fn append_members(&mut self, members: Members, ticket: Option<Ticket>) {
         let index = self.append(EntryBody::Members(members));
-        if let Standing::Leader(leader) = &mut self.standing {
+        if let RoleState::Leader(leader) = &mut self.role_state {
             leader.change = Some((index, ticket));
         }
-        self.track_members();
+        self.update_leader_members();
     }
 }
--- a/sesamebeam_core/src/replica/message.rs
+++ b/sesamebeam_core/src/replica/message.rs
@@ -7,7 +7,7 @@
 
 use super::{
     member::{
-        ChangeFault,
+        ChangeError,
         MemberChange,
         Members, //
     },
@@ -19,330 +19,337 @@
     Term, //
 };
 
-/// Number that the caller gives to a proposal, read or change.
+/// Correlation ID that the caller assigns to a proposal, read or membership change.
 pub type Ticket = u64;
 
-/// Number of a write to the disk; grows by one.
+/// Sequence number of a disk write.
 pub type WriteId = u64;
 
-/// What happens to a replica.
+/// Input to a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaEvent {
     /// Time has passed.
     Tick,
-    /// A message came from the replica that the connection's certificate names.
+    /// A message arrived from the replica named in the connection's certificate.
     Message {
-        /// Sender by its certificate.
+        /// Sender, as named in its certificate.
         from: NodeId,
         /// The message.
         message: ReplicaMessage,
     },
-    /// A caller wants an entry in the log.
+    /// A caller proposes an entry for the log.
     Propose {
-        /// Number that the answer carries.
+        /// Correlation ID of the response.
         ticket: Ticket,
-        /// Bytes of the entry.
+        /// Data of the entry.
         data: Vec<u8>,
     },
-    /// A caller wants to read the applied state, linearizably.
+    /// A caller requests a linearizable read of the applied state.
     Read {
-        /// Number that the answer carries.
+        /// Correlation ID of the response.
         ticket: Ticket,
     },
-    /// An operator changes the membership.
+    /// An operator requests a membership change.
     Change {
-        /// Number that the answer carries.
+        /// Correlation ID of the response.
         ticket: Ticket,
         /// The change.
         change: MemberChange,
     },
-    /// A write is on the disk, and synced.
+    /// A disk write is complete and synced.
     Synced {
-        /// The write.
+        /// Number of the write.
         write: WriteId,
     },
-    /// The disk is full, or has space again. The daemon repeats a write that
-    /// failed for want of space until it is synced.
+    /// The disk is full or has free space again. The daemon retries a write that
+    /// failed for lack of space until it is synced.
     DiskFull(bool),
-    /// The state as of `index`, in answer to [`ReplicaAction::TakeSnapshot`].
+    /// The state as of `index`, in response to [`ReplicaAction::TakeSnapshot`].
     Snapshot {
-        /// Last entry that the state contains.
+        /// Index of the last entry that the state contains.
         index: LogIndex,
-        /// The state.
+        /// The serialized state.
         data: Vec<u8>,
     },
 }
 
-/// What a replica wants done, in this order.
+/// Output of a replica. Actions must be performed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaAction {
-    /// Sends a message; it may be lost, doubled or reordered.
+    /// Send a message, which may be lost, duplicated or reordered.
     Send {
-        /// Replica to send to.
+        /// Recipient.
         to: NodeId,
         /// The message.
         message: ReplicaMessage,
     },
-    /// Writes to the disk in order and syncs; then [`ReplicaEvent::Synced`].
-    /// At most one write is in flight.
+    /// Perform the operations on the disk in order, sync, and report
+    /// [`ReplicaEvent::Synced`]. At most one write is in flight.
     Write {
         /// Number of the write.
         write: WriteId,
-        /// What is written.
+        /// Operations of the write.
         ops: Vec<DiskOp>,
     },
-    /// Applies a committed entry to the state.
+    /// Apply a committed entry to the state.
     Apply {
-        /// Position of the entry.
+        /// Index of the entry.
         index: LogIndex,
-        /// Number of the proposal if it was made here.
+        /// Ticket of the proposal if it was made at this replica.
         ticket: Option<Ticket>,
-        /// Bytes of the entry.
+        /// Data of the entry.
         data: Vec<u8>,
     },
-    /// The proposal, read or change is not carried out here.
+    /// The proposal, read or membership change was rejected.
     Rejected {
-        /// Its number.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// Why.
+        /// Reason for the rejection.
         reason: Rejection,
     },
-    /// The applied state may be read now for this ticket.
+    /// The applied state can now be read for this ticket.
     ReadReady {
-        /// Number of the read.
+        /// Ticket of the read.
         ticket: Ticket,
     },
-    /// The first step of a change is committed.
+    /// The first step of a membership change is committed.
     Changed {
-        /// Number of the change.
+        /// Ticket of the change.
         ticket: Ticket,
     },
-    /// Takes a snapshot of the state right now, before any later action is
-    /// carried out, and hands it in as [`ReplicaEvent::Snapshot`].
+    /// Take a snapshot of the state before performing any later action, and return
+    /// it as [`ReplicaEvent::Snapshot`].
     TakeSnapshot {
-        /// Last entry that the state contains.
+        /// Index of the last entry that the state contains.
         index: LogIndex,
     },
-    /// Replaces the state by a snapshot.
+    /// Replace the state by a snapshot.
     Restore {
-        /// Last entry that the snapshot contains.
+        /// Index of the last entry that the snapshot contains.
         index: LogIndex,
-        /// The state.
+        /// The serialized state.
         data: Vec<u8>,
     },
     /// The replica's role has changed.
     Role(Role),
-    /// The membership in force here has changed, with the addresses to use.
+    /// The membership, including the addresses to use, has changed at this replica.
     Members(Members),
 }
 
 /// Role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader or waits for one.
     Follower,
-    /// Asks whether it would win an election.
+    /// Asks voters whether it could win an election.
     PreCandidate,
-    /// Stands for election.
+    /// Requests votes in an election.
     Candidate,
-    /// Leads.
+    /// Leads the group.
     Leader,
 }
 
-/// Why a proposal, read or change was not carried out.
+/// Reason for rejecting a proposal, read or membership change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// This replica does not lead; nothing was written. The leader it knows of.
+    /// This replica is not the leader; nothing was written. Contains the leader, if
+    /// known.
     NotLeader(Option<NodeId>),
     /// The disk is full; nothing was written.
     Full,
-    /// Too much is waiting to be written; nothing was written.
+    /// Too many bytes are waiting to be written; nothing was written.
     Busy,
-    /// Leadership was lost while it was in flight: it may yet come through.
-    Unsure,
-    /// The membership change is refused; nothing was written.
-    Change(ChangeFault),
+    /// Leadership was lost while the request was in flight; it may still be
+    /// committed.
+    OutcomeUnknown,
+    /// The membership change was rejected; nothing was written.
+    Change(ChangeError),
 }
 
-/// A message between replicas with the sender's identity.
+/// A message between replicas, with the sender's identity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaMessage {
     /// Group of the sender.
     pub group: u128,
-    /// Number of the sender.
+    /// ID of the sender.
     pub node: NodeId,
     /// Incarnation of the sender's data folder.
     pub incarnation: u128,
     /// Term of the sender.
     pub term: Term,
-    /// What it says.
+    /// Payload of the message.
     pub body: ReplicaBody,
 }
 
-/// What a message between replicas says.
+/// Payload of a message between replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReplicaBody {
-    /// Asks whether the receiver would vote in the term after the sender's.
-    PreVote {
-        /// End of the sender's log.
-        last: LogEnd,
+    /// Asks whether the receiver would vote for the sender in the term after the
+    /// sender's current one.
+    PreVoteRequest {
+        /// Position of the sender's last log entry.
+        last: LogPosition,
     },
-    /// Answer to a pre-vote.
-    PreVoted {
-        /// Term that was asked about.
-        asked: Term,
-        /// Whether it would vote.
+    /// Response to a pre-vote request.
+    PreVoteResponse {
+        /// Term of the prospective election.
+        vote_term: Term,
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote in the sender's term.
-    Vote {
-        /// End of the sender's log.
-        last: LogEnd,
-        /// Whether the leader itself asked for this election, having given up
-        /// its lease.
+    /// Requests a vote in the sender's term.
+    VoteRequest {
+        /// Position of the sender's last log entry.
+        last: LogPosition,
+        /// Whether the leader gave up its lease and asked for this election.
         transfer: bool,
     },
-    /// Answer to a vote.
-    Voted {
-        /// Whether the vote is given.
+    /// Response to a vote request.
+    VoteResponse {
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Entries, or none for a heartbeat.
-    Append {
-        /// Number of the sending round, echoed for the lease and for reads.
+    /// Log entries, or none for a heartbeat.
+    AppendRequest {
+        /// Number of the message round, echoed in the response for the lease and
+        /// for reads.
         round: u64,
-        /// End of the log just before the entries.
-        prev: LogEnd,
-        /// The entries.
+        /// Position of the entry just before `entries`.
+        prev: LogPosition,
+        /// Entries to append.
         entries: Vec<Entry>,
-        /// Last entry that the leader knows to be committed.
+        /// Index of the last entry that the leader knows to be committed.
         committed: LogIndex,
     },
-    /// Answer to entries or a heartbeat, and again after a sync.
-    Appended {
-        /// Highest round heard.
+    /// Response to entries or a heartbeat; sent again after a sync.
+    AppendResponse {
+        /// Highest round received.
         round: u64,
-        /// Last entry that matches the leader's log and is synced here.
+        /// Index of the last entry that matches the leader's log and is synced at
+        /// the sender.
         synced: LogIndex,
         /// Whether the sender's disk is full.
-        full: bool,
-        /// Where to go on from if the entries did not fit.
-        hint: Option<LogEnd>,
+        disk_full: bool,
+        /// Position to resume from if the entries were not accepted.
+        hint: Option<LogPosition>,
     },
-    /// A part of a snapshot.
-    Chunk {
-        /// Number of the sending round.
+    /// A chunk of a snapshot.
+    SnapshotChunk {
+        /// Number of the message round.
         round: u64,
-        /// End of the log that the snapshot contains.
-        end: LogEnd,
+        /// Last log position that the snapshot contains.
+        end: LogPosition,
         /// Membership as of the snapshot.
         members: Members,
-        /// Bytes before this part.
+        /// Byte offset of this chunk.
         offset: u64,
-        /// Bytes of the whole snapshot.
+        /// Size of the whole snapshot in bytes.
         total: u64,
-        /// Bytes of this part.
+        /// Data of this chunk.
         data: Payload,
     },
-    /// Answer to a part of a snapshot.
-    Chunked {
-        /// Highest round heard.
+    /// Response to a snapshot chunk.
+    SnapshotChunkResponse {
+        /// Highest round received.
         round: u64,
-        /// Last entry of the snapshot.
+        /// Index of the last entry that the snapshot contains.
         index: LogIndex,
-        /// Bytes that the receiver has.
+        /// Number of bytes received so far.
         offset: u64,
     },
-    /// The leader gives up its lease and asks the receiver to stand at once.
-    Stand,
+    /// The leader has given up its lease and asks the receiver to start an election
+    /// at once.
+    TimeoutNow,
 }
 
-/// End of a log.
+/// Position of an entry in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct LogEnd {
-    /// Term of the last entry. First, so that the order is that of elections.
+pub struct LogPosition {
+    /// Term of the entry. Declared first, so that the derived order matches the
+    /// comparison of logs in elections.
     pub term: Term,
-    /// Position of the last entry.
+    /// Index of the entry.
     pub index: LogIndex,
 }
 
-/// One entry of the log.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Term of the leader that made it.
+    /// Term of the leader that created the entry.
     pub term: Term,
-    /// Position in the log.
+    /// Index in the log.
     pub index: LogIndex,
-    /// What it holds.
+    /// Content of the entry.
     pub body: EntryBody,
 }
 
-/// What an entry holds.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryBody {
-    /// Nothing: a new leader's first entry, which commits those before it.
+    /// No-op: a new leader's first entry, which commits all earlier ones.
     Noop,
-    /// Bytes of a proposal.
+    /// Data of a proposal.
     Data(Payload),
-    /// The membership from here on.
+    /// The membership that applies from this entry on.
     Members(Members),
 }
 
-/// Term and vote of a replica. Synced before anything that rests on them.
+/// Term and vote of a replica. Synced before any message that depends on them is
+/// sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// Highest term seen.
     pub term: Term,
-    /// Replica voted for in that term.
+    /// Replica that received the vote in that term.
     pub voted: Option<NodeId>,
 }
 
-/// A snapshot with the end of the log that it contains.
+/// A snapshot of the state with its log position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// End of the log that the snapshot contains.
-    pub end: LogEnd,
+    /// Last log position that the snapshot contains.
+    pub end: LogPosition,
     /// Membership as of the snapshot.
     pub members: Members,
-    /// The state.
+    /// The serialized state.
     pub data: Payload,
 }
 
-/// One step of a write to the disk.
+/// One operation of a disk write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiskOp {
-    /// Records term and vote.
+    /// Store term and vote.
     State(HardState),
-    /// Drops the entries from this position on.
+    /// Remove the entries from this index on.
     Truncate {
-        /// First position that is dropped.
+        /// Index of the first removed entry.
         from: LogIndex,
     },
-    /// Keeps a snapshot; entries up to its end are no longer needed. If the log
-    /// is shorter, it goes on after the snapshot's end.
+    /// Store a snapshot. Entries up to its end are no longer needed. If the log is
+    /// shorter, it continues after the snapshot's end.
     Snapshot(Snapshot),
-    /// Appends entries that follow on.
+    /// Append entries that continue the log.
     Entries(Vec<Entry>),
 }
 
-/// What the disk holds.
+/// Persisted state of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Saved {
+pub struct SavedState {
     /// Term and vote.
     pub state: HardState,
     /// Newest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// Entries after the snapshot, without a gap.
+    /// Contiguous entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-impl Saved {
-    /// Returns whether the disk is new.
+impl SavedState {
+    /// Returns whether nothing has been persisted yet.
     pub fn is_empty(&self) -> bool {
         self.state == HardState::default() && self.snapshot.is_none() && self.entries.is_empty()
     }
 
-    /// Carries out disk operations in memory, for harnesses without a disk.
+    /// Applies disk operations in memory, for test harnesses without a disk.
     pub fn write(&mut self, ops: &[DiskOp]) {
         for op in ops {
             match op {
--- a/sesamebeam_core/src/replica/progress.rs
+++ b/sesamebeam_core/src/replica/progress.rs
@@ -1,11 +1,11 @@
-//! How far the leader has brought one other replica.
+//! Replication progress of one replica, as tracked by the leader.
 
 use std::collections::VecDeque;
 
 use super::{
     log::Log,
     message::{
-        LogEnd,
+        LogPosition,
         ReplicaBody,
         Snapshot, //
     },
@@ -15,120 +15,127 @@
     MonoTime, //
 };
 
-/// Batches of entries that may be on their way to one replica.
-const MAX_BATCHES_SENT: usize = 16;
+/// Maximum number of unacknowledged batches per replica.
+const MAX_BATCHES_IN_FLIGHT: usize = 16;
 
-/// What the leader does about one other replica.
+/// How the leader replicates to one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Mode {
-    /// Finds out where its log agrees with the leader's.
+    /// Searches for the last entry that matches the leader's log.
     Probe {
-        /// Whether to ask again now.
+        /// Whether to send a probe now.
         due: bool,
     },
-    /// Sends entries without waiting for answers.
+    /// Sends entries without waiting for responses.
     Stream,
-    /// Sends a snapshot, since the entries it needs are no longer kept.
+    /// Sends a snapshot, because the entries that the replica needs were compacted
+    /// away.
     Snapshot {
-        /// Bytes it has.
+        /// Number of bytes that the replica has received.
         offset: u64,
-        /// Whether to send the next part now.
+        /// Whether to send the next chunk now.
         due: bool,
     },
 }
 
-/// What a leader needs to know to make up its messages.
-pub(super) struct Outgoing<'a> {
+/// Leader state needed to build replication messages.
+pub(super) struct SendContext<'a> {
     /// The leader's log.
     pub(super) log: &'a Log,
-    /// Last entry that may be sent.
+    /// Index of the last entry that may be sent.
     pub(super) written: LogIndex,
-    /// Last entry that is committed.
+    /// Index of the last committed entry.
     pub(super) committed: LogIndex,
-    /// Most bytes of entries in one message.
+    /// Maximum size of the entries in one message, in bytes.
     pub(super) max_batch_bytes: usize,
-    /// Bytes in a part of a snapshot.
+    /// Size of a snapshot chunk in bytes.
     pub(super) snapshot_chunk: usize,
-    /// Snapshot at hand for replicas that lag far behind.
+    /// Snapshot for replicas that lag too far behind the log, if available.
     pub(super) snapshot: Option<&'a Snapshot>,
     /// Whether a heartbeat is due.
-    pub(super) beat: bool,
+    pub(super) heartbeat_due: bool,
 }
 
-/// How far the leader has brought one other replica.
+/// Replication progress of one replica, as tracked by the leader.
 #[derive(Debug)]
 pub(super) struct Progress {
-    /// What is done about it.
+    /// Replication mode.
     pub(super) mode: Mode,
-    /// Next entry to send.
-    next: LogIndex,
-    /// Last entry that it has synced and that matches.
-    pub(super) matched: LogIndex,
-    /// Last entries of the batches that are on their way.
-    sent: VecDeque<LogIndex>,
-    /// What was matched at the last heartbeat, to notice a lost batch.
-    matched_at_beat: LogIndex,
-    /// Last round that it has heard.
+    /// Index of the next entry to send.
+    next_index: LogIndex,
+    /// Index of the last matching entry that the replica has synced.
+    pub(super) match_index: LogIndex,
+    /// Index of the last entry of each unacknowledged batch.
+    in_flight: VecDeque<LogIndex>,
+    /// `match_index` at the last heartbeat, used to detect a lost batch.
+    match_index_at_heartbeat: LogIndex,
+    /// Last round that the replica has acknowledged.
     pub(super) round: u64,
-    /// When it was last heard of.
-    pub(super) heard_at: Option<MonoTime>,
-    /// Whether its disk is full.
-    pub(super) full: bool,
-    /// End of the log that a learner is measured against, and since when.
-    goal: Option<(LogIndex, MonoTime)>,
-    /// Whether a learner reached a goal soon after it was set.
+    /// Time of the last message from the replica.
+    pub(super) last_contact: Option<MonoTime>,
+    /// Whether the replica's disk is full.
+    pub(super) disk_full: bool,
+    /// Index that a learner must reach to count as caught up, and the time it was
+    /// set.
+    catch_up_target: Option<(LogIndex, MonoTime)>,
+    /// Whether a learner reached the last target within the time limit.
     pub(super) caught_up: bool,
 }
 
 impl Progress {
-    /// Starts with the hope that its log is as long as the leader's.
-    pub(super) fn new(next: LogIndex) -> Self {
+    /// Starts optimistically, as if the replica's log were as long as the leader's.
+    pub(super) fn new(next_index: LogIndex) -> Self {
         Progress {
             mode: Mode::Stream,
-            next,
-            matched: 0,
-            sent: VecDeque::new(),
-            matched_at_beat: 0,
+            next_index,
+            match_index: 0,
+            in_flight: VecDeque::new(),
+            match_index_at_heartbeat: 0,
             round: 0,
-            heard_at: None,
-            full: false,
-            goal: None,
+            last_contact: None,
+            disk_full: false,
+            catch_up_target: None,
             caught_up: false,
         }
     }
 
-    /// Notes an answer.
-    pub(super) fn hear(&mut self, now: MonoTime, round: u64) {
+    /// Records a response.
+    pub(super) fn record_contact(&mut self, now: MonoTime, round: u64) {
         self.round = self.round.max(round);
-        self.heard_at = Some(now);
+        self.last_contact = Some(now);
     }
 
-    /// Notes what it has synced.
+    /// Records the last matching entry that the replica has synced.
     pub(super) fn advance(&mut self, synced: LogIndex) {
-        self.matched = self.matched.max(synced);
-        self.next = self.next.max(self.matched + 1);
-        while self.sent.front().is_some_and(|&last| last <= self.matched) {
-            self.sent.pop_front();
+        self.match_index = self.match_index.max(synced);
+        self.next_index = self.next_index.max(self.match_index + 1);
+        while self
+            .in_flight
+            .front()
+            .is_some_and(|&last| last <= self.match_index)
+        {
+            self.in_flight.pop_front();
         }
         if let Mode::Probe { .. } = self.mode {
             self.mode = Mode::Stream;
         }
     }
 
-    /// Starts over after the point at which the logs may agree.
+    /// Resumes after the last entry that may match.
     ///
-    /// An answer that says the same again waits for the next heartbeat: doubled
-    /// messages would otherwise ask for more of their kind and multiply.
+    /// A repeated response triggers no probe before the next heartbeat. Otherwise
+    /// duplicated messages would trigger further probes and multiply.
     pub(super) fn probe_after(&mut self, agreed: LogIndex) {
-        let next = agreed.max(self.matched) + 1;
-        let known = matches!(self.mode, Mode::Probe { .. }) && self.next == next;
-        self.sent.clear();
-        self.next = next;
+        let next_index = agreed.max(self.match_index) + 1;
+        let known = matches!(self.mode, Mode::Probe { .. }) && self.next_index == next_index;
+        self.in_flight.clear();
+        self.next_index = next_index;
         self.mode = Mode::Probe { due: !known };
     }
 
-    /// Notes how much of a snapshot it has. Only progress asks for the next
-    /// part at once, so that doubled answers do not multiply.
+    /// Records how much of a snapshot the replica has received. Only progress
+    /// triggers the next chunk at once, so that duplicated responses do not
+    /// multiply.
     pub(super) fn note_chunk(&mut self, end: LogIndex, total: u64, offset: u64) {
         let Mode::Snapshot { offset: before, .. } = self.mode else {
             return;
@@ -141,43 +148,43 @@
         self.mode = Mode::Snapshot { offset, due };
     }
 
-    /// Measures a learner: it has caught up when it reaches what was the end of
-    /// the log no longer than `limit` ago.
-    pub(super) fn measure(&mut self, now: MonoTime, end: LogIndex, limit: MonoTime) {
-        match self.goal {
-            Some((goal, since)) if self.matched >= goal => {
+    /// Updates whether a learner has caught up, which means that it reached within
+    /// `limit` an index that was the end of the log.
+    pub(super) fn update_caught_up(&mut self, now: MonoTime, end: LogIndex, limit: MonoTime) {
+        match self.catch_up_target {
+            Some((catch_up_target, since)) if self.match_index >= catch_up_target => {
                 self.caught_up = now - since <= limit;
-                self.goal = Some((end, now));
+                self.catch_up_target = Some((end, now));
             }
             Some(_) => {}
-            None => self.goal = Some((end, now)),
+            None => self.catch_up_target = Some((end, now)),
         }
     }
 
-    /// Makes up the next message, if there is one to send now.
+    /// Builds the next message, if one is due.
     pub(super) fn next_message(
         &mut self,
         round: u64,
-        cx: &Outgoing<'_>,
-        beat: bool,
+        cx: &SendContext<'_>,
+        heartbeat_due: bool,
     ) -> Option<ReplicaBody> {
-        if self.next <= cx.log.base().index && !matches!(self.mode, Mode::Snapshot { .. }) {
-            self.sent.clear();
+        if self.next_index <= cx.log.base().index && !matches!(self.mode, Mode::Snapshot { .. }) {
+            self.in_flight.clear();
             self.mode = Mode::Snapshot {
                 offset: 0,
                 due: true,
             };
         }
         match self.mode {
-            Mode::Probe { due } if due || beat => {
+            Mode::Probe { due } if due || heartbeat_due => {
                 self.mode = Mode::Probe { due: false };
-                Some(append(round, cx, self.next - 1, Vec::new()))
+                Some(append(round, cx, self.next_index - 1, Vec::new()))
             }
             Mode::Probe { .. } => None,
-            Mode::Stream => self.next_batch(round, cx, beat),
+            Mode::Stream => self.next_batch(round, cx, heartbeat_due),
             Mode::Snapshot { offset, due } => {
                 let due = due && cx.snapshot.is_some();
-                if !due && !beat {
+                if !due && !heartbeat_due {
                     return None;
                 }
                 self.mode = Mode::Snapshot {
@@ -189,41 +196,48 @@
         }
     }
 
-    /// Makes up the next batch of entries, or a heartbeat.
-    fn next_batch(&mut self, round: u64, cx: &Outgoing<'_>, beat: bool) -> Option<ReplicaBody> {
-        let may_send = self.sent.len() < MAX_BATCHES_SENT && !self.full;
-        if may_send && self.next <= cx.written {
-            let entries = cx.log.slice(self.next, cx.written, cx.max_batch_bytes);
-            let prev = self.next - 1;
-            self.next += entries.len() as u64;
-            self.sent.push_back(self.next - 1);
+    /// Builds the next batch of entries, or a heartbeat.
+    fn next_batch(
+        &mut self,
+        round: u64,
+        cx: &SendContext<'_>,
+        heartbeat_due: bool,
+    ) -> Option<ReplicaBody> {
+        let may_send = self.in_flight.len() < MAX_BATCHES_IN_FLIGHT && !self.disk_full;
+        if may_send && self.next_index <= cx.written {
+            let entries = cx
+                .log
+                .slice(self.next_index, cx.written, cx.max_batch_bytes);
+            let prev = self.next_index - 1;
+            self.next_index += entries.len() as u64;
+            self.in_flight.push_back(self.next_index - 1);
             return Some(append(round, cx, prev, entries));
         }
-        beat.then(|| append(round, cx, self.heartbeat_prev(cx), Vec::new()))
+        heartbeat_due.then(|| append(round, cx, self.heartbeat_prev(cx), Vec::new()))
     }
 
-    /// Returns where a heartbeat says the log agrees: at what is known to, or,
-    /// if nothing has moved since the last one, at what should by now, so that
-    /// a lost batch is noticed.
-    fn heartbeat_prev(&mut self, cx: &Outgoing<'_>) -> LogIndex {
-        let stalled = self.matched == self.matched_at_beat;
-        self.matched_at_beat = self.matched;
-        if stalled || self.matched < cx.log.base().index {
-            self.next - 1
+    /// Returns the index that a heartbeat claims to match: the last one known to
+    /// match or, without progress since the last heartbeat, the last one sent, so
+    /// that a lost batch is detected.
+    fn heartbeat_prev(&mut self, cx: &SendContext<'_>) -> LogIndex {
+        let stalled = self.match_index == self.match_index_at_heartbeat;
+        self.match_index_at_heartbeat = self.match_index;
+        if stalled || self.match_index < cx.log.base().index {
+            self.next_index - 1
         } else {
-            self.matched
+            self.match_index
         }
     }
 }
 
-/// Makes up entries after `prev`.
+/// Builds an append request with the entries after `prev`.
 fn append(
     round: u64,
-    cx: &Outgoing<'_>,
+    cx: &SendContext<'_>,
     prev: LogIndex,
     entries: Vec<super::Entry>,
 ) -> ReplicaBody {
-    ReplicaBody::Append {
+    ReplicaBody::AppendRequest {
         round,
         prev: cx.log.end_at(prev).unwrap_or_default(),
         entries,
@@ -231,12 +245,12 @@
     }
 }
 
-/// Makes up a part of the snapshot, or a heartbeat until it is at hand.
-fn chunk(round: u64, cx: &Outgoing<'_>, offset: u64) -> ReplicaBody {
+/// Builds a snapshot chunk, or a heartbeat if the snapshot is not available yet.
+fn chunk(round: u64, cx: &SendContext<'_>, offset: u64) -> ReplicaBody {
     let Some(snapshot) = cx.snapshot else {
-        return ReplicaBody::Append {
+        return ReplicaBody::AppendRequest {
             round,
-            prev: LogEnd::default(),
+            prev: LogPosition::default(),
             entries: Vec::new(),
             committed: 0,
         };
@@ -244,7 +258,7 @@
     let start = usize::try_from(offset).unwrap_or(usize::MAX);
     let start = start.min(snapshot.data.len());
     let end = (start + cx.snapshot_chunk).min(snapshot.data.len());
-    ReplicaBody::Chunk {
+    ReplicaBody::SnapshotChunk {
         round,
         end: snapshot.end,
         members: snapshot.members.clone(),
--- a/sesamebeam_core/src/replica/snapshot.rs
+++ b/sesamebeam_core/src/replica/snapshot.rs
@@ -1,11 +1,12 @@
-//! Snapshots: taken here, sent to replicas that lag, and received in parts.
+//! Snapshots: taking them, sending them to lagging replicas and receiving them in
+//! chunks.
 
 use super::{
-    Replica, Standing,
+    Replica, RoleState,
     log::Log,
     member::Members,
     message::{
-        LogEnd,
+        LogPosition,
         ReplicaAction,
         ReplicaBody,
         Snapshot, //
@@ -16,31 +17,32 @@
     NodeId, //
 };
 
-/// Share of the entries between snapshots that stay in memory after one, so
-/// that a replica which lags a little needs no snapshot: one in this many.
-const KEPT_SHARE: u64 = 4;
+/// Fraction of `snapshot_every` entries kept in memory after a snapshot, as a
+/// divisor. They allow a replica that lags slightly to catch up without a snapshot.
+const RETAINED_DIVISOR: u64 = 4;
 
-/// A snapshot that is being received.
+/// A snapshot being received.
 #[derive(Debug)]
-pub(super) struct Incoming {
-    /// End of the log that it contains.
-    end: LogEnd,
-    /// Bytes received so far, from the first on.
+pub(super) struct IncomingSnapshot {
+    /// Last log position that the snapshot contains.
+    end: LogPosition,
+    /// Contiguous bytes received so far.
     data: Vec<u8>,
 }
 
 impl Replica {
-    /// Asks for a snapshot when enough entries have been applied.
+    /// Requests a snapshot when enough entries have been applied since the last
+    /// one.
     pub(super) fn snapshot_if_due(&mut self) {
         let since = self.committed - self.snapshot_end.index;
-        if since >= self.cfg.snapshot_every && !self.full {
-            self.ask_for_snapshot();
+        if since >= self.cfg.snapshot_every && !self.disk_full {
+            self.request_snapshot();
         }
     }
 
-    /// Keeps a snapshot of the state and forgets entries that it contains.
-    pub(super) fn keep_snapshot(&mut self, index: LogIndex, data: Vec<u8>) {
-        if self.taking.take_if(|at| *at == index).is_none() {
+    /// Stores a snapshot of the state and compacts the log.
+    pub(super) fn store_snapshot(&mut self, index: LogIndex, data: Vec<u8>) {
+        if self.requested_snapshot.take_if(|at| *at == index).is_none() {
             return;
         }
         let Some(end) = self.log.end_at(index) else {
@@ -51,66 +53,66 @@
             members: self.memberships.at(index),
             data: data.into(),
         };
-        if let Standing::Leader(leader) = &mut self.standing
-            && leader.sends_snapshot()
+        if let RoleState::Leader(leader) = &mut self.role_state
+            && leader.needs_snapshot()
             && leader.snapshot.is_none()
         {
             leader.snapshot = Some(snapshot.clone());
         }
         if index > self.snapshot_end.index {
             self.snapshot_end = end;
-            self.writer.keep_snapshot(snapshot);
+            self.writer.store_snapshot(snapshot);
             self.compact();
         }
     }
 
-    /// Sees to it that there is a snapshot for replicas that need one, and that
-    /// none is held in memory otherwise.
-    pub(super) fn provide_snapshot(&mut self) {
-        let Standing::Leader(leader) = &mut self.standing else {
+    /// Requests a snapshot if a replica needs one, and frees the one in memory
+    /// otherwise.
+    pub(super) fn update_transfer_snapshot(&mut self) {
+        let RoleState::Leader(leader) = &mut self.role_state else {
             return;
         };
-        let wanted = leader.sends_snapshot();
+        let wanted = leader.needs_snapshot();
         if !wanted {
             leader.snapshot = None;
         } else if leader.snapshot.is_none() {
-            self.ask_for_snapshot();
+            self.request_snapshot();
         }
     }
 
-    /// Takes a part of a snapshot from the leader.
-    pub(super) fn on_chunk(
+    /// Handles a snapshot chunk from the leader.
+    pub(super) fn on_snapshot_chunk(
         &mut self,
         from: NodeId,
-        end: LogEnd,
+        end: LogPosition,
         members: Members,
         offset: u64,
         total: u64,
         data: &[u8],
     ) {
         if end.index <= self.committed {
-            self.verified = self.verified.max(end.index);
-            self.answer_chunk(from, end, total);
+            self.match_index = self.match_index.max(end.index);
+            self.acknowledge_chunk(from, end, total);
             return;
         }
-        if self.full {
-            self.answer_chunk(from, end, 0);
+        if self.disk_full {
+            self.acknowledge_chunk(from, end, 0);
             return;
         }
-        let incoming = match self.incoming.take() {
+        let incoming = match self.incoming_snapshot.take() {
             Some(incoming) if incoming.end == end => incoming,
-            _ => Incoming {
+            _ => IncomingSnapshot {
                 end,
                 data: Vec::new(),
             },
         };
-        let incoming = self.incoming.insert(incoming);
+        let incoming = self.incoming_snapshot.insert(incoming);
         if offset == incoming.data.len() as u64 {
             incoming.data.extend_from_slice(data);
         }
         let received = incoming.data.len() as u64;
         if received >= total
-            && let Some(done) = self.incoming.take()
+            && let Some(done) = self.incoming_snapshot.take()
         {
             self.install(Snapshot {
                 end,
@@ -118,24 +120,24 @@
                 data: done.data.into(),
             });
         }
-        self.answer_chunk(from, end, received);
+        self.acknowledge_chunk(from, end, received);
     }
 
-    /// Asks for a snapshot of the state as it is now.
-    fn ask_for_snapshot(&mut self) {
-        if self.taking.is_some() {
+    /// Requests a snapshot of the current state.
+    fn request_snapshot(&mut self) {
+        if self.requested_snapshot.is_some() {
             return;
         }
         let index = self.committed;
-        self.taking = Some(index);
+        self.requested_snapshot = Some(index);
         self.actions.push(ReplicaAction::TakeSnapshot { index });
     }
 
-    /// Takes over a whole snapshot. If the log already has its end, the
-    /// snapshot only shows how far the log is committed.
+    /// Installs a complete snapshot. If the log already contains the snapshot's
+    /// last entry, only the entries up to it are committed.
     fn install(&mut self, snapshot: Snapshot) {
         let end = snapshot.end;
-        self.verified = self.verified.max(end.index);
+        self.match_index = self.match_index.max(end.index);
         if self.log.term_at(end.index) == Some(end.term) {
             self.commit_to(end.index);
             return;
@@ -143,32 +145,32 @@
         let data = snapshot.data.to_vec();
         self.log = Log::new(end, Vec::new());
         self.memberships
-            .restart_from(end.index, snapshot.members.clone());
-        self.writer.restart_from(snapshot, self.committed);
+            .reset_to(end.index, snapshot.members.clone());
+        self.writer.reset_to(snapshot, self.committed);
         self.committed = end.index;
         self.snapshot_end = end;
-        self.taking = None;
+        self.requested_snapshot = None;
         let index = end.index;
         self.actions.push(ReplicaAction::Restore { index, data });
-        self.announce_members();
+        self.notify_members();
     }
 
-    /// Tells the leader how much of a snapshot has come.
-    fn answer_chunk(&mut self, leader: NodeId, end: LogEnd, offset: u64) {
-        let answer = ReplicaBody::Chunked {
-            round: self.round_heard,
+    /// Sends the leader the number of snapshot bytes received.
+    fn acknowledge_chunk(&mut self, leader: NodeId, end: LogPosition, offset: u64) {
+        let response = ReplicaBody::SnapshotChunkResponse {
+            round: self.latest_round,
             index: end.index,
             offset,
         };
-        self.send(leader, answer);
+        self.send(leader, response);
     }
 
-    /// Forgets entries that the newest snapshot contains, but for some that a
-    /// lagging replica may still want.
+    /// Removes entries that the newest snapshot contains, except some that a
+    /// lagging replica may still need.
     fn compact(&mut self) {
-        let kept = self.cfg.snapshot_every / KEPT_SHARE;
-        let mut to = self.snapshot_end.index.saturating_sub(kept);
-        if let Standing::Leader(leader) = &self.standing
+        let retained = self.cfg.snapshot_every / RETAINED_DIVISOR;
+        let mut to = self.snapshot_end.index.saturating_sub(retained);
+        if let RoleState::Leader(leader) = &self.role_state
             && let Some(sending) = &leader.snapshot
         {
             to = to.min(sending.end.index);
--- a/sesamebeam_core/src/replica/writer.rs
+++ b/sesamebeam_core/src/replica/writer.rs
@@ -1,4 +1,4 @@
-//! What is still to be written to the disk, and how far it is synced.
+//! Pending disk writes and the last synced entry.
 
 use super::{
     log::Log,
@@ -12,41 +12,41 @@
 };
 use crate::ids::LogIndex;
 
-/// A write that is not synced yet.
+/// An unsynced write.
 #[derive(Debug)]
 struct InFlight {
     /// Number of the write.
     write: WriteId,
-    /// Last entry that will be synced with it, and is still in the log.
+    /// Index of the last entry that it will sync and that is still in the log.
     last: LogIndex,
-    /// Whether term and vote are part of it.
+    /// Whether it includes term and vote.
     state: bool,
 }
 
-/// Hands the log to the disk in batches, one write in flight.
+/// Writes the log to the disk in batches, with one write in flight.
 ///
-/// While a write is in flight, all that comes waits and then goes as one: a
-/// single sync pays for everybody who waited (group commit).
+/// Entries that arrive while a write is in flight are written together afterwards,
+/// with a single sync (group commit).
 #[derive(Debug)]
 pub(super) struct Writer {
     /// Number of the next write.
     next: WriteId,
-    /// The write that is not synced yet.
+    /// The unsynced write.
     in_flight: Option<InFlight>,
-    /// Whether term or vote changed since they were last handed over.
+    /// Whether term or vote changed since their last write.
     state_changed: bool,
-    /// First entry that the disk must drop.
+    /// Index of the first entry that the disk must remove.
     truncate: Option<LogIndex>,
-    /// Snapshot that is not handed over yet.
+    /// Snapshot still to be written.
     snapshot: Option<Snapshot>,
-    /// Last entry that was handed over.
+    /// Index of the last entry handed to the disk.
     written: LogIndex,
-    /// Last entry that is synced.
+    /// Index of the last synced entry.
     synced: LogIndex,
 }
 
 impl Writer {
-    /// Makes a writer for a disk that holds the log up to `last`.
+    /// Creates a writer for a disk that holds the log up to `last`.
     pub(super) fn new(last: LogIndex) -> Self {
         Writer {
             next: 1,
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Returns the last entry that was handed to the disk.
+    /// Returns the index of the last entry handed to the disk.
     pub(super) fn written(&self) -> LogIndex {
         self.written
     }
 
-    /// Returns the last entry that is synced.
+    /// Returns the index of the last synced entry.
     pub(super) fn synced(&self) -> LogIndex {
         self.synced
     }
@@ -74,12 +74,12 @@
         !self.state_changed && !self.in_flight.as_ref().is_some_and(|w| w.state)
     }
 
-    /// Notes that term or vote changed.
-    pub(super) fn change_state(&mut self) {
+    /// Marks term and vote as changed.
+    pub(super) fn mark_state_changed(&mut self) {
         self.state_changed = true;
     }
 
-    /// Notes that the entries from a position on were dropped.
+    /// Records that the entries from index `from` on were removed.
     pub(super) fn truncate(&mut self, from: LogIndex) {
         let before = from - 1;
         if self.written >= from {
@@ -89,19 +89,19 @@
         self.limit_synced(before);
     }
 
-    /// Notes a snapshot of what the log holds.
+    /// Schedules the write of a snapshot of the applied log.
     ///
-    /// With a slow disk it may contain entries that were never handed over, and
-    /// that the log forgets now. Waiting for them, this replica would write
-    /// nothing any more; the snapshot takes their place on the disk.
-    pub(super) fn keep_snapshot(&mut self, snapshot: Snapshot) {
+    /// With a slow disk, the snapshot may contain entries that were never written
+    /// and that the log now compacts away. The snapshot replaces them on disk;
+    /// otherwise this replica would wait for them forever and write nothing more.
+    pub(super) fn store_snapshot(&mut self, snapshot: Snapshot) {
         self.written = self.written.max(snapshot.end.index);
         self.snapshot = Some(snapshot);
     }
 
-    /// Notes that a snapshot took the place of the whole log. Of what was
-    /// synced, only the part up to `committed` still holds.
-    pub(super) fn restart_from(&mut self, snapshot: Snapshot, committed: LogIndex) {
+    /// Records that a snapshot replaced the whole log. Of the synced entries, only
+    /// those up to `committed` remain valid.
+    pub(super) fn reset_to(&mut self, snapshot: Snapshot, committed: LogIndex) {
         let end = snapshot.end.index;
         if self.written > end {
             let from = end + 1;
@@ -112,8 +112,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Starts the next write if none is in flight and there is something to
-    /// write.
+    /// Starts the next write if none is in flight and data is pending.
     pub(super) fn flush(
         &mut self,
         state: HardState,
@@ -137,8 +136,8 @@
         Some(ReplicaAction::Write { write, ops })
     }
 
-    /// Notes that a write is synced. Returns whether it was the one in flight.
-    pub(super) fn finish(&mut self, write: WriteId) -> bool {
+    /// Records that a write is synced. Returns whether it was the one in flight.
+    pub(super) fn complete(&mut self, write: WriteId) -> bool {
         match self.in_flight.take_if(|w| w.write == write) {
             Some(done) => {
                 self.synced = self.synced.max(done.last);
@@ -148,8 +147,8 @@
         }
     }
 
-    /// Collects what is to be written. Term and vote come first, so that no
-    /// entry can be on the disk without the term it came in.
+    /// Collects the operations of the next write. Term and vote come first, so that
+    /// no entry is on disk without the term in which it was received.
     fn take_ops(&mut self, state: HardState, log: &Log, max_bytes: usize) -> Vec<DiskOp> {
         let mut ops = Vec::new();
         if std::mem::take(&mut self.state_changed) {
@@ -169,7 +168,8 @@
         ops
     }
 
-    /// Takes back what was or will be counted as synced after a position.
+    /// Lowers the synced index, also that of the write in flight, to at most
+    /// `last`.
     fn limit_synced(&mut self, last: LogIndex) {
         self.synced = self.synced.min(last);
         if let Some(w) = &mut self.in_flight {
--- a/sesamebeam_core/tests/control/group.rs
+++ b/sesamebeam_core/tests/control/group.rs
@@ -64,7 +64,7 @@
         EntryBody,
         Members,
         ReplicaConfig,
-        Saved, //
+        SavedState, //
     },
     state::Faults,
 };
@@ -87,7 +87,7 @@
 /// One replica with its disk.
 struct Node {
     cfg: ControlConfig,
-    saved: Saved,
+    saved: SavedState,
     sync: Duration,
     core: Option<ControlCore>,
 }
@@ -133,7 +133,7 @@
             change(&mut cfg);
             let node = Node {
                 cfg,
-                saved: Saved::default(),
+                saved: SavedState::default(),
                 sync: HOP,
                 core: None,
             };
--- a/sesamebeam_core/tests/gateway/group.rs
+++ b/sesamebeam_core/tests/gateway/group.rs
@@ -36,7 +36,7 @@
         Member,
         Members,
         ReplicaConfig,
-        Saved,
+        SavedState,
         WriteId, //
     },
 };
@@ -55,7 +55,7 @@
 /// One process.
 pub(crate) struct Process {
     pub(crate) core: Coordinator,
-    pub(crate) disk: Saved,
+    pub(crate) disk: SavedState,
     /// Writes that are not synced yet.
     writes: VecDeque<(MonoTime, WriteId, Vec<DiskOp>)>,
     /// Whether its disk answers.
@@ -131,13 +131,13 @@
             tolerated,
         };
         for node in 1..=count {
-            group.boot(node, members(count), Saved::default());
+            group.boot(node, members(count), SavedState::default());
         }
         group
     }
 
     /// Starts a process with what its disk holds.
-    pub(crate) fn boot(&mut self, node: NodeId, members: Members, disk: Saved) {
+    pub(crate) fn boot(&mut self, node: NodeId, members: Members, disk: SavedState) {
         let known = self.processes.values().map(|p| p.core.peers());
         let known: Vec<_> = known.flat_map(|peers| peers.all()).collect();
         self.start_empty(node);
@@ -154,7 +154,7 @@
     pub(crate) fn start_empty(&mut self, node: NodeId) {
         let process = Process {
             core: Coordinator::new(self.settings(node), self.now),
-            disk: Saved::default(),
+            disk: SavedState::default(),
             writes: VecDeque::new(),
             stalled: false,
             suspended: false,
@@ -174,13 +174,13 @@
     }
 
     /// Stops a process and returns its disk.
-    pub(crate) fn kill(&mut self, node: NodeId) -> Saved {
+    pub(crate) fn kill(&mut self, node: NodeId) -> SavedState {
         let process = self.processes.remove(&node).expect("it runs");
         process.disk
     }
 
     /// Starts a process again with its disk.
-    pub(crate) fn restart(&mut self, node: NodeId, disk: Saved) {
+    pub(crate) fn restart(&mut self, node: NodeId, disk: SavedState) {
         self.boot(node, Members::default(), disk);
     }
 
--- a/sesamebeam_core/tests/gateway/joining.rs
+++ b/sesamebeam_core/tests/gateway/joining.rs
@@ -23,7 +23,7 @@
     ids::NodeId,
     replica::{
         Members,
-        Saved, //
+        SavedState, //
     },
 };
 
@@ -57,7 +57,7 @@
 
 /// Has a new process ask for a place until it is a member.
 fn join(group: &mut Group, node: NodeId, at: NodeId) {
-    group.boot(node, Members::default(), Saved::default());
+    group.boot(node, Members::default(), SavedState::default());
     for _ in 0..40 {
         let leader = group.new_leader(None);
         group.question(
@@ -126,7 +126,7 @@
         addr: listens(8),
         domain: "hall-8".into(),
     };
-    group.boot(8, Members::default(), Saved::default());
+    group.boot(8, Members::default(), SavedState::default());
     let reply = group.question(leader, question.clone());
     assert!(
         matches!(reply, Reply::Group { leads: true, .. }),
@@ -160,7 +160,7 @@
 fn ask(group: &mut Group, asking: &[(NodeId, &str)], at_once: bool) {
     for &(node, _) in asking {
         if !group.processes.contains_key(&node) {
-            group.boot(node, Members::default(), Saved::default());
+            group.boot(node, Members::default(), SavedState::default());
         }
     }
     for round in 0..20 {
@@ -229,7 +229,7 @@
     // Callers of a process in reserve were sent away without a hint where to go.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    group.boot(8, Members::default(), Saved::default());
+    group.boot(8, Members::default(), SavedState::default());
     assert_eq!(group.ask(8, call.clone()), Answer::Unavailable);
     let now = group.now;
     let reserve = group.processes.get_mut(&8).expect("it runs");
@@ -272,7 +272,7 @@
     let leader = group.new_leader(None);
     group.run(100);
     let asking = [(20, "hall-4"), (21, "hall-4"), (30, "hall-5")];
-    group.boot(20, Members::default(), Saved::default());
+    group.boot(20, Members::default(), SavedState::default());
     group.isolate(20);
     let question = Question::Join {
         node: 20,
--- a/sesamebeam_core/tests/gateway/orders.rs
+++ b/sesamebeam_core/tests/gateway/orders.rs
@@ -26,7 +26,7 @@
     ids::NodeId,
     replica::{
         Members,
-        Saved, //
+        SavedState, //
     },
 };
 
@@ -387,7 +387,7 @@
     // Members cannot ask a process in reserve for what was announced to it alone.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
-    group.boot(8, Members::default(), Saved::default());
+    group.boot(8, Members::default(), SavedState::default());
     group.isolate(8);
     assert_eq!(group.ask(8, Call::Announce(announcement(5))), Answer::Done);
     group.run(100);
@@ -445,7 +445,7 @@
     // knows, so that it must not say yes.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
-    group.boot(8, Members::default(), Saved::default());
+    group.boot(8, Members::default(), SavedState::default());
     let answer = group.ask(8, leave("server-1"));
     assert_eq!(answer, Answer::Unavailable);
 }
--- a/sesamebeam_core/tests/group/net.rs
+++ b/sesamebeam_core/tests/group/net.rs
@@ -1,4 +1,5 @@
-//! A small network of replicas with explicit time, and the invariants.
+//! A simulated network of replicas with explicit time, and checks of the
+//! invariants.
 
 #![allow(
     dead_code,
@@ -41,7 +42,7 @@
         ReplicaEvent,
         ReplicaMessage,
         Role,
-        Saved,
+        SavedState,
         Ticket,
         WriteId, //
     },
@@ -53,89 +54,89 @@
 /// Shortest election time-out of the replicas under test.
 pub(crate) const ELECTION: Duration = Duration::from_millis(1000);
 
-/// Bound on the clocks' rate error.
+/// Bound on the rate error of clocks.
 pub(crate) const DRIFT: f64 = 0.01;
 
-/// What must never be seen.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
     /// Two replicas led in one term.
     TwoLeaders(Term),
-    /// Two replicas held a lease at once.
+    /// Two replicas held a lease at the same time.
     TwoLeases(NodeId, NodeId),
-    /// Different entries were applied at one position.
+    /// Different entries were applied at the same index.
     Diverged(LogIndex),
-    /// A replica passed over an entry that was applied elsewhere.
+    /// A replica skipped an entry that another replica had applied.
     Lost(LogIndex),
-    /// An entry was committed without a quorum of disks that hold it.
+    /// An entry was committed without being synced by a quorum.
     Unsynced(LogIndex),
-    /// A read did not see what was acknowledged before it.
+    /// A read did not observe an entry acknowledged before it.
     StaleRead(NodeId),
 }
 
-/// The state that a replica's entries make: the entries themselves.
+/// Replicated state: the list of applied entries.
 pub(crate) type State = Vec<(LogIndex, Vec<u8>)>;
 
-/// One replica with its clock and disk.
+/// A replica with its clock and disk.
 pub(crate) struct Node {
-    /// Settings; the incarnation changes with the disk.
+    /// Configuration; the incarnation changes with the disk.
     pub cfg: ReplicaConfig,
     /// The replica while it runs.
     pub replica: Option<Replica>,
-    /// What is synced.
-    pub disk: Saved,
-    /// What is written and not synced.
+    /// Synced data.
+    pub disk: SavedState,
+    /// The unsynced write in flight.
     pub unsynced: Option<(WriteId, Vec<DiskOp>)>,
     /// Applied entries.
     pub state: State,
-    /// Last applied entry, or end of the restored snapshot.
+    /// Index of the last applied entry, or of the end of the restored snapshot.
     pub applied: LogIndex,
-    /// Rate of its clock.
+    /// Rate of its clock relative to true time.
     pub rate: f64,
     /// Number of starts.
-    pub life: u64,
-    /// Snapshots restored from the leader.
+    pub start_count: u64,
+    /// Number of restored snapshots.
     pub restored: u64,
-    /// Last entry that was synced on a disk that is lost since. An
-    /// acknowledgement of it may still be on its way, and was true when sent;
-    /// the entry stays safe, since the new disk does not vote in its place.
-    pub lost: LogIndex,
+    /// Index of the last entry synced on a disk that was lost later. Its
+    /// acknowledgement may still be in transit and was correct when sent. The entry
+    /// is still safe, because the new disk has no vote under the old ID.
+    pub lost_synced: LogIndex,
 }
 
 impl Node {
-    /// Returns the last entry that is synced.
+    /// Returns the index of the last synced entry.
     fn synced(&self) -> LogIndex {
         let snapshot = self.disk.snapshot.as_ref().map_or(0, |s| s.end.index);
         self.disk.entries.last().map_or(snapshot, |e| e.index)
     }
 }
 
-/// What is on its way.
-enum Coming {
+/// An event in the queue.
+enum QueuedEvent {
     Message(NodeId, NodeId, ReplicaMessage),
     Synced(NodeId, u64, WriteId),
 }
 
-/// How messages fare.
+/// Properties of the network and of the disks.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Weather {
-    /// Share of messages that are lost.
+pub(crate) struct NetworkConditions {
+    /// Fraction of messages that are lost.
     pub loss: f64,
-    /// Share of messages that come twice.
-    pub doubled: f64,
-    /// Shortest delay.
+    /// Fraction of messages that are duplicated.
+    pub duplicate: f64,
+    /// Minimum delay.
     pub delay: Duration,
-    /// Random delay on top, which reorders.
+    /// Maximum additional random delay, which reorders messages.
     pub jitter: Duration,
-    /// Time that a sync takes.
+    /// Duration of a disk sync.
     pub sync: Duration,
 }
 
-impl Default for Weather {
+impl Default for NetworkConditions {
     fn default() -> Self {
-        Weather {
+        NetworkConditions {
             loss: 0.0,
-            doubled: 0.0,
+            duplicate: 0.0,
             delay: Duration::from_millis(1),
             jitter: Duration::ZERO,
             sync: Duration::from_millis(2),
@@ -143,28 +144,28 @@
     }
 }
 
-/// Replicas, what is on its way between them, and what was seen.
+/// A simulated group: replicas, queued events and recorded results.
 pub(crate) struct Net {
     pub nodes: BTreeMap<NodeId, Node>,
     pub now: Duration,
-    pub weather: Weather,
-    pub cut: BTreeSet<(NodeId, NodeId)>,
+    pub conditions: NetworkConditions,
+    pub cut_links: BTreeSet<(NodeId, NodeId)>,
     pub violations: Vec<Violation>,
-    /// Entries that were acknowledged to their proposer.
+    /// Index of each acknowledged proposal.
     pub acked: BTreeMap<Ticket, LogIndex>,
     pub rejected: BTreeMap<Ticket, Rejection>,
     pub changed: BTreeSet<Ticket>,
-    pub read: BTreeSet<Ticket>,
+    pub completed_reads: BTreeSet<Ticket>,
     pub leader_changes: u64,
     /// Messages sent.
     pub sent: u64,
-    chosen: BTreeMap<LogIndex, Vec<u8>>,
-    counted: LogIndex,
+    applied_entries: BTreeMap<LogIndex, Vec<u8>>,
+    checked_commit: LogIndex,
     leaders: BTreeMap<Term, (NodeId, u64)>,
-    reads: BTreeMap<Ticket, LogIndex>,
-    queue: BTreeMap<(Duration, u64), Coming>,
-    next: u64,
-    /// Steps taken at this instant.
+    acked_at_read: BTreeMap<Ticket, LogIndex>,
+    queue: BTreeMap<(Duration, u64), QueuedEvent>,
+    next_event: u64,
+    /// Number of steps executed at the current time.
     steps: u64,
     rng: StdRng,
 }
@@ -175,7 +176,7 @@
         Net::with(voters, seed, faults, |_| {})
     }
 
-    /// Starts a group with changed settings.
+    /// Starts a group with a modified configuration.
     pub(crate) fn with(
         voters: u64,
         seed: u64,
@@ -185,21 +186,21 @@
         let mut net = Net {
             nodes: BTreeMap::new(),
             now: Duration::ZERO,
-            weather: Weather::default(),
-            cut: BTreeSet::new(),
+            conditions: NetworkConditions::default(),
+            cut_links: BTreeSet::new(),
             violations: Vec::new(),
             acked: BTreeMap::new(),
             rejected: BTreeMap::new(),
             changed: BTreeSet::new(),
-            read: BTreeSet::new(),
+            completed_reads: BTreeSet::new(),
             leader_changes: 0,
             sent: 0,
-            chosen: BTreeMap::new(),
-            counted: 0,
+            applied_entries: BTreeMap::new(),
+            checked_commit: 0,
             leaders: BTreeMap::new(),
-            reads: BTreeMap::new(),
+            acked_at_read: BTreeMap::new(),
             queue: BTreeMap::new(),
-            next: 0,
+            next_event: 0,
             steps: 0,
             rng: StdRng::seed_from_u64(seed),
         };
@@ -213,20 +214,20 @@
         net
     }
 
-    /// Starts a replica with a new disk.
+    /// Starts a replica with an empty disk.
     pub(crate) fn add(&mut self, cfg: ReplicaConfig) {
         let id = cfg.id;
         let node = Node {
             cfg,
             replica: None,
-            disk: Saved::default(),
+            disk: SavedState::default(),
             unsynced: None,
             state: Vec::new(),
             applied: 0,
             rate: 1.0,
-            life: 0,
+            start_count: 0,
             restored: 0,
-            lost: 0,
+            lost_synced: 0,
         };
         self.nodes.insert(id, node);
         self.start(id);
@@ -234,28 +235,27 @@
 
     /// Starts a replica from its disk.
     pub(crate) fn start(&mut self, id: NodeId) {
-        let now = self.local(id, self.now);
+        let now = self.local_time(id, self.now);
         let node = self.nodes.get_mut(&id).unwrap();
         if node.replica.is_some() {
             return;
         }
-        node.life += 1;
+        node.start_count += 1;
         node.state.clear();
         node.applied = 0;
         let (replica, actions) = Replica::new(node.cfg.clone(), node.disk.clone(), now);
         node.replica = Some(replica);
-        self.act(id, actions);
+        self.perform(id, actions);
         self.check();
     }
 
-    /// Cuts a replica's power; an unsynced write is kept or lost as the seed
-    /// has it.
+    /// Crashes a replica; whether an unsynced write is kept depends on the seed.
     pub(crate) fn crash(&mut self, id: NodeId) {
         let kept = self.rng.random_bool(0.5);
         self.crash_keeping(id, kept);
     }
 
-    /// Cuts a replica's power, and says what becomes of an unsynced write.
+    /// Crashes a replica and keeps or loses its unsynced write.
     pub(crate) fn crash_keeping(&mut self, id: NodeId, kept: bool) {
         let node = self.nodes.get_mut(&id).unwrap();
         node.replica = None;
@@ -266,50 +266,50 @@
         }
     }
 
-    /// Loses a replica's disk: it comes back under its number with a new one.
+    /// Replaces a replica's disk by an empty one under the same ID.
     pub(crate) fn lose_disk(&mut self, id: NodeId) {
         self.crash_keeping(id, false);
         let node = self.nodes.get_mut(&id).unwrap();
-        node.lost = node.synced();
-        node.disk = Saved::default();
+        node.lost_synced = node.synced();
+        node.disk = SavedState::default();
         node.cfg.incarnation += 1;
     }
 
-    /// Cuts a replica off from all others, both ways.
+    /// Cuts all links of a replica in both directions.
     pub(crate) fn isolate(&mut self, id: NodeId) {
         let others: Vec<NodeId> = self.nodes.keys().copied().filter(|&n| n != id).collect();
         for other in others {
-            self.cut.insert((id, other));
-            self.cut.insert((other, id));
+            self.cut_links.insert((id, other));
+            self.cut_links.insert((other, id));
         }
     }
 
-    /// Lets all messages through again.
+    /// Restores all links.
     pub(crate) fn heal(&mut self) {
-        self.cut.clear();
+        self.cut_links.clear();
     }
 
-    /// Proposes at a replica.
+    /// Proposes an entry at a replica.
     pub(crate) fn propose(&mut self, id: NodeId, ticket: Ticket) {
         let data = ticket.to_le_bytes().to_vec();
         self.event(id, ReplicaEvent::Propose { ticket, data });
     }
 
-    /// Reads at a replica.
+    /// Requests a read at a replica.
     pub(crate) fn read_at(&mut self, id: NodeId, ticket: Ticket) {
         let acked = self.acked.values().copied().max().unwrap_or(0);
-        self.reads.insert(ticket, acked);
+        self.acked_at_read.insert(ticket, acked);
         self.event(id, ReplicaEvent::Read { ticket });
     }
 
-    /// Changes the membership at a replica.
+    /// Requests a membership change at a replica.
     pub(crate) fn change(&mut self, id: NodeId, ticket: Ticket, change: MemberChange) {
         self.event(id, ReplicaEvent::Change { ticket, change });
     }
 
-    /// Hands an event to a replica if it runs.
+    /// Passes an event to a replica if it is running.
     pub(crate) fn event(&mut self, id: NodeId, event: ReplicaEvent) {
-        let now = self.local(id, self.now);
+        let now = self.local_time(id, self.now);
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
         };
@@ -317,11 +317,11 @@
             return;
         };
         let actions = replica.handle(now, event);
-        self.act(id, actions);
+        self.perform(id, actions);
         self.check();
     }
 
-    /// Runs until a time from now has passed.
+    /// Runs for the given time.
     pub(crate) fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.step(until) {}
@@ -329,16 +329,19 @@
         self.check();
     }
 
-    /// Runs until a condition holds, or fails after a time.
+    /// Runs until a condition holds; panics if it does not within `limit`.
     pub(crate) fn run_until(&mut self, what: &str, limit: Duration, f: impl Fn(&Net) -> bool) {
         let until = self.now + limit;
         while !f(self) {
-            assert!(self.step(until), "not within {limit:?}: {what}");
+            assert!(
+                self.step(until),
+                "timed out after {limit:?} waiting for: {what}"
+            );
         }
     }
 
-    /// Runs until a condition holds; returns whether it did in time.
-    pub(crate) fn reaches(&mut self, limit: Duration, f: impl Fn(&Net) -> bool) -> bool {
+    /// Runs until a condition holds; returns whether it did within `limit`.
+    pub(crate) fn runs_until(&mut self, limit: Duration, f: impl Fn(&Net) -> bool) -> bool {
         let until = self.now + limit;
         while !f(self) {
             if !self.step(until) {
@@ -348,22 +351,24 @@
         true
     }
 
-    /// Runs until there is a leader that can answer reads, and returns it.
-    pub(crate) fn settle_leader(&mut self) -> NodeId {
+    /// Runs until a replica holds a leader lease, and returns it.
+    pub(crate) fn wait_for_leader(&mut self) -> NodeId {
         let limit = Duration::from_secs(60);
-        self.run_until("a leader with a lease", limit, |net| net.leased().is_some());
-        self.leased().unwrap()
+        self.run_until("a leader with a lease", limit, |net| {
+            net.lease_holder().is_some()
+        });
+        self.lease_holder().unwrap()
     }
 
-    /// Proposes at the leader until it is acknowledged.
+    /// Proposes an entry at the leader, with retries, until it is acknowledged.
     pub(crate) fn commit(&mut self, ticket: Ticket) {
         let limit = self.now + Duration::from_secs(120);
         while !self.acked.contains_key(&ticket) {
             assert!(self.now < limit, "proposal {ticket} is not committed");
-            let leader = self.settle_leader();
+            let leader = self.wait_for_leader();
             self.rejected.remove(&ticket);
             self.propose(leader, ticket);
-            self.reaches(Duration::from_secs(5), |net| {
+            self.runs_until(Duration::from_secs(5), |net| {
                 net.acked.contains_key(&ticket) || net.rejected.contains_key(&ticket)
             });
             if self.rejected.contains_key(&ticket) {
@@ -373,21 +378,21 @@
     }
 
     /// Returns the replica that holds a lease.
-    pub(crate) fn leased(&self) -> Option<NodeId> {
+    pub(crate) fn lease_holder(&self) -> Option<NodeId> {
         let holds = |id: &NodeId| {
-            let now = self.local(*id, self.now);
+            let now = self.local_time(*id, self.now);
             let replica = self.nodes[id].replica.as_ref();
             replica.is_some_and(|r| r.has_lease(now))
         };
         self.nodes.keys().copied().find(|id| holds(id))
     }
 
-    /// Returns the running replica under a number.
+    /// Returns the running replica with an ID.
     pub(crate) fn replica(&self, id: NodeId) -> &Replica {
         self.nodes[&id].replica.as_ref().unwrap()
     }
 
-    /// Returns the replicas that think they lead.
+    /// Returns the replicas that consider themselves the leader.
     pub(crate) fn leaders(&self) -> Vec<NodeId> {
         let leads = |node: &Node| {
             node.replica
@@ -398,21 +403,22 @@
         nodes.map(|(&id, _)| id).collect()
     }
 
-    /// Returns whether every running member has applied as much as any.
-    pub(crate) fn is_level(&self) -> bool {
+    /// Returns whether all running replicas have applied entries up to the same
+    /// index.
+    pub(crate) fn all_applied_equal(&self) -> bool {
         let running = self.nodes.values().filter(|n| n.replica.is_some());
         let applied: BTreeSet<LogIndex> = running.map(|n| n.applied).collect();
         applied.len() == 1
     }
 
-    /// Returns what a replica's clock shows at a true time.
-    fn local(&self, id: NodeId, at: Duration) -> Duration {
+    /// Returns the time on a replica's clock at a true time.
+    fn local_time(&self, id: NodeId, at: Duration) -> Duration {
         let rate = self.nodes.get(&id).map_or(1.0, |node| node.rate);
         at.mul_f64(rate)
     }
 }
 
-/// Returns the settings of a replica under test.
+/// Returns the configuration of a replica under test.
 pub(crate) fn config(id: NodeId, incarnation: u128, seed: u64, faults: Faults) -> ReplicaConfig {
     ReplicaConfig {
         id,
--- a/sesamebeam_core/tests/group/net/checks.rs
+++ b/sesamebeam_core/tests/group/net/checks.rs
@@ -1,4 +1,4 @@
-//! The invariants, checked after each step.
+//! Invariants, checked after each step.
 
 use sesamebeam_core::{
     ids::{
@@ -15,17 +15,18 @@
 };
 
 impl Net {
-    /// Asserts that nothing bad was seen.
-    pub(crate) fn assert_sound(&self) {
+    /// Asserts that no invariant was violated.
+    pub(crate) fn assert_no_violations(&self) {
         assert_eq!(self.violations, []);
     }
 
-    /// Returns whether a kind of violation was seen.
-    pub(crate) fn saw(&self, f: impl Fn(&Violation) -> bool) -> bool {
+    /// Returns whether a matching violation was recorded.
+    pub(crate) fn has_violation(&self, f: impl Fn(&Violation) -> bool) -> bool {
         self.violations.iter().any(f)
     }
 
-    /// Applies an entry and compares it with what others applied.
+    /// Applies an entry and compares it with the one that other replicas applied at
+    /// the same index.
     pub(super) fn apply(
         &mut self,
         id: NodeId,
@@ -34,11 +35,16 @@
         data: Vec<u8>,
     ) {
         let node = self.nodes.get_mut(&id).unwrap();
-        let passed_over = self.chosen.range(node.applied + 1..index).next();
-        if let Some((&lost, _)) = passed_over {
+        let skipped = self.applied_entries.range(node.applied + 1..index).next();
+        if let Some((&lost, _)) = skipped {
             self.violations.push(Violation::Lost(lost));
         }
-        if *self.chosen.entry(index).or_insert_with(|| data.clone()) != data {
+        if *self
+            .applied_entries
+            .entry(index)
+            .or_insert_with(|| data.clone())
+            != data
+        {
             self.violations.push(Violation::Diverged(index));
         }
         node.state.push((index, data));
@@ -48,38 +54,38 @@
         }
     }
 
-    /// Checks that a read sees what was acknowledged before it.
+    /// Checks that a read observes all entries acknowledged before it.
     pub(super) fn finish_read(&mut self, id: NodeId, ticket: Ticket) {
-        self.read.insert(ticket);
-        let wanted = self.reads.get(&ticket).copied().unwrap_or(0);
-        if self.nodes[&id].applied < wanted {
+        self.completed_reads.insert(ticket);
+        let required = self.acked_at_read.get(&ticket).copied().unwrap_or(0);
+        if self.nodes[&id].applied < required {
             self.violations.push(Violation::StaleRead(id));
         }
     }
 
-    /// Checks what must hold at every moment.
+    /// Checks the invariants that hold at all times.
     pub(super) fn check(&mut self) {
         self.check_leaders();
         self.check_leases();
         self.check_synced();
     }
 
-    /// One leader a term.
+    /// Checks that there is at most one leader per term.
     fn check_leaders(&mut self) {
         for id in self.leaders() {
-            let life = self.nodes[&id].life;
+            let start_count = self.nodes[&id].start_count;
             let term = self.replica(id).term();
-            let seen = *self.leaders.entry(term).or_insert((id, life));
-            if seen != (id, life) {
+            let seen = *self.leaders.entry(term).or_insert((id, start_count));
+            if seen != (id, start_count) {
                 self.note(Violation::TwoLeaders(term));
             }
         }
     }
 
-    /// One lease at a time.
+    /// Checks that at most one replica holds a lease.
     fn check_leases(&mut self) {
         let holds = |(id, node): (&NodeId, &Node)| {
-            let now = self.local(*id, self.now);
+            let now = self.local_time(*id, self.now);
             let held = node.replica.as_ref().is_some_and(|r| r.has_lease(now));
             held.then_some(*id)
         };
@@ -89,7 +95,7 @@
         }
     }
 
-    /// Committed entries are on a quorum of disks, and none is passed over.
+    /// Checks that committed entries are synced by a quorum.
     fn check_synced(&mut self) {
         let best = self.nodes.values().filter_map(|node| {
             let replica = node.replica.as_ref()?;
@@ -98,21 +104,21 @@
         let Some((committed, members)) = best.max_by_key(|(committed, _)| *committed) else {
             return;
         };
-        if committed <= self.counted {
+        if committed <= self.checked_commit {
             return;
         }
-        self.counted = committed;
+        self.checked_commit = committed;
         let holds = |id: NodeId| {
             let node = self.nodes.get(&id);
-            node.is_some_and(|n| n.synced().max(n.lost) >= committed)
+            node.is_some_and(|n| n.synced().max(n.lost_synced) >= committed)
         };
-        let holding = members.voters().filter(|&id| holds(id)).count();
-        if holding < members.quorum() {
+        let synced_voters = members.voters().filter(|&id| holds(id)).count();
+        if synced_voters < members.quorum() {
             self.note(Violation::Unsynced(committed));
         }
     }
 
-    /// Notes a violation once.
+    /// Records a violation unless it equals the last one.
     fn note(&mut self, violation: Violation) {
         if self.violations.last() != Some(&violation) {
             self.violations.push(violation);
--- a/sesamebeam_core/tests/group/net/delivery.rs
+++ b/sesamebeam_core/tests/group/net/delivery.rs
@@ -1,4 +1,4 @@
-//! Steps: what is on its way arrives, and actions are carried out.
+//! Simulation steps: delivery of queued events and execution of actions.
 
 use std::time::Duration;
 
@@ -14,18 +14,19 @@
 };
 
 use super::{
-    Coming,
-    Net, //
+    Net,
+    QueuedEvent, //
 };
 
-/// Steps at one instant that only an endless loop takes.
-const STEPS_AN_INSTANT: u64 = 10_000;
+/// Maximum number of steps at one point in time; more indicate an endless loop.
+const MAX_STEPS_PER_INSTANT: u64 = 10_000;
 
-/// Messages on their way that only answers which multiply make.
-const MESSAGES_ON_THE_WAY: usize = 20_000;
+/// Maximum number of queued events; more indicate multiplying responses.
+const MAX_QUEUED_MESSAGES: usize = 20_000;
 
 impl Net {
-    /// Carries out the next thing that happens before `until`.
+    /// Executes the next event that is due by `until`. Returns whether there was
+    /// one.
     pub(crate) fn step(&mut self, until: Duration) -> bool {
         let message_at = self.queue.first_key_value().map(|((at, _), _)| *at);
         let wake = self.next_wake();
@@ -36,7 +37,7 @@
         let Some(at) = at.filter(|&at| at <= until) else {
             return false;
         };
-        self.note_instant(at);
+        self.advance_time(at);
         if message_at == Some(at) {
             self.deliver();
         } else if let Some((_, id)) = wake {
@@ -45,39 +46,43 @@
         true
     }
 
-    /// Moves on to the time of the next step, and fails if time stands still
-    /// while steps go on.
-    fn note_instant(&mut self, at: Duration) {
+    /// Advances the time to that of the next step; panics if too many steps occur
+    /// at the same time.
+    fn advance_time(&mut self, at: Duration) {
         self.steps = if at > self.now { 0 } else { self.steps + 1 };
         self.now = self.now.max(at);
-        assert!(self.steps < STEPS_AN_INSTANT, "no end of steps at {at:?}");
+        assert!(
+            self.steps < MAX_STEPS_PER_INSTANT,
+            "too many steps at {at:?}"
+        );
     }
 
-    /// Returns the first replica that wants to be woken, and when.
+    /// Returns the next wake-up time and the replica it belongs to.
     fn next_wake(&self) -> Option<(Duration, NodeId)> {
         let wakes = self.nodes.iter().filter_map(|(&id, node)| {
             let wake = node.replica.as_ref()?.next_wake();
-            // Rounded up, so that the replica's own clock has got there.
+            // Rounded up, so that the replica's own clock has reached the wake-up
+            // time.
             let at = wake.div_f64(node.rate) + Duration::from_nanos(2);
             Some((at.max(self.now), id))
         });
         wakes.min()
     }
 
-    /// Hands over the first of what is on its way.
+    /// Delivers the first queued event.
     fn deliver(&mut self) {
-        let Some((_, coming)) = self.queue.pop_first() else {
+        let Some((_, queued)) = self.queue.pop_first() else {
             return;
         };
-        match coming {
-            Coming::Message(from, to, message) => {
-                if !self.cut.contains(&(from, to)) {
+        match queued {
+            QueuedEvent::Message(from, to, message) => {
+                if !self.cut_links.contains(&(from, to)) {
                     self.event(to, ReplicaEvent::Message { from, message });
                 }
             }
-            Coming::Synced(id, life, write) => {
+            QueuedEvent::Synced(id, start_count, write) => {
                 let node = self.nodes.get_mut(&id).unwrap();
-                if node.life != life || node.replica.is_none() {
+                if node.start_count != start_count || node.replica.is_none() {
                     return;
                 }
                 if let Some((_, ops)) = node.unsynced.take_if(|(w, _)| *w == write) {
@@ -88,18 +93,18 @@
         }
     }
 
-    /// Carries out actions.
-    pub(super) fn act(&mut self, id: NodeId, actions: Vec<ReplicaAction>) {
+    /// Performs actions.
+    pub(super) fn perform(&mut self, id: NodeId, actions: Vec<ReplicaAction>) {
         for action in actions {
             match action {
-                ReplicaAction::Send { to, message } => self.post(id, to, message),
+                ReplicaAction::Send { to, message } => self.send(id, to, message),
                 ReplicaAction::Write { write, ops } => {
                     let node = self.nodes.get_mut(&id).unwrap();
                     assert!(node.unsynced.is_none(), "two writes in flight");
                     node.unsynced = Some((write, ops));
-                    let life = node.life;
-                    let at = self.now + self.weather.sync;
-                    self.enqueue(at, Coming::Synced(id, life, write));
+                    let start_count = node.start_count;
+                    let at = self.now + self.conditions.sync;
+                    self.enqueue(at, QueuedEvent::Synced(id, start_count, write));
                 }
                 ReplicaAction::Apply {
                     index,
@@ -131,24 +136,27 @@
         }
     }
 
-    /// Puts a message on its way.
-    fn post(&mut self, from: NodeId, to: NodeId, message: ReplicaMessage) {
+    /// Sends a message, subject to loss, duplication and delay.
+    fn send(&mut self, from: NodeId, to: NodeId, message: ReplicaMessage) {
         self.sent += 1;
-        let copies = 1 + u64::from(self.rng.random_bool(self.weather.doubled));
+        let copies = 1 + u64::from(self.rng.random_bool(self.conditions.duplicate));
         for _ in 0..copies {
-            if self.rng.random_bool(self.weather.loss) {
+            if self.rng.random_bool(self.conditions.loss) {
                 continue;
             }
-            let jitter = self.weather.jitter.mul_f64(self.rng.random::<f64>());
-            let at = self.now + self.weather.delay + jitter;
-            self.enqueue(at, Coming::Message(from, to, message.clone()));
+            let jitter = self.conditions.jitter.mul_f64(self.rng.random::<f64>());
+            let at = self.now + self.conditions.delay + jitter;
+            self.enqueue(at, QueuedEvent::Message(from, to, message.clone()));
         }
     }
 
-    /// Puts something in the queue.
-    fn enqueue(&mut self, at: Duration, coming: Coming) {
-        self.next += 1;
-        self.queue.insert((at, self.next), coming);
-        assert!(self.queue.len() < MESSAGES_ON_THE_WAY, "messages multiply");
+    /// Adds an event to the queue.
+    fn enqueue(&mut self, at: Duration, queued: QueuedEvent) {
+        self.next_event += 1;
+        self.queue.insert((at, self.next_event), queued);
+        assert!(
+            self.queue.len() < MAX_QUEUED_MESSAGES,
+            "too many queued events"
+        );
     }
 }
