--- a/sesamebeam_core/tests/lease.rs
+++ b/sesamebeam_core/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases: nobody serves after another may have won.
+//! Leases: no replica serves reads once another may have been elected.
 
 #[path = "group/net.rs"]
 mod net;
@@ -17,12 +17,12 @@
     lease::leader_lease, //
 };
 
-/// Cuts the leader off where the others stand as early as they may, and keeps
-/// reading at the old leader while the new one commits.
-fn read_at_isolated(faults: Faults) -> Net {
+/// Isolates the leader and keeps reading from it while the others elect a new
+/// leader that commits entries.
+fn read_at_isolated_leader(faults: Faults) -> Net {
     let mut net = Net::new(3, 4, faults);
     net.commit(1);
-    let old = net.settle_leader();
+    let old = net.wait_for_leader();
     net.isolate(old);
     for n in 0..400 {
         net.run(Duration::from_millis(10));
@@ -36,37 +36,37 @@
 
 #[test]
 fn stale_reads() {
-    // A caller of the cut-off leader waits or is sent elsewhere. Its lease ends
-    // before the others can elect; until it notices, reads are not answered.
-    let net = read_at_isolated(Faults::default());
+    // An isolated leader must not serve stale reads. Its lease expires before the
+    // others can elect a new leader; reads after that are not completed.
+    let net = read_at_isolated_leader(Faults::default());
     assert!(net.acked.len() > 1);
-    net.assert_sound();
+    net.assert_no_violations();
 }
 
 #[test]
-fn stale_reads_unguarded() {
-    // The same with a leader that answers whatever its lease says: its state
-    // lacks what the new leader has acknowledged.
-    let net = read_at_isolated(Faults {
+fn stale_reads_without_lease_check() {
+    // Without the lease check, the isolated leader serves reads from a state that
+    // lacks entries acknowledged by the new leader.
+    let net = read_at_isolated_leader(Faults {
         serve_after_lease: true,
         ..Faults::default()
     });
-    assert!(net.saw(|v| matches!(v, Violation::StaleRead(_))));
+    assert!(net.has_violation(|v| matches!(v, Violation::StaleRead(_))));
 }
 
-/// Cuts the leader off on the one side, with its clock slow and the others'
-/// fast by the bound, over many seeds.
-fn drift_apart(faults: Faults) -> Vec<Violation> {
+/// Isolates the leader with its clock slow and the others' clocks fast, both by the
+/// drift bound, for many seeds.
+fn run_with_drift(faults: Faults) -> Vec<Violation> {
     let mut violations = Vec::new();
     for seed in 0..40 {
         let mut net = Net::with(3, seed, faults, |cfg| {
-            // The earliest election that the lease allows.
+            // Allows the earliest election that the lease permits.
             cfg.heartbeat = Duration::from_millis(20);
             cfg.snapshot_every = 1_000_000;
         });
-        net.weather.delay = Duration::from_micros(10);
-        net.weather.sync = Duration::from_micros(10);
-        let leader = net.settle_leader();
+        net.conditions.delay = Duration::from_micros(10);
+        net.conditions.sync = Duration::from_micros(10);
+        let leader = net.wait_for_leader();
         for (&id, node) in &mut net.nodes {
             node.rate = if id == leader {
                 1.0 - DRIFT
@@ -75,17 +75,17 @@
             };
         }
         net.run(Duration::from_secs(5));
-        let leader = net.settle_leader();
+        let leader = net.wait_for_leader();
         net.isolate(leader);
-        hurry_others(&mut net, leader);
+        run_until_election(&mut net, leader);
         violations.extend(net.violations);
     }
     violations
 }
 
-/// Wakes the others as if their election time-outs were the shortest, so that
-/// only the lease stands between them and an election.
-fn hurry_others(net: &mut Net, leader: u64) {
+/// Runs in small steps until another replica is elected, and checks the leases at
+/// each step.
+fn run_until_election(net: &mut Net, leader: u64) {
     let limit = net.now + Duration::from_secs(3);
     while net.now < limit && net.leaders() == [leader] {
         net.run(Duration::from_micros(500));
@@ -95,16 +95,16 @@
 
 #[test]
 fn drifting_clocks() {
-    // The leader's clock is slow by the bound and the others' are fast by it.
-    // It counts its lease shorter by the margin for both, so the others' promise
-    // outlives it however early they stand.
-    assert_eq!(drift_apart(Faults::default()), []);
+    // The leader's clock is slow and the others' are fast, both by the drift bound.
+    // The lease is shortened by the margin for both, so it expires before the
+    // others' promises, however early they start an election.
+    assert_eq!(run_with_drift(Faults::default()), []);
 }
 
 #[test]
-fn drifting_clocks_unguarded() {
-    // The same without the margin: for a moment two replicas hold the lease.
-    let violations = drift_apart(Faults {
+fn drifting_clocks_without_margin() {
+    // Without the margin, two replicas briefly hold a lease at once.
+    let violations = run_with_drift(Faults {
         no_drift_margin: true,
         ..Faults::default()
     });
@@ -123,62 +123,62 @@
     assert_eq!(leader_lease(lease, 0.0), lease);
 }
 
-/// Has a follower cut off from the leader stand while the others hear it, over
-/// and over.
-fn stand_under_lease(faults: Faults) -> Net {
+/// Cuts the link between the leader and one follower, which then starts elections
+/// repeatedly while the other follower still has a leader.
+fn cut_link_to_follower(faults: Faults) -> Net {
     let mut net = Net::new(3, 5, faults);
     net.commit(1);
-    let leader = net.settle_leader();
-    let lonely = net.nodes.keys().copied().find(|&id| id != leader).unwrap();
-    net.cut.insert((leader, lonely));
-    net.cut.insert((lonely, leader));
+    let leader = net.wait_for_leader();
+    let cut_off = net.nodes.keys().copied().find(|&id| id != leader).unwrap();
+    net.cut_links.insert((leader, cut_off));
+    net.cut_links.insert((cut_off, leader));
     net.run(Duration::from_secs(20));
     net
 }
 
 #[test]
 fn one_link_cut() {
-    // Callers see nothing. One follower no longer hears the leader and stands;
-    // the other one hears the leader and takes no notice.
-    let net = stand_under_lease(Faults::default());
+    // One follower loses contact with the leader and starts elections. The other is
+    // in contact with the leader and ignores them, so there is no leader change.
+    let net = cut_link_to_follower(Faults::default());
     assert_eq!(net.leader_changes, 1);
-    net.assert_sound();
+    net.assert_no_violations();
 }
 
 #[test]
-fn one_link_cut_unguarded() {
-    // The same with followers that vote whenever they are asked: the lonely one
-    // wins while the leader still holds its lease.
-    let net = stand_under_lease(Faults {
+fn one_link_cut_without_vote_block() {
+    // If followers vote during a lease, the cut-off follower wins while the leader
+    // still holds its lease.
+    let net = cut_link_to_follower(Faults {
         vote_during_lease: true,
         ..Faults::default()
     });
-    assert!(net.saw(|v| matches!(v, Violation::TwoLeases(..))));
+    assert!(net.has_violation(|v| matches!(v, Violation::TwoLeases(..))));
 }
 
-/// Restarts a follower in the moment after it promised the leader its lease,
-/// and lets the third replica, which the leader cannot reach, stand at once.
-fn restart_promiser(faults: Faults) -> Vec<Violation> {
+/// Restarts a follower repeatedly while it is bound by its promise to the leader.
+/// The third replica is cut off from the leader and starts elections.
+fn restart_voter(faults: Faults) -> Vec<Violation> {
     let mut violations = Vec::new();
     for seed in 0..40 {
         let mut net = Net::with(3, seed, faults, |cfg| {
             cfg.heartbeat = Duration::from_millis(100);
         });
         net.commit(1);
-        let leader = net.settle_leader();
+        let leader = net.wait_for_leader();
         let others: Vec<u64> = net
             .nodes
             .keys()
             .copied()
             .filter(|&id| id != leader)
             .collect();
-        let (promiser, lonely) = (others[0], others[1]);
-        net.cut.insert((leader, lonely));
-        net.cut.insert((lonely, leader));
+        let (voter, cut_off) = (others[0], others[1]);
+        net.cut_links.insert((leader, cut_off));
+        net.cut_links.insert((cut_off, leader));
         for _ in 0..30 {
             net.run(Duration::from_millis(97));
-            net.crash(promiser);
-            net.start(promiser);
+            net.crash(voter);
+            net.start(voter);
         }
         violations.extend(net.violations);
     }
@@ -186,16 +186,17 @@
 }
 
 #[test]
-fn promise_over_restart() {
-    // A follower forgets its promise in a restart. It waits for a whole lease
-    // before it votes, so that the leader it promised is not overtaken.
-    assert_eq!(restart_promiser(Faults::default()), []);
+fn vote_block_after_restart() {
+    // A restart loses the promise not to vote. The follower waits for a full lease
+    // before it votes, so that no other replica wins during the leader's lease.
+    assert_eq!(restart_voter(Faults::default()), []);
 }
 
 #[test]
-fn promise_over_restart_unguarded() {
-    // The same with a follower that votes as soon as it is back.
-    let violations = restart_promiser(Faults {
+fn vote_during_lease_after_restart() {
+    // A follower that votes right after its restart elects a second leader during
+    // the lease.
+    let violations = restart_voter(Faults {
         forget_promise: true,
         ..Faults::default()
     });
@@ -208,35 +209,36 @@
 
 #[test]
 fn read_without_lease() {
-    // A reader right after an election, before any heartbeat is answered, waits
-    // for the round that proves the leader and is answered then.
+    // A read right after an election, before any heartbeat response, waits for the
+    // round that confirms the leader and completes then.
     let mut net = Net::new(3, 6, Faults::default());
     net.run_until("a leader", Duration::from_secs(10), |net| {
         !net.leaders().is_empty()
     });
     let leader = net.leaders()[0];
-    assert_eq!(net.leased(), None);
+    assert_eq!(net.lease_holder(), None);
     net.read_at(leader, 9);
-    assert!(!net.read.contains(&9));
-    net.run_until("the read", Duration::from_secs(1), |net| {
-        net.read.contains(&9)
+    assert!(!net.completed_reads.contains(&9));
+    net.run_until("the completed read", Duration::from_secs(1), |net| {
+        net.completed_reads.contains(&9)
     });
-    net.assert_sound();
+    net.assert_no_violations();
 }
 
 #[test]
 fn full_disk() {
-    // Callers see writes refused as not run, and reads served. The leader's
-    // disk is full; it hands over, and the next leader takes writes.
+    // A leader with a full disk transfers leadership, and the next leader accepts
+    // writes. If all disks are full, writes are rejected and reads are still
+    // served.
     let mut net = Net::new(3, 7, Faults::default());
     net.commit(1);
-    let old = net.settle_leader();
+    let old = net.wait_for_leader();
     net.event(old, ReplicaEvent::DiskFull(true));
     net.run(Duration::from_millis(50));
     net.commit(2);
-    assert_ne!(net.settle_leader(), old);
-    // With every disk full there is nobody to hand over to.
-    let new = net.settle_leader();
+    assert_ne!(net.wait_for_leader(), old);
+    // With every disk full, no replica can take over.
+    let new = net.wait_for_leader();
     for id in [1, 2, 3].into_iter().filter(|&id| id != new) {
         net.event(id, ReplicaEvent::DiskFull(true));
     }
@@ -245,12 +247,12 @@
     net.propose(new, 3);
     assert_eq!(net.rejected.get(&3), Some(&Rejection::Full));
     net.read_at(new, 4);
-    assert!(net.read.contains(&4));
+    assert!(net.completed_reads.contains(&4));
     for id in 1..=3 {
         net.event(id, ReplicaEvent::DiskFull(false));
     }
     net.commit(3);
     net.run(Duration::from_secs(2));
-    assert!(net.is_level());
-    net.assert_sound();
+    assert!(net.all_applied_equal());
+    net.assert_no_violations();
 }
--- a/sesamebeam_core/tests/membership.rs
+++ b/sesamebeam_core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the membership, and disks that are lost.
+//! Membership changes and lost disks.
 
 #[path = "group/net.rs"]
 mod net;
@@ -11,7 +11,7 @@
     config, //
 };
 use sesamebeam_core::replica::{
-    ChangeFault,
+    ChangeError,
     Faults,
     MemberChange,
     Members,
@@ -21,25 +21,25 @@
 /// Ticket of the change under test.
 const CHANGE: u64 = 900;
 
-/// Commits an entry on the leader and one follower only, loses that follower's
-/// disk, then the leader: the third never had the entry.
-fn lose_disk_of_witness(faults: Faults) -> Net {
+/// Commits an entry on the leader and one follower only, then loses that follower's
+/// disk and crashes the leader. The third replica never had the entry.
+fn lose_disk_of_holder(faults: Faults) -> Net {
     let mut net = Net::new(3, 11, faults);
     net.commit(1);
-    let leader = net.settle_leader();
+    let leader = net.wait_for_leader();
     let others: Vec<u64> = net
         .nodes
         .keys()
         .copied()
         .filter(|&id| id != leader)
         .collect();
-    let (witness, behind) = (others[0], others[1]);
+    let (holder, behind) = (others[0], others[1]);
     net.isolate(behind);
     net.commit(2);
-    net.lose_disk(witness);
+    net.lose_disk(holder);
     net.crash(leader);
     net.heal();
-    net.start(witness);
+    net.start(holder);
     net.run(Duration::from_secs(30));
     for id in net.leaders() {
         net.propose(id, 3);
@@ -50,44 +50,45 @@
 
 #[test]
 fn swapped_disk() {
-    // Callers see refusals and no loss. The one replica that had the last entry
-    // beside the leader comes back under its number with a new disk. It is not
-    // counted, so nobody leads until the leader itself is back.
-    let mut net = lose_disk_of_witness(Faults::default());
+    // A replica that returns under its old ID with an empty disk must not count
+    // towards a quorum. It was the only one besides the leader with the last entry,
+    // so no leader is elected until the old leader is back.
+    let mut net = lose_disk_of_holder(Faults::default());
     assert_eq!(net.leaders(), []);
-    net.assert_sound();
+    net.assert_no_violations();
     let down = net.nodes.iter().find(|(_, n)| n.replica.is_none());
     let down = *down.unwrap().0;
     net.start(down);
     net.commit(4);
-    net.assert_sound();
+    net.assert_no_violations();
 }
 
 #[test]
-fn swapped_disk_unguarded() {
-    // The same with the new disk counted under the old number: it helps to elect
-    // the one that never had the entry, and the entry is gone.
-    let net = lose_disk_of_witness(Faults {
+fn swapped_disk_accepted() {
+    // If the new disk counts under the old ID, it helps elect the replica that
+    // never had the entry, and the entry is lost.
+    let net = lose_disk_of_holder(Faults {
         accept_swapped_disk: true,
         ..Faults::default()
     });
     let lost = |v: &Violation| matches!(v, Violation::Lost(_) | Violation::Diverged(_));
-    assert!(net.saw(lost));
+    assert!(net.has_violation(lost));
 }
 
-/// Makes up the change that replaces a replica, with a folder of the new one's own.
-fn replace(gone: u64, new: u64) -> MemberChange {
+/// Builds a change that replaces a replica, with the new one's incarnation.
+fn replace(old: u64, new: u64) -> MemberChange {
     MemberChange::Replace {
-        gone,
+        old,
         new,
         incarnation: u128::from(new) * 100,
         addr: None,
     }
 }
 
-/// Replaces a replica with a lost disk by number 4, over a link that is slow in
-/// bulk, and takes a second replica down as soon as the repair is reported.
-fn repair_then_fail(faults: Faults) -> (Net, bool) {
+/// Replaces a replica with a lost disk by replica 4 over a slow network with small
+/// batches, and crashes a second replica as soon as the replacement is committed.
+/// Returns whether a write then commits within 200 ms.
+fn replace_then_fail(faults: Faults) -> (Net, bool) {
     let mut net = Net::with(3, 12, faults, |cfg| {
         cfg.max_batch_bytes = 40;
         cfg.snapshot_every = 10_000;
@@ -95,7 +96,7 @@
     for ticket in 1..=300 {
         net.commit(ticket);
     }
-    let leader = net.settle_leader();
+    let leader = net.wait_for_leader();
     let others: Vec<u64> = net
         .nodes
         .keys()
@@ -106,127 +107,133 @@
     let mut cfg = config(4, 400, 12, faults);
     cfg.max_batch_bytes = 40;
     net.add(cfg);
-    net.weather.delay = Duration::from_millis(20);
+    net.conditions.delay = Duration::from_millis(20);
     let change = replace(others[0], 4);
     net.change(leader, CHANGE, change);
-    net.run_until("the repair", Duration::from_secs(60), |net| {
+    net.run_until("the replacement", Duration::from_secs(60), |net| {
         let members = net.replica(leader).members();
         members.is_voter(4) && members.get(others[0]).is_none()
     });
-    net.run_until("its commit", Duration::from_secs(60), |net| {
-        net.replica(leader).committed() == net.replica(leader).last_index()
-    });
+    net.run_until(
+        "the commit of the replacement",
+        Duration::from_secs(60),
+        |net| net.replica(leader).committed() == net.replica(leader).last_index(),
+    );
     net.crash(others[1]);
     net.propose(leader, 1_000);
     let limit = Duration::from_millis(200);
-    let quick = net.reaches(limit, |net| net.acked.contains_key(&1_000));
-    (net, quick)
+    let in_time = net.runs_until(limit, |net| net.acked.contains_key(&1_000));
+    (net, in_time)
 }
 
 #[test]
 fn second_failure() {
-    // Callers see no pause. A disk is lost and its replica replaced; right after
-    // the repair is reported a second replica fails. The new one voted only
-    // after it had caught up, so the two that are left commit at once.
-    let (mut net, quick) = repair_then_fail(Faults::default());
-    assert!(quick);
+    // A second replica fails right after a replacement is reported complete. The
+    // new replica became a voter only after it had caught up, so the remaining two
+    // commit at once.
+    let (mut net, in_time) = replace_then_fail(Faults::default());
+    assert!(in_time);
     net.commit(1_001);
-    net.assert_sound();
+    net.assert_no_violations();
 }
 
 #[test]
-fn second_failure_unguarded() {
-    // The same with the new one voting at once: it still has to fetch the log
-    // when the second replica fails, and writes stand still.
-    let (_, quick) = repair_then_fail(Faults {
+fn second_failure_with_early_promotion() {
+    // If the new replica votes at once, it still has to fetch the log when the
+    // second replica fails, and writes stall.
+    let (_, in_time) = replace_then_fail(Faults {
         promote_early: true,
         ..Faults::default()
     });
-    assert!(!quick);
+    assert!(!in_time);
 }
 
 #[test]
-fn survivor_alone() {
-    // After the repair the old leader dies too: the replacement and the other
-    // one have everything that was acknowledged.
+fn leader_lost_after_replacement() {
+    // The old leader crashes after a replacement. The new replica and the remaining
+    // one have all acknowledged entries.
     let mut net = Net::new(3, 13, Faults::default());
     for ticket in 1..=50 {
         net.commit(ticket);
     }
-    let leader = net.settle_leader();
-    let gone = if leader == 1 { 2 } else { 1 };
-    net.lose_disk(gone);
-    net.start(gone);
+    let leader = net.wait_for_leader();
+    let old = if leader == 1 { 2 } else { 1 };
+    net.lose_disk(old);
+    net.start(old);
     net.add(config(4, 400, 13, Faults::default()));
-    let change = replace(gone, 4);
+    let change = replace(old, 4);
     net.change(leader, CHANGE, change);
-    net.run_until("the repair", Duration::from_secs(60), |net| {
+    net.run_until("the replacement", Duration::from_secs(60), |net| {
         net.replica(4).members().is_voter(4) && net.changed.contains(&CHANGE)
     });
     net.crash(leader);
     net.commit(51);
     net.run(Duration::from_secs(2));
     assert_eq!(net.nodes[&4].state.len(), 51);
-    net.assert_sound();
+    net.assert_no_violations();
 }
 
 #[test]
-fn resumed_repair() {
-    // The leader dies with the replacement half done. The owed steps stand in
-    // the membership, and the next leader takes them.
+fn replacement_resumed() {
+    // The leader crashes in the middle of a replacement. The pending steps are
+    // recorded in the membership, and the next leader completes them.
     let mut net = Net::new(5, 14, Faults::default());
     net.commit(1);
-    let leader = net.settle_leader();
-    let gone = if leader == 1 { 2 } else { 1 };
-    net.crash(gone);
-    let change = replace(gone, 6);
+    let leader = net.wait_for_leader();
+    let old = if leader == 1 { 2 } else { 1 };
+    net.crash(old);
+    let change = replace(old, 6);
     net.change(leader, CHANGE, change);
-    net.run_until("the first step", Duration::from_secs(5), |net| {
-        net.changed.contains(&CHANGE)
-    });
+    net.run_until(
+        "the commit of the first step",
+        Duration::from_secs(5),
+        |net| net.changed.contains(&CHANGE),
+    );
     net.crash(leader);
     net.add(config(6, 600, 14, Faults::default()));
-    net.run_until("the repair", Duration::from_secs(60), |net| {
+    net.run_until("the replacement", Duration::from_secs(60), |net| {
         let members = net.replica(6).members();
-        members.is_voter(6) && members.get(gone).is_none()
+        members.is_voter(6) && members.get(old).is_none()
     });
     net.commit(2);
-    net.assert_sound();
+    net.assert_no_violations();
 }
 
 #[test]
 fn repair_outlived() {
-    // Operators' changes are accepted to the end, though no more replicas are
-    // lost than five bear. One is cut off and is to be replaced; before its
-    // replacement has caught up, it is back and two others are lost. Taken out
-    // first, as one that is lost, it left four voters with two of them alive.
+    // A replacement must not cost the group its quorum. One of five replicas is
+    // isolated and being replaced; before its replacement has caught up, it is back
+    // and two others crash. If it were removed first, only two of the four
+    // remaining voters would be alive.
     let mut net = Net::new(5, 18, Faults::default());
     net.commit(1);
-    let leader = net.settle_leader();
+    let leader = net.wait_for_leader();
     let mut others = (1..=5).filter(|&id| id != leader);
-    let [gone, first, second] = [(); 3].map(|()| others.next().expect("five"));
-    net.isolate(gone);
-    let change = replace(gone, 6);
+    let [old, first, second] = [(); 3].map(|()| others.next().expect("a group of five"));
+    net.isolate(old);
+    let change = replace(old, 6);
     net.change(leader, CHANGE, change);
-    net.run_until("the first step", Duration::from_secs(5), |net| {
-        net.changed.contains(&CHANGE)
-    });
+    net.run_until(
+        "the commit of the first step",
+        Duration::from_secs(5),
+        |net| net.changed.contains(&CHANGE),
+    );
     net.heal();
     net.run(Duration::from_secs(1));
     net.crash(first);
     net.crash(second);
     net.run(Duration::from_secs(1));
     net.add(config(6, 600, 18, Faults::default()));
-    net.run_until("the repair", Duration::from_secs(60), |net| {
+    net.run_until("the replacement", Duration::from_secs(60), |net| {
         let members = net.replica(6).members();
-        members.is_voter(6) && members.get(gone).is_none()
+        members.is_voter(6) && members.get(old).is_none()
     });
     net.commit(2);
-    net.assert_sound();
+    net.assert_no_violations();
 }
 
 #[test]
-fn grown_group() {
+fn group_growth() {
     // A group that starts with one replica grows to three.
     let mut net = Net::new(1, 15, Faults::default());
     net.commit(1);
@@ -247,31 +254,31 @@
     }
     net.crash(1);
     net.commit(4);
-    net.assert_sound();
+    net.assert_no_violations();
 }
 
 #[test]
 fn removed_leader() {
-    // A leader that is removed hands over and leads no more.
+    // A removed leader transfers leadership and does not lead again.
     let mut net = Net::new(3, 16, Faults::default());
     net.commit(1);
-    let old = net.settle_leader();
+    let old = net.wait_for_leader();
     net.change(old, CHANGE, MemberChange::Remove { node: old });
     net.run(Duration::from_millis(500));
     assert!(net.changed.contains(&CHANGE));
-    let new = net.settle_leader();
+    let new = net.wait_for_leader();
     assert_ne!(new, old);
     net.commit(2);
     net.run(Duration::from_secs(20));
-    assert_eq!(net.settle_leader(), new);
-    net.assert_sound();
+    assert_eq!(net.wait_for_leader(), new);
+    net.assert_no_violations();
 }
 
 #[test]
 fn refused_changes() {
     let mut net = Net::new(3, 17, Faults::default());
     net.commit(1);
-    let leader = net.settle_leader();
+    let leader = net.wait_for_leader();
     let add = |node| MemberChange::Add {
         node,
         incarnation: 1,
@@ -279,36 +286,36 @@
         promote: false,
     };
     net.change(leader, 901, add(2));
-    assert_eq!(net.rejected[&901], Rejection::Change(ChangeFault::Used));
+    assert_eq!(net.rejected[&901], Rejection::Change(ChangeError::Used));
     net.change(leader, 902, MemberChange::Remove { node: 9 });
-    assert_eq!(net.rejected[&902], Rejection::Change(ChangeFault::Unknown));
+    assert_eq!(net.rejected[&902], Rejection::Change(ChangeError::Unknown));
     net.change(leader, 903, add(7));
     net.change(leader, 904, add(8));
-    assert_eq!(net.rejected[&904], Rejection::Change(ChangeFault::InFlight));
+    assert_eq!(net.rejected[&904], Rejection::Change(ChangeError::InFlight));
     net.run(Duration::from_secs(1));
     assert!(net.changed.contains(&903));
     net.change(leader, 905, MemberChange::Remove { node: 7 });
     net.run(Duration::from_secs(1));
     net.change(leader, 906, add(7));
-    assert_eq!(net.rejected[&906], Rejection::Change(ChangeFault::Used));
-    net.assert_sound();
+    assert_eq!(net.rejected[&906], Rejection::Change(ChangeError::Used));
+    net.assert_no_violations();
 }
 
-/// Takes two changes at once on either side of a cut, with the safeguard on or
-/// off.
-fn overlap_changes(faults: Faults) -> Net {
+/// Isolates the leader with one follower from the other three replicas, and
+/// requests the removal of all three from that leader at once.
+fn request_overlapping_changes(faults: Faults) -> Net {
     let mut net = Net::new(5, 18, faults);
     net.commit(1);
-    let old = net.settle_leader();
+    let old = net.wait_for_leader();
     let others: Vec<u64> = net.nodes.keys().copied().filter(|&id| id != old).collect();
-    let (friend, far) = (others[0], others[1..].to_vec());
-    for &b in &far {
-        for a in [old, friend] {
-            net.cut.insert((a, b));
-            net.cut.insert((b, a));
+    let (near, majority) = (others[0], others[1..].to_vec());
+    for &b in &majority {
+        for a in [old, near] {
+            net.cut_links.insert((a, b));
+            net.cut_links.insert((b, a));
         }
     }
-    for (n, &node) in far.iter().enumerate() {
+    for (n, &node) in majority.iter().enumerate() {
         net.change(old, CHANGE + n as u64, MemberChange::Remove { node });
     }
     net.propose(old, 2);
@@ -324,30 +331,30 @@
 
 #[test]
 fn overlapping_changes() {
-    // A leader cut off with one follower is asked to remove the other three. It
-    // takes one change at a time, cannot commit the first, and nothing splits.
-    let net = overlap_changes(Faults::default());
-    net.assert_sound();
+    // The leader accepts one change at a time and cannot commit the first, so the
+    // group does not split.
+    let net = request_overlapping_changes(Faults::default());
+    net.assert_no_violations();
 }
 
 #[test]
-fn overlapping_changes_unguarded() {
-    // The same with changes taken at once: it removes all three at a stroke and
-    // commits alone with its friend, while the three elect their own leader.
-    let net = overlap_changes(Faults {
+fn overlapping_changes_allowed() {
+    // If overlapping changes are accepted, the leader removes all three at once and
+    // commits with its one follower, while the three elect their own leader.
+    let net = request_overlapping_changes(Faults {
         overlapping_changes: true,
         ..Faults::default()
     });
     let split = |v: &Violation| matches!(v, Violation::Lost(_) | Violation::Diverged(_));
-    assert!(net.saw(split));
+    assert!(net.has_violation(split));
 }
 
 #[test]
-fn foreign_group() {
-    // A replica of another group under a member's number is not heard.
+fn replica_of_other_group() {
+    // Messages from a replica of another group under a member's ID are ignored.
     let mut net = Net::new(3, 19, Faults::default());
     net.commit(1);
-    let leader = net.settle_leader();
+    let leader = net.wait_for_leader();
     let other = if leader == 1 { 2 } else { 1 };
     net.lose_disk(other);
     let node = net.nodes.get_mut(&other).unwrap();
@@ -357,5 +364,5 @@
     net.start(other);
     net.run(Duration::from_secs(5));
     assert_eq!(net.replica(other).last_index(), 0);
-    net.assert_sound();
+    net.assert_no_violations();
 }
--- a/sesamebeam_core/tests/proofs/world/group.rs
+++ b/sesamebeam_core/tests/proofs/world/group.rs
@@ -32,7 +32,7 @@
     replica::{
         Members,
         ReplicaConfig,
-        Saved, //
+        SavedState, //
     },
 };
 
@@ -56,7 +56,7 @@
 /// One replica with its disk.
 pub(crate) struct Node {
     pub(crate) cfg: ControlConfig,
-    pub(crate) saved: Saved,
+    pub(crate) saved: SavedState,
     pub(crate) core: Option<ControlCore>,
     pub(crate) frozen: Option<Vec<Event>>,
     life: Life,
@@ -95,7 +95,7 @@
         change(&mut cfg);
         Self {
             cfg,
-            saved: Saved::default(),
+            saved: SavedState::default(),
             core: None,
             frozen: None,
             life: 0,
--- a/sesamebeam_core/tests/schedules.rs
+++ b/sesamebeam_core/tests/schedules.rs
@@ -1,9 +1,9 @@
-//! Random schedules of faults over three and five replicas.
+//! Randomised fault schedules for groups of three and five replicas.
 //!
-//! Messages are lost, doubled and reordered; replicas crash, restart, lose
-//! their disks and are replaced; links are cut and healed. The invariants are
-//! checked after each step, and at the end the group must heal and hold all
-//! that it acknowledged. The seed is fixed, so that the verdict is too.
+//! Messages are lost, duplicated and reordered; replicas crash, restart, lose their
+//! disks and are replaced; links are cut and healed. The invariants are checked
+//! after each step. At the end the group must recover and hold all acknowledged
+//! entries. The seed is fixed, so that results are reproducible.
 
 #[path = "group/net.rs"]
 mod net;
@@ -15,7 +15,7 @@
 
 use net::{
     Net,
-    Weather,
+    NetworkConditions,
     config, //
 };
 use proptest::{
@@ -34,34 +34,35 @@
 /// Seed of all schedules.
 const SEED: u64 = 20_26;
 
-/// One step of a schedule. Numbers choose among the replicas there are.
+/// One step of a schedule. `u8` indices select a replica modulo the number of
+/// replicas.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Lets time pass.
+    /// Advances the time, in milliseconds.
     Run(u16),
-    /// Proposes at every replica that thinks it leads.
+    /// Proposes entries at every replica that considers itself the leader.
     Propose(u8),
-    /// Reads at a replica, whatever it is.
+    /// Reads at a replica in any role.
     Read(u8),
-    /// Cuts the power of a replica.
+    /// Crashes a replica.
     Crash(u8),
-    /// Cuts the power of all replicas at once.
+    /// Crashes all replicas at once.
     CrashAll,
-    /// Starts what is down.
+    /// Starts all stopped replicas.
     Start,
-    /// Loses the disk of a replica, which comes back with a new one, and asks
-    /// for its replacement.
+    /// Loses the disk of a replica, which comes back with a new one, and requests
+    /// its replacement.
     LoseDisk(u8),
-    /// Cuts one direction of one link.
+    /// Cuts one direction of a link.
     Cut(u8, u8),
-    /// Cuts a replica off.
+    /// Isolates a replica.
     Isolate(u8),
     /// Heals all links.
     Heal,
-    /// Fills or frees the disk of a replica.
+    /// Reports the disk of a replica as full or free.
     Full(u8, bool),
-    /// Changes how messages fare.
-    Weather(u8, u8, u8),
+    /// Changes message loss and duplication in percent, and jitter in milliseconds.
+    NetworkConditions(u8, u8, u8),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -77,28 +78,28 @@
         2 => any::<u8>().prop_map(Step::Isolate),
         4 => Just(Step::Heal),
         1 => (any::<u8>(), any::<bool>()).prop_map(|(n, full)| Step::Full(n, full)),
-        2 => (0u8..30, 0u8..30, 0u8..60).prop_map(|(a, b, c)| Step::Weather(a, b, c)),
+        2 => (0u8..30, 0u8..30, 0u8..60).prop_map(|(a, b, c)| Step::NetworkConditions(a, b, c)),
     ]
 }
 
-/// A schedule as it is carried out.
+/// Execution of a schedule.
 struct Run {
     net: Net,
     faults: Faults,
     seed: u64,
     ticket: u64,
-    /// Replicas whose disk was lost, which never come back as they were.
-    gone: BTreeSet<u64>,
-    /// Replacements that are still to be accepted.
-    owed: Vec<(u64, u64)>,
+    /// Replicas whose disk was lost.
+    lost_disks: BTreeSet<u64>,
+    /// Replacements to request, as pairs of old and new ID.
+    pending: Vec<(u64, u64)>,
     next_node: u64,
 }
 
 impl Run {
     fn new(voters: u64, seed: u64, faults: Faults) -> Self {
-        let mut net = Net::with(voters, seed, faults, small);
+        let mut net = Net::with(voters, seed, faults, small_limits);
         for (&id, node) in &mut net.nodes {
-            // Clocks differ within the bound.
+            // Clock rates differ within the drift bound.
             node.rate = 1.0 + (id as f64 - 2.0) * net::DRIFT / 3.0;
         }
         Run {
@@ -106,52 +107,52 @@
             faults,
             seed,
             ticket: 0,
-            gone: BTreeSet::new(),
-            owed: Vec::new(),
+            lost_disks: BTreeSet::new(),
+            pending: Vec::new(),
             next_node: voters + 1,
         }
     }
 
-    fn pick(&self, n: u8) -> u64 {
+    fn choose(&self, n: u8) -> u64 {
         let ids: Vec<u64> = self.net.nodes.keys().copied().collect();
         ids[usize::from(n) % ids.len()]
     }
 
-    fn carry_out(&mut self, step: &Step) {
+    fn execute(&mut self, step: &Step) {
         match *step {
             Step::Run(ms) => self.net.run(Duration::from_millis(ms.into())),
             Step::Propose(count) => self.propose(count),
             Step::Read(n) => {
                 self.ticket += 1;
-                self.net.read_at(self.pick(n), self.ticket);
+                self.net.read_at(self.choose(n), self.ticket);
             }
-            Step::Crash(n) => self.net.crash(self.pick(n)),
+            Step::Crash(n) => self.net.crash(self.choose(n)),
             Step::CrashAll => {
                 for id in self.net.nodes.keys().copied().collect::<Vec<_>>() {
                     self.net.crash(id);
                 }
             }
             Step::Start => self.start_all(),
-            Step::LoseDisk(n) => self.lose_disk(self.pick(n)),
+            Step::LoseDisk(n) => self.lose_disk(self.choose(n)),
             Step::Cut(a, b) => {
-                self.net.cut.insert((self.pick(a), self.pick(b)));
+                self.net.cut_links.insert((self.choose(a), self.choose(b)));
             }
-            Step::Isolate(n) => self.net.isolate(self.pick(n)),
+            Step::Isolate(n) => self.net.isolate(self.choose(n)),
             Step::Heal => self.net.heal(),
             Step::Full(n, full) => {
-                let id = self.pick(n);
+                let id = self.choose(n);
                 self.net.event(id, ReplicaEvent::DiskFull(full));
             }
-            Step::Weather(loss, doubled, jitter) => {
-                self.net.weather = Weather {
+            Step::NetworkConditions(loss, duplicate, jitter) => {
+                self.net.conditions = NetworkConditions {
                     loss: f64::from(loss) / 100.0,
-                    doubled: f64::from(doubled) / 100.0,
+                    duplicate: f64::from(duplicate) / 100.0,
                     jitter: Duration::from_millis(jitter.into()),
-                    ..Weather::default()
+                    ..NetworkConditions::default()
                 };
             }
         }
-        self.ask_owed();
+        self.request_pending();
     }
 
     fn propose(&mut self, count: u8) {
@@ -169,29 +170,29 @@
         }
     }
 
-    /// Loses a disk, one at a time: a group that loses a quorum of disks is
-    /// past help.
+    /// Loses a disk, but only one per schedule: a group that loses a quorum of
+    /// disks cannot recover.
     fn lose_disk(&mut self, id: u64) {
-        if !self.gone.is_empty() {
+        if !self.lost_disks.is_empty() {
             return;
         }
-        self.gone.insert(id);
+        self.lost_disks.insert(id);
         self.net.lose_disk(id);
         let new = self.next_node;
         self.next_node += 1;
         let mut cfg = config(new, u128::from(new) * 100, self.seed, self.faults);
-        small(&mut cfg);
+        small_limits(&mut cfg);
         self.net.add(cfg);
-        self.owed.push((id, new));
+        self.pending.push((id, new));
     }
 
-    /// Asks for the replacements that no leader has taken yet.
-    fn ask_owed(&mut self) {
-        for (gone, new) in self.owed.clone() {
+    /// Requests the replacements at every leader.
+    fn request_pending(&mut self) {
+        for (old, new) in self.pending.clone() {
             for leader in self.net.leaders() {
                 self.ticket += 1;
                 let change = MemberChange::Replace {
-                    gone,
+                    old,
                     new,
                     incarnation: u128::from(new) * 100,
                     addr: None,
@@ -201,20 +202,21 @@
         }
     }
 
-    /// Heals everything and sees that the group works and lost nothing.
+    /// Removes all faults, then checks that the group makes progress and has lost
+    /// nothing.
     fn finish(mut self) {
         self.net.heal();
-        self.net.weather = Weather::default();
+        self.net.conditions = NetworkConditions::default();
         for id in self.net.nodes.keys().copied().collect::<Vec<_>>() {
             self.net.event(id, ReplicaEvent::DiskFull(false));
         }
         self.start_all();
         self.net.run(Duration::from_secs(10));
-        self.ask_owed();
+        self.request_pending();
         self.net.commit(1_000_000);
         self.net.run(Duration::from_secs(10));
-        self.net.assert_sound();
-        let leader = self.net.settle_leader();
+        self.net.assert_no_violations();
+        let leader = self.net.wait_for_leader();
         let held: BTreeSet<u64> = self.net.nodes[&leader]
             .state
             .iter()
@@ -226,19 +228,20 @@
             .iter()
             .filter(|(_, i)| !held.contains(i))
             .collect();
-        assert_eq!(lost, [], "acknowledged and gone");
+        assert_eq!(lost, [], "acknowledged entries are lost");
     }
 }
 
-/// Small batches, logs and parts, so that short schedules meet their borders.
-fn small(cfg: &mut sesamebeam_core::replica::ReplicaConfig) {
+/// Sets small batches, snapshot intervals and chunks, so that short schedules reach
+/// their limits.
+fn small_limits(cfg: &mut sesamebeam_core::replica::ReplicaConfig) {
     cfg.max_batch_bytes = 150;
     cfg.snapshot_every = 20;
     cfg.snapshot_chunk = 64;
 }
 
-/// Reads a number from the environment, for longer runs than CI's:
-/// `SCHEDULES=5000 SCHEDULE_SEED=7 cargo test --release --test schedules`.
+/// Reads a number from the environment, for runs longer than in CI: `SCHEDULES=5000
+/// SCHEDULE_SEED=7 cargo test --release --test schedules`.
 fn from_env(name: &str, default: u64) -> u64 {
     let value = std::env::var(name).ok();
     value.and_then(|v| v.parse().ok()).unwrap_or(default)
@@ -254,26 +257,26 @@
     })
 }
 
-/// Runs schedules and returns the first failure.
+/// Runs random schedules and returns the first failure.
 fn schedules(voters: u64, mut runner: TestRunner, faults: Faults) -> Result<(), String> {
     let strategy = (any::<u64>(), prop::collection::vec(step(), 5..60));
     let result = runner.run(&strategy, |(seed, steps)| {
-        carry_out(voters, seed, &steps, faults);
+        execute(voters, seed, &steps, faults);
         Ok(())
     });
     result.map_err(|failure| failure.to_string())
 }
 
-/// Runs one schedule to its end.
-fn carry_out(voters: u64, seed: u64, steps: &[Step], faults: Faults) {
+/// Runs one schedule.
+fn execute(voters: u64, seed: u64, steps: &[Step], faults: Faults) {
     let mut run = Run::new(voters, seed, faults);
     for step in steps {
-        run.carry_out(step);
+        run.execute(step);
     }
     run.finish();
 }
 
-/// Returns whether schedules fail once a safeguard is off.
+/// Returns whether the schedules fail with the given safeguards disabled.
 fn fails(faults: Faults) -> bool {
     schedules(3, runner(300, 0), faults).is_err()
 }
@@ -291,8 +294,8 @@
 }
 
 #[test]
-fn unsynced_counted() {
-    // Entries acknowledged before they are synced are lost in a power cut.
+fn unsynced_entries_acknowledged() {
+    // Entries acknowledged before they are synced are lost in a power failure.
     assert!(fails(Faults {
         count_unsynced: true,
         ..Faults::default()
@@ -300,11 +303,12 @@
 }
 
 #[test]
-fn snapshot_ahead() {
-    // Callers saw writes stand still for good. A follower applied and took a
-    // snapshot of entries that its slow disk had not been handed yet, and the
-    // log forgot them; no later entry could follow on. As a leader it then
-    // never synced its own first entry. The snapshot now stands for them.
+fn snapshot_ahead_of_disk() {
+    // Guards against writes that stall for good. A follower with a slow disk
+    // applied entries that were not written yet, took a snapshot of them and
+    // compacted them away. If the snapshot did not replace them on disk, no later
+    // entry could be written, and as a leader the replica would never sync its own
+    // first entry.
     let steps = [
         Step::Run(93),
         Step::Propose(1),
@@ -323,15 +327,15 @@
         Step::Isolate(101),
         Step::Run(2_661),
     ];
-    carry_out(5, 13_517_055_591_431_918_563, &steps, Faults::default());
+    execute(5, 13_517_055_591_431_918_563, &steps, Faults::default());
 }
 
 #[test]
-fn parting_at_base() {
-    // Operators saw two replicas keep each other busy without end. A follower's
-    // log parted from the leader's at the very entry before the first that the
-    // leader still kept. The leader took that entry for one they agree on, asked
-    // again, and got the same answer. It now sends its snapshot.
+fn divergence_at_log_base() {
+    // Guards against an endless exchange of probes. A follower's log diverges from
+    // the leader's at the leader's log base, the entry just before the first in
+    // memory. A leader that took this entry as matching would probe again and get
+    // the same response; it has to send a snapshot.
     let steps = [
         Step::Propose(1),
         Step::LoseDisk(39),
@@ -340,7 +344,7 @@
         Step::Isolate(68),
         Step::Run(1_352),
         Step::Propose(14),
-        Step::Weather(0, 20, 0),
+        Step::NetworkConditions(0, 20, 0),
         Step::Full(171, true),
         Step::Run(2_544),
         Step::Propose(6),
@@ -350,5 +354,5 @@
         Step::Isolate(71),
         Step::Run(2_351),
     ];
-    carry_out(5, 1_037_057_527_961_535_280, &steps, Faults::default());
+    execute(5, 1_037_057_527_961_535_280, &steps, Faults::default());
 }
--- a/sesamebeam_core/tests/snapshots.rs
+++ b/sesamebeam_core/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots, their transfer, and restarts.
+//! Snapshots, their transfer, and restarts from disk.
 
 #[path = "group/net.rs"]
 mod net;
@@ -16,22 +16,24 @@
 
 /// Proposes many entries at the leader and waits until all are acknowledged.
 fn commit_many(net: &mut Net, from: u64, to: u64) {
-    let leader = net.settle_leader();
+    let leader = net.wait_for_leader();
     for ticket in from..=to {
         net.propose(leader, ticket);
         if ticket % 100 == 0 {
             net.run(Duration::from_millis(10));
         }
     }
-    net.run_until("all of them", Duration::from_secs(60), |net| {
-        (from..=to).all(|ticket| net.acked.contains_key(&ticket))
-    });
+    net.run_until(
+        "acknowledgement of all proposals",
+        Duration::from_secs(60),
+        |net| (from..=to).all(|ticket| net.acked.contains_key(&ticket)),
+    );
 }
 
 #[test]
 fn restarted_group() {
-    // Callers see a pause and no loss. All replicas lose power at once after
-    // 10,000 entries, and come back from their snapshots and logs.
+    // All replicas lose power at once after 10,000 entries, and recover without
+    // loss from their snapshots and logs.
     let mut net = Net::new(3, 21, Faults::default());
     commit_many(&mut net, 1, 10_000);
     for id in 1..=3 {
@@ -46,64 +48,64 @@
     for node in net.nodes.values() {
         assert_eq!(node.state.len(), 10_001);
     }
-    net.assert_sound();
+    net.assert_no_violations();
 }
 
 #[test]
 fn lagging_replica() {
-    // A replica was cut off while the others took snapshots and dropped the
-    // entries it needs. It is sent the snapshot in parts, and goes on.
+    // A replica is isolated while the others take snapshots and compact away the
+    // entries it needs. It receives a snapshot in chunks and catches up.
     let mut net = Net::new(3, 22, Faults::default());
     net.commit(1);
-    let leader = net.settle_leader();
+    let leader = net.wait_for_leader();
     let behind = if leader == 1 { 2 } else { 1 };
     net.isolate(behind);
     net.run(Duration::from_secs(10));
     commit_many(&mut net, 2, 5_000);
     net.heal();
     net.run(Duration::from_secs(5));
-    assert!(net.is_level());
+    assert!(net.all_applied_equal());
     assert_eq!(net.nodes[&behind].restored, 1);
     assert_eq!(net.nodes[&behind].state.len(), 5_000);
-    net.assert_sound();
+    net.assert_no_violations();
 }
 
 #[test]
 fn lossy_transfer() {
-    // The same with parts lost, doubled and reordered, and the receiver killed
-    // in the middle.
+    // Like `lagging_replica`, with chunks lost, duplicated and reordered, and a
+    // crash of the receiver during the transfer.
     let mut net = Net::new(3, 23, Faults::default());
     net.commit(1);
-    let leader = net.settle_leader();
+    let leader = net.wait_for_leader();
     let behind = if leader == 1 { 2 } else { 1 };
     net.isolate(behind);
     net.run(Duration::from_secs(10));
     commit_many(&mut net, 2, 5_000);
-    net.weather.loss = 0.1;
-    net.weather.doubled = 0.2;
-    net.weather.jitter = Duration::from_millis(5);
+    net.conditions.loss = 0.1;
+    net.conditions.duplicate = 0.2;
+    net.conditions.jitter = Duration::from_millis(5);
     net.heal();
     net.run(Duration::from_millis(500));
     net.crash(behind);
     net.start(behind);
-    net.run_until("the transfer", Duration::from_secs(120), |net| {
+    net.run_until("the snapshot transfer", Duration::from_secs(120), |net| {
         net.nodes[&behind].state.len() >= 5_000
     });
-    net.assert_sound();
+    net.assert_no_violations();
 }
 
 #[test]
 fn learner_by_snapshot() {
-    // A replacement with an empty disk starts from a snapshot, membership
-    // included, and then votes.
+    // A replacement with an empty disk starts from a snapshot, which includes the
+    // membership, and then becomes a voter.
     let mut net = Net::new(3, 24, Faults::default());
     commit_many(&mut net, 1, 3_000);
-    let leader = net.settle_leader();
-    let gone = if leader == 1 { 2 } else { 1 };
-    net.crash(gone);
+    let leader = net.wait_for_leader();
+    let old = if leader == 1 { 2 } else { 1 };
+    net.crash(old);
     net.add(config(4, 400, 24, Faults::default()));
     let change = MemberChange::Replace {
-        gone,
+        old,
         new: 4,
         incarnation: 400,
         addr: None,
@@ -115,15 +117,15 @@
     assert!(net.nodes[&4].restored >= 1);
     net.crash(leader);
     net.commit(3_001);
-    net.assert_sound();
+    net.assert_no_violations();
 }
 
 #[test]
 fn bounded_log() {
-    // Snapshots bound what is kept on the disk after any number of entries.
+    // Snapshots bound the size of the log on disk.
     let mut net = Net::new(1, 25, Faults::default());
     commit_many(&mut net, 1, 20_000);
     net.run(Duration::from_secs(1));
     assert!(net.nodes[&1].disk.entries.len() < 2_000);
-    net.assert_sound();
+    net.assert_no_violations();
 }
