--- a/sesamebeam_core/src/control/message.rs
+++ b/sesamebeam_core/src/control/message.rs
@@ -72,7 +72,7 @@
     /// Makes settings with defaults round those of the replicated log.
     pub fn new(replica: ReplicaConfig) -> Self {
         Self {
-            drift: replica.drift,
+            drift: replica.clock_drift,
             replica,
             entry_lease: Duration::from_secs(6),
             dispatch_bound: Duration::from_secs(2),
--- a/sesamebeam_core/src/replica.rs
+++ b/sesamebeam_core/src/replica.rs
@@ -6,7 +6,7 @@
 //! replica returns the actions to perform.
 //!
 //! Clocks may run at rates that differ from true time by at most
-//! [`ReplicaConfig::drift`]; leader leases are shortened so that they are safe
+//! [`ReplicaConfig::clock_drift`]; leader leases are shortened so that they are safe
 //! within this bound.
 
 pub mod lease;
@@ -93,7 +93,7 @@
 /// A replica of the control group.
 #[derive(Debug)]
 pub struct Replica {
-    /// Settings.
+    /// Configuration.
     cfg: ReplicaConfig,
     /// Time of the last event; monotonic.
     now: MonoTime,
@@ -149,7 +149,7 @@
         if bootstraps {
             replica.bootstrap();
         }
-        if replica.cfg.eager {
+        if replica.cfg.fast_elections {
             replica.set_initial_election_deadline();
         } else {
             replica.reset_election_deadline();
@@ -509,7 +509,7 @@
 /// under its lease. Waiting for one full lease is enough, because the promise lasts
 /// no longer than that.
 fn initial_vote_block(cfg: &ReplicaConfig, state: HardState, now: MonoTime) -> MonoTime {
-    if state.term == 0 || cfg.faults.forget_promise {
+    if state.term == 0 || cfg.faults.no_vote_block {
         return now;
     }
     now + cfg.lease
--- a/sesamebeam_core/src/replica/config.rs
+++ b/sesamebeam_core/src/replica/config.rs
@@ -1,69 +1,69 @@
-//! Settings of a replica.
+//! Configuration of a replica.
 
 use std::time::Duration;
 
 use super::member::Members;
 use crate::ids::NodeId;
 
-/// Settings of a replica.
+/// Configuration of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
-    /// Number of this replica.
+    /// ID of this replica.
     pub id: NodeId,
-    /// Group it belongs to.
+    /// ID of the group.
     pub group: u128,
-    /// Incarnation of its data folder.
+    /// Incarnation of the replica's data folder.
     pub incarnation: u128,
-    /// First membership. Used only by a new disk, and only if it names this
+    /// Initial membership. Used only with a new disk, and only if it contains this
     /// replica with this incarnation; empty for a replica that is added later.
     pub members: Members,
-    /// Time between heartbeats of a leader.
-    pub heartbeat: Duration,
-    /// Shortest silence of a leader after which a replica stands for election;
-    /// the longest is twice this. Not under the lease.
-    pub election: Duration,
-    /// Time for which a follower votes for nobody after it heard a leader.
+    /// Interval between heartbeats of a leader.
+    pub heartbeat_interval: Duration,
+    /// Minimum time without contact to a leader after which a replica starts an
+    /// election; the maximum is twice this. Not less than `lease`.
+    pub election_timeout: Duration,
+    /// Time for which a follower grants no vote after a message from the leader.
     pub lease: Duration,
-    /// Bound on the rate error of any clock, as a share of true time.
-    pub drift: f64,
-    /// Most bytes of entries in one message or one write.
+    /// Bound on the rate error of any clock, as a fraction of true time.
+    pub clock_drift: f64,
+    /// Maximum size of the entries in one message or one write, in bytes.
     pub max_batch_bytes: usize,
-    /// Entries between snapshots.
+    /// Number of entries between snapshots.
     pub snapshot_every: u64,
-    /// Bytes in a part of a snapshot.
+    /// Size of a snapshot chunk in bytes.
     pub snapshot_chunk: usize,
-    /// Whether a replica that has just started stands as soon as its promise is
-    /// over, and repeats pre-votes that found no majority: for groups whose callers
-    /// cannot be served without a leader.
-    pub eager: bool,
-    /// Seed of the election time-outs.
+    /// Whether a replica starts its first election as soon as it may vote after a
+    /// start, and soon repeats pre-votes that found no majority. For groups whose
+    /// callers cannot be served without a leader.
+    pub fast_elections: bool,
+    /// Seed of the random election timeouts.
     pub seed: u64,
-    /// Safeguards switched off, for tests alone.
+    /// Disabled safeguards, for tests only.
     #[doc(hidden)]
     pub faults: Faults,
 }
 
-/// Safeguards that a test switches off to see what they prevent.
+/// Safeguards that a test disables to show which failure they prevent.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Counts entries that are not synced yet.
+    /// Counts unsynced entries as synced.
     pub count_unsynced: bool,
-    /// Votes while a live leader is heard.
+    /// Votes while in contact with a live leader.
     pub vote_during_lease: bool,
-    /// Stands for election without asking first.
+    /// Starts elections without pre-votes.
     pub no_pre_vote: bool,
-    /// Counts a replica whose data folder is not the recorded one.
+    /// Accepts messages from a replica whose data folder is not the recorded one.
     pub accept_swapped_disk: bool,
-    /// Answers reads after the lease has ended.
+    /// Serves reads after the lease has expired.
     pub serve_after_lease: bool,
     /// Does not shorten the lease for clock drift.
     pub no_drift_margin: bool,
-    /// Votes right after a restart, though it may have promised not to.
-    pub forget_promise: bool,
-    /// Makes a learner a voter before it has caught up.
+    /// Votes right after a restart, although a leader may still hold a lease.
+    pub no_vote_block: bool,
+    /// Promotes a learner before it has caught up.
     pub promote_early: bool,
-    /// Takes a second change of membership before the first is committed.
+    /// Accepts a second membership change before the first is committed.
     pub overlapping_changes: bool,
     /// Commits entries of earlier terms by counting replicas.
     pub commit_old_terms: bool,
--- a/sesamebeam_core/src/replica/election.rs
+++ b/sesamebeam_core/src/replica/election.rs
@@ -39,7 +39,7 @@
     /// Resets the election timeout. It is randomised so that two replicas rarely
     /// start an election at once.
     pub(super) fn reset_election_deadline(&mut self) {
-        let election = self.cfg.election.max(self.cfg.lease);
+        let election = self.cfg.election_timeout.max(self.cfg.lease);
         let extra = election.mul_f64(self.rng.random::<f64>());
         self.election_deadline = self.now + election + extra;
     }
@@ -51,8 +51,11 @@
     /// soon as their promise from before the restart expires. A full election
     /// timeout would only prolong the outage.
     pub(super) fn set_initial_election_deadline(&mut self) {
-        let leader_contact = self.now + self.cfg.heartbeat * 2;
-        let extra = self.cfg.heartbeat.mul_f64(self.rng.random::<f64>());
+        let leader_contact = self.now + self.cfg.heartbeat_interval * 2;
+        let extra = self
+            .cfg
+            .heartbeat_interval
+            .mul_f64(self.rng.random::<f64>());
         self.election_deadline = self.vote_blocked_until.max(leader_contact) + extra;
     }
 
@@ -61,8 +64,11 @@
     /// Other voters may still be bound by a promise or be unreachable. Pre-votes
     /// change no state, so concurrent pre-candidates do not block each other.
     fn schedule_pre_vote_retry(&mut self) {
-        let extra = self.cfg.heartbeat.mul_f64(self.rng.random::<f64>());
-        self.election_deadline = self.now + self.cfg.heartbeat + extra;
+        let extra = self
+            .cfg
+            .heartbeat_interval
+            .mul_f64(self.rng.random::<f64>());
+        self.election_deadline = self.now + self.cfg.heartbeat_interval + extra;
     }
 
     /// Starts an election if this replica is eligible.
@@ -76,7 +82,7 @@
             return;
         }
         self.leader = None;
-        if self.cfg.eager {
+        if self.cfg.fast_elections {
             self.schedule_pre_vote_retry();
         }
         let mut votes = Votes::default();
@@ -281,6 +287,6 @@
 
     /// Returns how long a leader without responses from a quorum keeps its role.
     pub(super) fn quorum_timeout(&self) -> Duration {
-        self.cfg.election.max(self.cfg.lease) * 2
+        self.cfg.election_timeout.max(self.cfg.lease) * 2
     }
 }
--- a/sesamebeam_core/src/replica/leading.rs
+++ b/sesamebeam_core/src/replica/leading.rs
@@ -163,7 +163,7 @@
     /// that its callers try another replica. Its lease has expired long before.
     pub(super) fn tick_leader(&mut self) {
         let quorum_timeout = self.quorum_timeout();
-        let heartbeat = self.cfg.heartbeat;
+        let heartbeat = self.cfg.heartbeat_interval;
         let now = self.now;
         let sole_voter = self.is_sole_voter();
         let RoleState::Leader(leader) = &mut self.role_state else {
@@ -233,7 +233,7 @@
         disk_full: bool,
         hint: Option<LogPosition>,
     ) {
-        let limit = self.cfg.election;
+        let limit = self.cfg.election_timeout;
         let end = self.log.end().index;
         let RoleState::Leader(leader) = &mut self.role_state else {
             return;
@@ -358,7 +358,7 @@
             return false;
         };
         let last_contact = leader.progress.get(&node).and_then(|p| p.last_contact);
-        let recently = |at| self.now.saturating_sub(at) <= self.cfg.election;
+        let recently = |at| self.now.saturating_sub(at) <= self.cfg.election_timeout;
         node == self.cfg.id || last_contact.is_some_and(recently)
     }
 
@@ -373,7 +373,7 @@
         let drift = if self.cfg.faults.no_drift_margin {
             0.0
         } else {
-            self.cfg.drift
+            self.cfg.clock_drift
         };
         let sent = leader.rounds.acked_sent_at()?;
         Some(sent + leader_lease(self.cfg.lease, drift))
--- a/sesamebeam_core/src/replica/payload.rs
+++ b/sesamebeam_core/src/replica/payload.rs
@@ -1,4 +1,4 @@
-//! Bytes of a log entry, shared between the log, the disk and messages.
+//! Data of a log entry, shared between the log, the disk and messages.
 
 use std::{
     fmt,
@@ -14,7 +14,7 @@
     de::Visitor, //
 };
 
-/// Bytes that are copied once and then shared.
+/// Immutable bytes with shared ownership: clones do not copy the data.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Payload(Arc<[u8]>);
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Reads bytes as the codec holds them.
+/// Deserializes bytes, borrowed or owned.
 struct BytesVisitor;
 
 impl Visitor<'_> for BytesVisitor {
--- a/sesamebeam_core/tests/group/net.rs
+++ b/sesamebeam_core/tests/group/net.rs
@@ -51,7 +51,7 @@
 /// Lease of the replicas under test.
 pub(crate) const LEASE: Duration = Duration::from_millis(1000);
 
-/// Shortest election time-out of the replicas under test.
+/// Minimum election timeout of the replicas under test.
 pub(crate) const ELECTION: Duration = Duration::from_millis(1000);
 
 /// Bound on the rate error of clocks.
@@ -425,14 +425,14 @@
         group: 7,
         incarnation,
         members: Members::default(),
-        heartbeat: Duration::from_millis(200),
-        election: ELECTION,
+        heartbeat_interval: Duration::from_millis(200),
+        election_timeout: ELECTION,
         lease: LEASE,
-        drift: DRIFT,
+        clock_drift: DRIFT,
         max_batch_bytes: 16 << 10,
         snapshot_every: 1_000,
         snapshot_chunk: 4 << 10,
-        eager: true,
+        fast_elections: true,
         seed,
         faults,
     }
--- a/sesamebeam_core/tests/lease.rs
+++ b/sesamebeam_core/tests/lease.rs
@@ -61,7 +61,7 @@
     for seed in 0..40 {
         let mut net = Net::with(3, seed, faults, |cfg| {
             // Allows the earliest election that the lease permits.
-            cfg.heartbeat = Duration::from_millis(20);
+            cfg.heartbeat_interval = Duration::from_millis(20);
             cfg.snapshot_every = 1_000_000;
         });
         net.conditions.delay = Duration::from_micros(10);
@@ -162,7 +162,7 @@
     let mut violations = Vec::new();
     for seed in 0..40 {
         let mut net = Net::with(3, seed, faults, |cfg| {
-            cfg.heartbeat = Duration::from_millis(100);
+            cfg.heartbeat_interval = Duration::from_millis(100);
         });
         net.commit(1);
         let leader = net.wait_for_leader();
@@ -197,7 +197,7 @@
     // A follower that votes right after its restart elects a second leader during
     // the lease.
     let violations = restart_voter(Faults {
-        forget_promise: true,
+        no_vote_block: true,
         ..Faults::default()
     });
     assert!(
