--- a/sesamebeam/src/control.rs
+++ b/sesamebeam/src/control.rs
@@ -187,7 +187,7 @@
     settings: ControlSettings,
     link: Arc<Link>,
     disk: Disk,
-    saved: sesamebeam_core::replica::Saved,
+    saved: sesamebeam_core::replica::SavedState,
     identity: Identity,
 }
 
@@ -361,12 +361,12 @@
         loop {
             let wake = self.start + self.core.next_wake();
             tokio::select! {
-                () = cancel.cancelled() => return Ok(()),
-                input = rx.recv() => match input {
-                    Some(input) => self.take(input)?,
-                    None => return Ok(()),
-                },
-                () = sleep_until(wake.into()) => self.event(ControlEvent::Tick)?,
+            () = cancel.cancelled() => return Ok(()),
+            input = rx.recv() => match input {
+            Some(input) => self.take(input)?,
+            None => return Ok(()),
+            },
+            () = sleep_until(wake.into()) => self.event(ControlEvent::Tick)?,
             }
         }
     }
@@ -465,8 +465,8 @@
 ) {
     loop {
         let message = tokio::select! {
-            () = cancel.cancelled() => return,
-            message = rx.recv() => message,
+        () = cancel.cancelled() => return,
+        message = rx.recv() => message,
         };
         let Some(message) = message else {
             return;
@@ -499,14 +499,14 @@
         group: identity.group,
         incarnation: identity.incarnation,
         members: Members::of_voters(first),
-        heartbeat: timings.heartbeat,
-        election: timings.election_min,
+        heartbeat_interval: timings.heartbeat,
+        election_timeout: timings.election_min,
         lease: timings.election_min.mul_f64(LEASE_SHARE),
-        drift: timings.clock_drift,
+        clock_drift: timings.clock_drift,
         max_batch_bytes: MAX_BATCH,
         snapshot_every: timings.snapshot_every,
         snapshot_chunk: SNAPSHOT_CHUNK,
-        eager: false,
+        fast_elections: false,
         seed: rand::random(),
         faults: Default::default(),
     };
--- a/sesamebeam/src/group/place.rs
+++ b/sesamebeam/src/group/place.rs
@@ -7,7 +7,7 @@
     replica::{
         Members,
         ReplicaConfig,
-        Saved, //
+        SavedState, //
     },
 };
 
@@ -94,7 +94,7 @@
         self.start(disk, saved, members)
     }
 
-    fn start(&mut self, disk: Disk, saved: Saved, members: Members) -> Result<(), GroupError> {
+    fn start(&mut self, disk: Disk, saved: SavedState, members: Members) -> Result<(), GroupError> {
         let identity = disk.identity();
         let tx = self.tx.clone();
         let incarnation = identity.incarnation;
@@ -170,14 +170,14 @@
         group: identity.group,
         incarnation: identity.incarnation,
         members,
-        heartbeat: HEARTBEAT,
-        election: ELECTION,
+        heartbeat_interval: HEARTBEAT,
+        election_timeout: ELECTION,
         lease: LEASE,
-        drift: DRIFT,
+        clock_drift: DRIFT,
         max_batch_bytes: MAX_BATCH,
         snapshot_every: SNAPSHOT_EVERY,
         snapshot_chunk: SNAPSHOT_CHUNK,
-        eager: true,
+        fast_elections: true,
         seed: rand::random(),
         faults: Default::default(),
     }
--- a/sesamebeam_core/examples/drive.rs
+++ b/sesamebeam_core/examples/drive.rs
@@ -31,7 +31,7 @@
     replica::{
         Members,
         ReplicaConfig,
-        Saved, //
+        SavedState, //
     },
 };
 
@@ -47,7 +47,7 @@
 /// Simulated clock and disk, the cores, and the events in transit.
 struct Harness {
     now: MonoTime,
-    disk: Saved,
+    disk: SavedState,
     control: ControlCore,
     entry: EntryCore,
     to_control: VecDeque<ControlEvent>,
@@ -91,23 +91,23 @@
             group: 7,
             incarnation: INCARNATION,
             members: Members::of_voters([(1, INCARNATION)]),
-            heartbeat: Duration::from_millis(100),
-            election: Duration::from_millis(500),
+            heartbeat_interval: Duration::from_millis(100),
+            election_timeout: Duration::from_millis(500),
             lease: Duration::from_millis(400),
-            drift: 0.01,
+            clock_drift: 0.01,
             max_batch_bytes: 1 << 20,
             snapshot_every: 1000,
             snapshot_chunk: 64 << 10,
-            eager: false,
+            fast_elections: false,
             seed: 1,
             faults: Default::default(),
         };
         let cfg = ControlConfig::new(replica);
-        let (control, actions) = ControlCore::new(cfg, Saved::default(), MonoTime::ZERO);
+        let (control, actions) = ControlCore::new(cfg, SavedState::default(), MonoTime::ZERO);
         let entry = EntryCore::new(EntryConfig::new("ate-1".into(), "lima-ate".into(), 1));
         let mut harness = Self {
             now: MonoTime::ZERO,
-            disk: Saved::default(),
+            disk: SavedState::default(),
             control,
             entry,
             to_control: VecDeque::new(),
--- a/sesamebeam_core/src/control.rs
+++ b/sesamebeam_core/src/control.rs
@@ -53,7 +53,7 @@
     replica::{
         Replica,
         ReplicaEvent,
-        Saved, //
+        SavedState, //
     },
     state::State,
 };
@@ -76,7 +76,7 @@
 
 impl ControlCore {
     /// Creates a control replica from its persistent data.
-    pub fn new(cfg: ControlConfig, saved: Saved, now: MonoTime) -> (Self, Vec<ControlAction>) {
+    pub fn new(cfg: ControlConfig, saved: SavedState, now: MonoTime) -> (Self, Vec<ControlAction>) {
         let (replica, actions) = Replica::new(cfg.replica.clone(), saved, now);
         let mut core = Self {
             state: State::default(),
--- a/sesamebeam_core/src/control/message.rs
+++ b/sesamebeam_core/src/control/message.rs
@@ -73,7 +73,7 @@
     /// Creates a default configuration with that of the replicated log.
     pub fn new(replica: ReplicaConfig) -> Self {
         Self {
-            drift: replica.drift,
+            drift: replica.clock_drift,
             replica,
             entry_lease: Duration::from_secs(6),
             network_bound: Duration::from_secs(2),
--- a/sesamebeam_core/src/control/pending.rs
+++ b/sesamebeam_core/src/control/pending.rs
@@ -27,7 +27,7 @@
         record::ClaimKey, //
     },
     replica::{
-        ChangeFault,
+        ChangeError,
         Rejection,
         Ticket, //
     },
@@ -169,8 +169,10 @@
         Rejection::NotLeader(_) => ControlReply::NotLeader(hint),
         Rejection::Full => unavailable("the disk is full"),
         Rejection::Busy => unavailable("too many writes are pending"),
-        Rejection::Unsure => unavailable("leadership was lost; the write may still be committed"),
-        Rejection::Change(ChangeFault::InFlight) => {
+        Rejection::OutcomeUnknown => {
+            unavailable("leadership was lost; the write may still be committed")
+        }
+        Rejection::Change(ChangeError::InFlight) => {
             unavailable("another membership change is in flight")
         }
         Rejection::Change(fault) => {
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -18,7 +18,7 @@
         BTreeSet, //
     },
     net::SocketAddr,
-    time::Duration,
+    time::Duration, //
 };
 
 pub use group::Peers;
@@ -72,7 +72,7 @@
         Command,
         Store, //
     },
-    waits::FleetWaits,
+    waits::FleetWaits, //
 };
 use crate::{
     ids::{
@@ -88,7 +88,7 @@
         ReplicaConfig,
         ReplicaEvent,
         Role,
-        Saved,
+        SavedState,
         Ticket,
         WriteId, //
     },
@@ -348,7 +348,7 @@
     }
 
     /// Starts a replica of the group from its saved state.
-    pub fn start(&mut self, cfg: ReplicaConfig, saved: Saved, now: MonoTime) -> Vec<Action> {
+    pub fn start(&mut self, cfg: ReplicaConfig, saved: SavedState, now: MonoTime) -> Vec<Action> {
         self.now = self.now.max(now);
         let (replica, actions) = Replica::new(cfg, saved, self.now);
         self.replica = Some(replica);
--- a/sesamebeam_core/src/gateway/coordinator/group.rs
+++ b/sesamebeam_core/src/gateway/coordinator/group.rs
@@ -13,8 +13,8 @@
 };
 use crate::{
     gateway::messages::{
-        MembershipReply, //
-        MembershipRequest,
+        MembershipReply,
+        MembershipRequest, //
     },
     ids::{
         DomainId,
@@ -260,7 +260,7 @@
         self.placement.set_domain(node, domain);
         let change = match gone {
             Some(gone) => MemberChange::Replace {
-                gone,
+                old: gone,
                 new: node,
                 incarnation,
                 addr,
--- a/sesamebeam_core/src/gateway/coordinator/requests.rs
+++ b/sesamebeam_core/src/gateway/coordinator/requests.rs
@@ -180,9 +180,10 @@
         }
         let response = match reason {
             Rejection::NotLeader(_) => self.redirect(),
-            Rejection::Full | Rejection::Busy | Rejection::Unsure | Rejection::Change(_) => {
-                ApiResponse::Unavailable
-            }
+            Rejection::Full
+            | Rejection::Busy
+            | Rejection::OutcomeUnknown
+            | Rejection::Change(_) => ApiResponse::Unavailable,
         };
         self.respond(ticket, response);
     }
--- a/sesamebeam_core/tests/control/group.rs
+++ b/sesamebeam_core/tests/control/group.rs
@@ -64,7 +64,7 @@
         EntryBody,
         Members,
         ReplicaConfig,
-        Saved, //
+        SavedState, //
     },
     state::Faults,
 };
@@ -87,7 +87,7 @@
 /// One replica with its disk.
 struct Node {
     cfg: ControlConfig,
-    saved: Saved,
+    saved: SavedState,
     sync_time: Duration,
     core: Option<ControlCore>,
 }
@@ -133,7 +133,7 @@
             change(&mut cfg);
             let node = Node {
                 cfg,
-                saved: Saved::default(),
+                saved: SavedState::default(),
                 sync_time: MESSAGE_DELAY,
                 core: None,
             };
@@ -426,14 +426,14 @@
         group: 1,
         incarnation: u128::from(id),
         members: Members::of_voters((1..=3).map(|id| (id, u128::from(id)))),
-        heartbeat: Duration::from_millis(50),
-        election: Duration::from_millis(500),
+        heartbeat_interval: Duration::from_millis(50),
+        election_timeout: Duration::from_millis(500),
         lease: Duration::from_millis(500),
-        drift: 0.01,
+        clock_drift: 0.01,
         max_batch_bytes: 1 << 20,
         snapshot_every: 200,
         snapshot_chunk: 1 << 16,
-        eager: false,
+        fast_elections: false,
         seed: 11,
         faults: Default::default(),
     }
--- a/sesamebeam_core/tests/gateway/group.rs
+++ b/sesamebeam_core/tests/gateway/group.rs
@@ -36,7 +36,7 @@
         Member,
         Members,
         ReplicaConfig,
-        Saved,
+        SavedState,
         WriteId, //
     },
 };
@@ -55,7 +55,7 @@
 /// A simulated process.
 pub(crate) struct Process {
     pub(crate) core: Coordinator,
-    pub(crate) disk: Saved,
+    pub(crate) disk: SavedState,
     /// Writes that are not synced yet.
     writes: VecDeque<(MonoTime, WriteId, Vec<DiskOp>)>,
     /// Whether its disk is stalled.
@@ -102,14 +102,14 @@
         group: GROUP,
         incarnation: u128::from(node),
         members,
-        heartbeat: ms(50),
-        election: ms(300),
+        heartbeat_interval: ms(50),
+        election_timeout: ms(300),
         lease: ms(240),
-        drift: 0.01,
+        clock_drift: 0.01,
         max_batch_bytes: 1 << 20,
         snapshot_every: 20,
         snapshot_chunk: 64 << 10,
-        eager: true,
+        fast_elections: true,
         seed: node,
         faults: Default::default(),
     }
@@ -132,13 +132,13 @@
             tolerated,
         };
         for node in 1..=count {
-            group.boot(node, members(count), Saved::default());
+            group.boot(node, members(count), SavedState::default());
         }
         group
     }
 
     /// Starts a process with the contents of its disk.
-    pub(crate) fn boot(&mut self, node: NodeId, members: Members, disk: Saved) {
+    pub(crate) fn boot(&mut self, node: NodeId, members: Members, disk: SavedState) {
         let known = self.processes.values().map(|p| p.core.peers());
         let known: Vec<_> = known.flat_map(|peers| peers.all()).collect();
         self.start_empty(node);
@@ -158,7 +158,7 @@
     pub(crate) fn start_empty(&mut self, node: NodeId) {
         let process = Process {
             core: Coordinator::new(self.settings(node), self.now),
-            disk: Saved::default(),
+            disk: SavedState::default(),
             writes: VecDeque::new(),
             stalled: false,
             suspended: false,
@@ -178,7 +178,7 @@
     }
 
     /// Stops a process and returns its disk.
-    pub(crate) fn kill(&mut self, node: NodeId) -> Saved {
+    pub(crate) fn kill(&mut self, node: NodeId) -> SavedState {
         let process = self
             .processes
             .remove(&node)
@@ -187,7 +187,7 @@
     }
 
     /// Restarts a process with its disk.
-    pub(crate) fn restart(&mut self, node: NodeId, disk: Saved) {
+    pub(crate) fn restart(&mut self, node: NodeId, disk: SavedState) {
         self.boot(node, Members::default(), disk);
     }
 
--- a/sesamebeam_core/tests/gateway/joining.rs
+++ b/sesamebeam_core/tests/gateway/joining.rs
@@ -15,18 +15,17 @@
         },
         leader_discovery::LeaderDiscovery,
         messages::{
-            MembershipReply, //
-            MembershipRequest,
+            MembershipReply,
+            MembershipRequest, //
         },
         store::Document,
     },
     ids::NodeId,
     replica::{
         Members,
-        Saved, //
+        SavedState, //
     },
 };
-
 use yare::parameterized;
 
 use crate::{
@@ -57,7 +56,7 @@
 
 /// Makes a new process send join requests until it is a member.
 fn join(group: &mut Group, node: NodeId, at: NodeId) {
-    group.boot(node, Members::default(), Saved::default());
+    group.boot(node, Members::default(), SavedState::default());
     for _ in 0..40 {
         let leader = group.new_leader(None);
         group.request_membership(
@@ -128,7 +127,7 @@
         addr: listen_addr(8),
         domain: "hall-8".into(),
     };
-    group.boot(8, Members::default(), Saved::default());
+    group.boot(8, Members::default(), SavedState::default());
     let reply = group.request_membership(leader, request.clone());
     assert!(
         matches!(reply, MembershipReply::Group { leads: true, .. }),
@@ -167,7 +166,7 @@
 fn request_until_full(group: &mut Group, candidates: &[(NodeId, &str)], at_once: bool) {
     for &(node, _) in candidates {
         if !group.processes.contains_key(&node) {
-            group.boot(node, Members::default(), Saved::default());
+            group.boot(node, Members::default(), SavedState::default());
         }
     }
     for round in 0..20 {
@@ -237,7 +236,7 @@
     // hint.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
-    group.boot(8, Members::default(), Saved::default());
+    group.boot(8, Members::default(), SavedState::default());
     assert_eq!(group.request(8, request.clone()), ApiResponse::Unavailable);
     let now = group.now;
     let standby = group.processes.get_mut(&8).expect("the process is running");
@@ -284,7 +283,7 @@
     let leader = group.new_leader(None);
     group.run(100);
     let candidates = [(20, "hall-4"), (21, "hall-4"), (30, "hall-5")];
-    group.boot(20, Members::default(), Saved::default());
+    group.boot(20, Members::default(), SavedState::default());
     group.isolate(20);
     let request = MembershipRequest::Join {
         node: 20,
--- a/sesamebeam_core/tests/gateway/requests.rs
+++ b/sesamebeam_core/tests/gateway/requests.rs
@@ -25,7 +25,7 @@
     ids::NodeId,
     replica::{
         Members,
-        Saved, //
+        SavedState, //
     },
 };
 use yare::parameterized;
@@ -428,7 +428,7 @@
     // Members cannot ask a standby process for servers announced only to it.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
-    group.boot(8, Members::default(), Saved::default());
+    group.boot(8, Members::default(), SavedState::default());
     group.isolate(8);
     assert_eq!(
         group.request(8, ApiRequest::Announce(announcement(5))),
@@ -491,7 +491,7 @@
     // The same at a standby process: it cannot inform anybody, so it must not acknowledge.
     let mut group = Group::start(3, 1);
     group.new_leader(None);
-    group.boot(8, Members::default(), Saved::default());
+    group.boot(8, Members::default(), SavedState::default());
     let response = group.request(8, leave_request("server-1"));
     assert_eq!(response, ApiResponse::Unavailable);
 }
--- a/sesamebeam_core/tests/proofs/world/group.rs
+++ b/sesamebeam_core/tests/proofs/world/group.rs
@@ -32,7 +32,7 @@
     replica::{
         Members,
         ReplicaConfig,
-        Saved, //
+        SavedState, //
     },
 };
 
@@ -40,7 +40,7 @@
     DomainNo,
     Epoch,
     Event,
-    World,                       //
+    World,
     entry_process::ProcessEvent, //
 };
 
@@ -56,7 +56,7 @@
 /// A control replica with its disk.
 pub(crate) struct Node {
     pub(crate) cfg: ControlConfig,
-    pub(crate) saved: Saved,
+    pub(crate) saved: SavedState,
     pub(crate) core: Option<ControlCore>,
     pub(crate) frozen: Option<Vec<Event>>,
     epoch: Epoch,
@@ -79,14 +79,14 @@
             group: 1,
             incarnation: u128::from(id),
             members: Members::of_voters((1..=3).map(|id| (id, u128::from(id)))),
-            heartbeat: Duration::from_millis(100),
-            election: Duration::from_millis(600),
+            heartbeat_interval: Duration::from_millis(100),
+            election_timeout: Duration::from_millis(600),
             lease: Duration::from_millis(600),
-            drift: 0.01,
+            clock_drift: 0.01,
             max_batch_bytes: 1 << 20,
             snapshot_every: 40,
             snapshot_chunk: 1 << 12,
-            eager: false,
+            fast_elections: false,
             seed,
             faults: Default::default(),
         });
@@ -95,7 +95,7 @@
         change(&mut cfg);
         Self {
             cfg,
-            saved: Saved::default(),
+            saved: SavedState::default(),
             core: None,
             frozen: None,
             epoch: 0,
