--- a/sesamebeam/src/settings.rs
+++ b/sesamebeam/src/settings.rs
@@ -24,7 +24,7 @@
 use sesamebeam_core::{
     fleet::check::{
         Fault,
-        Step, //
+        PathSegment, //
     },
     ids::{
         DomainId,
@@ -143,12 +143,18 @@
 fn check_replicas(key: &'static str, replicas: &[Replica], faults: &mut Vec<Fault>) {
     if replicas.is_empty() {
         faults.push(Fault::new(
-            &[Step::Key(key)],
+            &[PathSegment::Key(key)],
             "no control replica is listed",
         ));
     }
     for (at, replica) in replicas.iter().enumerate() {
-        let path = |name| [Step::Key(key), Step::At(at), Step::Key(name)];
+        let path = |name| {
+            [
+                PathSegment::Key(key),
+                PathSegment::Index(at),
+                PathSegment::Key(name),
+            ]
+        };
         let before = &replicas[..at];
         if replica.node == 0 {
             faults.push(Fault::new(&path("node"), "replica numbers start at 1"));
@@ -173,7 +179,7 @@
     for (key, time) in times {
         if time.is_zero() {
             faults.push(Fault::new(
-                &[Step::Key(table), Step::Key(key)],
+                &[PathSegment::Key(table), PathSegment::Key(key)],
                 format!("`{key}` is zero"),
             ));
         }
--- a/sesamebeam/src/settings/control.rs
+++ b/sesamebeam/src/settings/control.rs
@@ -16,7 +16,7 @@
 use sesamebeam_core::{
     fleet::check::{
         Fault,
-        Step, //
+        PathSegment, //
     },
     ids::{
         DomainId,
@@ -240,13 +240,16 @@
             .all(|replica| replica.node != self.node)
         {
             faults.push(Fault::new(
-                &[Step::Key("node")],
+                &[PathSegment::Key("node")],
                 format!("control replica {} is not among the replicas", self.node),
             ));
         }
         if self.weight_store.bytes_per_second == 0 {
             faults.push(Fault::new(
-                &[Step::Key("weight_store"), Step::Key("bytes_per_second")],
+                &[
+                    PathSegment::Key("weight_store"),
+                    PathSegment::Key("bytes_per_second"),
+                ],
                 "`bytes_per_second` is zero, so that no version could be loaded",
             ));
         }
@@ -264,7 +267,7 @@
             ("review_every", t.review_every),
         ];
         check_times("timings", &times, faults);
-        let path = |key| [Step::Key("timings"), Step::Key(key)];
+        let path = |key| [PathSegment::Key("timings"), PathSegment::Key(key)];
         if t.election_min < t.heartbeat * 3 {
             faults.push(Fault::new(
                 &path("election_min"),
--- a/sesamebeam/src/settings/entry.rs
+++ b/sesamebeam/src/settings/entry.rs
@@ -16,7 +16,7 @@
 use sesamebeam_core::{
     fleet::check::{
         Fault,
-        Step, //
+        PathSegment, //
     },
     ids::{
         DomainId,
@@ -220,11 +220,11 @@
     pub fn check(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         if let Err(e) = format!("entry.{}", self.instance).parse::<Role>() {
-            faults.push(Fault::new(&[Step::Key("instance")], e.to_string()));
+            faults.push(Fault::new(&[PathSegment::Key("instance")], e.to_string()));
         }
         if self.announce_key_sha256.len() != 64 {
             faults.push(Fault::new(
-                &[Step::Key("announce_key_sha256")],
+                &[PathSegment::Key("announce_key_sha256")],
                 "`announce_key_sha256` is not 64 hex digits; `sesamebeam keys announce` makes it",
             ));
         }
@@ -237,7 +237,11 @@
 
     fn check_peers(&self, faults: &mut Vec<Fault>) {
         for (at, peer) in self.peers.iter().enumerate() {
-            let path = [Step::Key("peer"), Step::At(at), Step::Key("instance")];
+            let path = [
+                PathSegment::Key("peer"),
+                PathSegment::Index(at),
+                PathSegment::Key("instance"),
+            ];
             if peer.instance == self.instance {
                 faults.push(Fault::new(
                     &path,
@@ -268,7 +272,7 @@
         for (key, bound) in bounds {
             if bound == 0 {
                 faults.push(Fault::new(
-                    &[Step::Key("limits"), Step::Key(key)],
+                    &[PathSegment::Key("limits"), PathSegment::Key(key)],
                     format!("`{key}` is zero, so that nothing could be served"),
                 ));
             }
--- a/sesamebeam/src/toml_file.rs
+++ b/sesamebeam/src/toml_file.rs
@@ -11,7 +11,7 @@
 use serde::de::DeserializeOwned;
 use sesamebeam_core::fleet::check::{
     Fault,
-    Step,
+    PathSegment,
     nearest, //
 };
 use smol_str::SmolStr;
@@ -184,18 +184,18 @@
 
 /// Finds where the value at a path starts, or the nearest part round it if the
 /// value is not written in the file.
-fn offset_of(root: &Spanned<DeTable<'_>>, path: &[Step]) -> usize {
+fn offset_of(root: &Spanned<DeTable<'_>>, path: &[PathSegment]) -> usize {
     let mut at = root.span().start;
     let mut rest = path.iter();
     let mut value = match rest.next() {
-        Some(Step::Key(key)) => root.get_ref().get(*key),
-        Some(Step::At(_)) | None => None,
+        Some(PathSegment::Key(key)) => root.get_ref().get(*key),
+        Some(PathSegment::Index(_)) | None => None,
     };
     while let Some(found) = value {
         at = found.span().start;
         value = match (rest.next(), found.get_ref()) {
-            (Some(Step::Key(key)), DeValue::Table(table)) => table.get(*key),
-            (Some(Step::At(n)), DeValue::Array(array)) => array.get(*n),
+            (Some(PathSegment::Key(key)), DeValue::Table(table)) => table.get(*key),
+            (Some(PathSegment::Index(n)), DeValue::Array(array)) => array.get(*n),
             _ => None,
         };
     }
--- a/sesamebeam/tests/fleet_check.rs
+++ b/sesamebeam/tests/fleet_check.rs
@@ -1,4 +1,4 @@
-//! Checks of fleet files.
+//! Tests of the checks of fleet files.
 
 use std::path::Path;
 
@@ -11,8 +11,8 @@
 };
 use yare::parameterized;
 
-/// A fleet file without a fault, in which each test spoils something.
-const GOOD: &str = r#"name = "small"
+/// Valid fleet file, which the tests modify.
+const VALID: &str = r#"name = "small"
 domains = ["north", "south"]
 
 [[pool]]
@@ -64,20 +64,20 @@
     FleetFile::parse(&TomlFile::new(Path::new("fleet.toml"), text))
 }
 
-/// Spoils the good file and returns the message.
-fn spoil(from: &str, to: &str) -> String {
-    assert!(GOOD.contains(from), "`{from}` is in the file");
-    let text = GOOD.replacen(from, to, 1);
+/// Replaces `from` by `to` in the valid file and returns the error message.
+fn check_modified(from: &str, to: &str) -> String {
+    assert!(VALID.contains(from), "`{from}` is in the file");
+    let text = VALID.replacen(from, to, 1);
     parse(&text).expect_err("the file is refused").to_string()
 }
 
 #[test]
-fn good_file() {
-    let file = parse(GOOD).unwrap();
+fn valid_file() {
+    let file = parse(VALID).unwrap();
     assert_eq!(file.fleet.organisations[0].allow.len(), 2);
     assert_ne!(
         file.digest,
-        parse(&GOOD.replace("0.9", "0.8")).unwrap().digest
+        parse(&VALID.replace("0.9", "0.8")).unwrap().digest
     );
 }
 
@@ -130,15 +130,15 @@
 )]
 fn fault(case: &str, from: &str, to: &str) {
     insta::with_settings!({ snapshot_suffix => case, omit_expression => true }, {
-        insta::assert_snapshot!("fault", spoil(from, to));
+        insta::assert_snapshot!("fault", check_modified(from, to));
     });
 }
 
 #[test]
 fn every_fault() {
-    // All faults are told at once, in the file's order, so that an operator
-    // does not mend and resend once a fault.
-    let text = GOOD
+    // All faults are reported at once, in the order of the file, so that an
+    // operator can fix them in one go.
+    let text = VALID
         .replace("quality = 0.9", "quality = 9.0")
         .replace("pool = \"engines\"", "pool = \"engine\"")
         .replace("[0.1, 0.5, 1.0]", "[0.5, 0.1]");
@@ -148,14 +148,15 @@
 
 #[test]
 fn equal_organisations() {
-    let org = &GOOD[GOOD.find("[[organisation]]").unwrap()..GOOD.find("[[organisation.t").unwrap()];
-    let message = parse(&format!("{GOOD}\n{org}")).unwrap_err().to_string();
+    let org =
+        &VALID[VALID.find("[[organisation]]").unwrap()..VALID.find("[[organisation.t").unwrap()];
+    let message = parse(&format!("{VALID}\n{org}")).unwrap_err().to_string();
     insta::assert_snapshot!(message);
 }
 
 #[test]
 fn no_class() {
-    let text = GOOD.replace(
+    let text = VALID.replace(
         "[[organisation.target]]\nclass = \"question\"\nquality = 0.9\n",
         "",
     );
--- a/sesamebeam_core/src/fleet.rs
+++ b/sesamebeam_core/src/fleet.rs
@@ -1,7 +1,7 @@
-//! The fleet file: what operators declare and the system applies as a whole.
+//! The fleet file, which operators write and the system applies as a whole.
 //!
-//! These are plain typed structs with defaults. Unknown keys are refused by
-//! serde; what one key says about another is checked by [`check`].
+//! The types deserialise from TOML with defaults. Serde rejects unknown keys;
+//! [`check`] validates keys that depend on each other.
 
 pub mod check;
 
@@ -22,15 +22,15 @@
     VersionId, //
 };
 
-/// A whole fleet file.
+/// Contents of a fleet file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Name of the fleet, for people.
+    /// Name of the fleet; informational.
     pub name: SmolStr,
-    /// Failure domains in which instances and backend servers run.
+    /// Failure domains of instances and backend servers.
     pub domains: Vec<DomainId>,
-    /// Pools of backend servers, by the name that they announce.
+    /// Pools of backend servers.
     #[serde(default, rename = "pool")]
     pub pools: Vec<Pool>,
     /// Models with their versions.
@@ -39,15 +39,15 @@
     /// Classes of requests.
     #[serde(default, rename = "class")]
     pub classes: Vec<Class>,
-    /// Organisations with what they may use.
+    /// Organisations and the versions that they may use.
     #[serde(default, rename = "organisation")]
     pub organisations: Vec<Organisation>,
-    /// Roll-outs under way.
+    /// Roll-outs of versions.
     #[serde(default, rename = "rollout")]
     pub rollouts: Vec<Rollout>,
 }
 
-/// What stands behind a pool's addresses.
+/// Kind of the backend servers of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PoolKind {
@@ -57,21 +57,22 @@
     Service,
 }
 
-/// A pool of backend servers.
+/// A pool of backend servers of the same kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Name that the backend servers announce.
+    /// Name of the pool in the announcements of its backend servers.
     pub name: PoolId,
-    /// What stands behind the addresses.
+    /// Kind of the backend servers.
     pub kind: PoolKind,
-    /// Whether the engines refuse an order with an old fencing number.
+    /// Whether the engines reject an order with an outdated fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Whether a service offers a look-up of calls by request id.
+    /// Whether the service supports looking up calls by request identifier.
     #[serde(default)]
     pub lookup: bool,
-    /// Requests that one backend server runs side by side before it queues.
+    /// Number of requests that one backend server runs concurrently before it
+    /// queues further ones.
     #[serde(default = "default_slots")]
     pub slots: u32,
 }
@@ -82,23 +83,24 @@
 pub struct Model {
     /// Name of the model.
     pub name: ModelId,
-    /// Pool whose backend servers load it.
+    /// Pool whose backend servers load the model.
     pub pool: PoolId,
     /// Versions of the model.
     #[serde(default, rename = "version")]
     pub versions: Vec<Version>,
 }
 
-/// Life of a version as the operator declares it.
+/// State of a version as declared by the operator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VersionState {
     /// In full use.
     #[default]
     Settled,
-    /// Being rolled out: takes work only as far as its roll-out has come.
+    /// Being rolled out; receives only the share of work of its current
+    /// roll-out step.
     Rolling,
-    /// Takes no new work.
+    /// Accepts no new work.
     Withdrawn,
 }
 
@@ -106,31 +108,32 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// Name within the model.
+    /// Name of the version, unique within the model.
     pub name: SmolStr,
-    /// Life of the version.
+    /// State of the version.
     #[serde(default)]
     pub state: VersionState,
-    /// Cost of 1000 generated tokens, in the fleet's own unit.
+    /// Cost per 1000 generated tokens, in an arbitrary unit common to the
+    /// fleet.
     pub cost: f64,
-    /// Expected share of answers that are good, before any rating (0 to 1).
+    /// Expected share of good answers before any answer is rated (0 to 1).
     #[serde(default = "default_prior")]
     pub prior: f64,
-    /// Size of the weights in bytes, for pacing loads.
+    /// Size of the weights in bytes, used for pacing loads.
     #[serde(default)]
     pub weight_bytes: u64,
 }
 
-/// How urgent a class of requests is.
+/// Priority of a class of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Goes ahead of all else, such as a confirmation.
+    /// Served before all other work; for example, a confirmation.
     Urgent,
     /// Ordinary work.
     #[default]
     Normal,
-    /// May wait in a queue until its deadline.
+    /// May be queued until its deadline.
     Deferrable,
 }
 
@@ -138,48 +141,50 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Name, shown by callers in the `x-class` header.
+    /// Name, sent by callers in the `x-class` header.
     pub name: ClassId,
-    /// Pool of plain services that serves the class; none for model work.
+    /// Pool of plain services that serves the class; `None` for requests to
+    /// models.
     #[serde(default)]
     pub service: Option<PoolId>,
-    /// Whether a repeat does no harm.
+    /// Whether requests can safely be repeated.
     #[serde(default = "default_true")]
     pub idempotent: bool,
-    /// How urgent the class is.
+    /// Priority of the class.
     #[serde(default)]
     pub priority: Priority,
-    /// Time from arrival until the whole answer is due.
+    /// Time from arrival until the complete answer is due.
     #[serde(with = "humantime_serde", default = "default_deadline")]
     pub deadline: Duration,
-    /// Whether a cheap answer may be rated and redone by a stronger version.
+    /// Whether the answer of a cheap version may be rated and, if it is bad,
+    /// replaced by that of a stronger version.
     #[serde(default)]
     pub cascade: bool,
 }
 
-/// An organisation and what it may use.
+/// An organisation and the versions that it may use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
     /// Name of the organisation.
     pub name: OrgId,
-    /// Hex SHA-256 of the key that its callers show.
+    /// Hex SHA-256 digest of the API key of its callers.
     pub key_sha256: SmolStr,
-    /// Versions it may use, by full name.
+    /// Full names of the versions that it may use.
     pub allow: Vec<VersionId>,
-    /// Weight in the fair sharing of capacity.
+    /// Weight in fair sharing of capacity.
     #[serde(default = "default_share")]
     pub share: f64,
-    /// Objectives for classes of requests.
+    /// Objectives by class of requests.
     #[serde(default, rename = "target")]
     pub targets: Vec<Target>,
-    /// Whether versions still rolling out are used after the configuration
-    /// lease has ended in a failure domain that is cut off.
+    /// Whether versions in a roll-out are used after the configuration lease
+    /// has ended in a failure domain that is cut off.
     #[serde(default)]
     pub when_cut: WhenCut,
 }
 
-/// What an organisation lets a cut-off failure domain use.
+/// Versions that an organisation may use in a failure domain that is cut off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WhenCut {
@@ -202,13 +207,14 @@
     /// Confidence at which the quality target must be met (0 to 1).
     #[serde(default = "default_confidence")]
     pub confidence: f64,
-    /// Latency that `latency_share` of the answers must keep.
+    /// Maximum latency for the share `latency_share` of the answers.
     #[serde(with = "humantime_serde", default = "default_deadline")]
     pub latency: Duration,
     /// Share of answers within `latency` (0 to 1).
     #[serde(default = "default_objective")]
     pub latency_share: f64,
-    /// Share of requests answered whole within their deadline (0 to 1).
+    /// Share of requests that must be answered completely within their deadline
+    /// (0 to 1).
     #[serde(default = "default_objective")]
     pub whole: f64,
 }
@@ -217,17 +223,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollout {
-    /// Version that is rolled out, by full name.
+    /// Full name of the version that is rolled out.
     pub version: VersionId,
-    /// Shares of eligible requests, one a step, growing up to 1.
+    /// Share of eligible requests at each step, increasing up to 1.
     pub steps: Vec<f64>,
-    /// Rated answers that each step needs before the next.
+    /// Number of rated answers required at each step before the next one.
     #[serde(default = "default_gate")]
     pub gate: u32,
-    /// Shortest time at each step.
+    /// Minimum time at each step.
     #[serde(with = "humantime_serde", default = "default_dwell")]
     pub dwell: Duration,
-    /// Backend servers that should have the version loaded.
+    /// Number of backend servers that should load the version.
     #[serde(default = "default_copies")]
     pub copies: u32,
 }
--- a/sesamebeam_core/src/fleet/check.rs
+++ b/sesamebeam_core/src/fleet/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a fleet file that look at more than one key.
+//! Validation of a fleet file beyond the types of single keys.
 
 mod models;
 mod organisations;
@@ -18,35 +18,35 @@
     PoolKind, //
 };
 
-/// Longest name in bytes.
-const MAX_NAME: usize = 63;
+/// Maximum length of a name in bytes.
+const MAX_NAME_BYTES: usize = 63;
 
-/// Similarity from which on a name is suggested for another (Jaro-Winkler, 0 to 1).
-const SIMILAR: f64 = 0.8;
+/// Minimum Jaro-Winkler similarity of a suggested name (0 to 1).
+const MIN_SIMILARITY: f64 = 0.8;
 
 /// A fault in a fleet file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// Keys and positions that lead to the faulty value.
-    pub path: Vec<Step>,
-    /// What is wrong, in one sentence.
+    /// Path to the faulty value.
+    pub path: Vec<PathSegment>,
+    /// Description of the fault in one sentence.
     pub message: String,
-    /// What the operator may have meant.
+    /// Name that the operator may have meant.
     pub suggestion: Option<SmolStr>,
 }
 
-/// One step of a path into a fleet file.
+/// Segment of a path in a TOML file.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Step {
-    /// A key of a table.
+pub enum PathSegment {
+    /// Key of a table.
     Key(&'static str),
-    /// A position in an array, from 0.
-    At(usize),
+    /// Index in an array, counted from 0.
+    Index(usize),
 }
 
 impl Fault {
-    /// Makes a fault without a suggestion.
-    pub fn new(path: &[Step], message: impl Into<String>) -> Self {
+    /// Creates a fault without a suggestion.
+    pub fn new(path: &[PathSegment], message: impl Into<String>) -> Self {
         Self {
             path: path.to_vec(),
             message: message.into(),
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Adds the most similar of `names` to `word`, if one is similar enough.
+    /// Suggests the name that is most similar to `word`, if one is similar
+    /// enough.
     #[must_use]
     pub fn suggest<'a>(mut self, word: &str, names: impl IntoIterator<Item = &'a str>) -> Self {
         self.suggestion = nearest(word, names);
@@ -72,20 +73,20 @@
     }
 }
 
-/// Finds the most similar of `names` to `word`, if one is similar enough.
+/// Returns the name that is most similar to `word`, if one is similar enough.
 pub fn nearest<'a>(word: &str, names: impl IntoIterator<Item = &'a str>) -> Option<SmolStr> {
     names
         .into_iter()
         .map(|name| (strsim::jaro_winkler(word, name), name))
-        .filter(|(similarity, _)| *similarity >= SIMILAR)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, name)| name.into())
 }
 
-/// Lists every fault of a fleet file; an empty list means that it may be applied.
+/// Returns all faults of a fleet file. A file without faults can be applied.
 pub fn check(fleet: &Fleet) -> Vec<Fault> {
     let mut faults = Faults::default();
-    check_head(fleet, &mut faults);
+    check_fleet(fleet, &mut faults);
     check_pools(fleet, &mut faults);
     models::check(fleet, &mut faults);
     check_classes(fleet, &mut faults);
@@ -101,14 +102,15 @@
 }
 
 impl Faults {
-    fn add(&mut self, path: &[Step], message: impl Into<String>) {
+    fn add(&mut self, path: &[PathSegment], message: impl Into<String>) {
         self.list.push(Fault::new(path, message));
     }
 
-    /// Adds a fault about a name that nothing bears.
-    fn unknown<'a>(
+    /// Adds a fault about an unknown name, with a similar one as the
+    /// suggestion.
+    fn add_unknown<'a>(
         &mut self,
-        path: &[Step],
+        path: &[PathSegment],
         message: impl Into<String>,
         word: &str,
         names: impl IntoIterator<Item = &'a str>,
@@ -117,62 +119,77 @@
             .push(Fault::new(path, message).suggest(word, names));
     }
 
-    /// Checks that a name can stand in headers, logs and metrics.
-    fn name(&mut self, path: &[Step], what: &str, name: &str) {
+    /// Checks that a name can be used in headers, logs and metrics.
+    fn check_name(&mut self, path: &[PathSegment], what: &str, name: &str) {
         let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-        if name.is_empty() || name.len() > MAX_NAME || !name.chars().all(plain) {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(plain) {
             self.add(
                 path,
                 format!(
-                    "{what} name `{name}` is not 1 to {MAX_NAME} letters, digits, `-`, `_` or `.`"
+                    "{what} name `{name}` is not 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` or `.`"
                 ),
             );
         }
     }
 
     /// Checks that a share lies between 0 and 1.
-    fn share(&mut self, path: &[Step], what: &str, value: f64) {
-        // A value that is not a number is in no range.
+    fn check_share(&mut self, path: &[PathSegment], what: &str, value: f64) {
+        // NaN is in no range.
         if !(0.0..=1.0).contains(&value) {
             self.add(path, format!("{what} is {value}, outside 0 to 1"));
         }
     }
 }
 
-/// Names seen so far in one list.
+/// Names found so far in one list, to detect duplicates.
 #[derive(Default)]
 struct Seen<'a> {
     names: BTreeSet<&'a str>,
 }
 
 impl<'a> Seen<'a> {
-    /// Adds a fault if the name was seen before.
-    fn once(&mut self, faults: &mut Faults, path: &[Step], what: &str, name: &'a str) {
+    /// Adds a fault if the name is a duplicate.
+    fn check_unique(
+        &mut self,
+        faults: &mut Faults,
+        path: &[PathSegment],
+        what: &str,
+        name: &'a str,
+    ) {
         if !self.names.insert(name) {
             faults.add(path, format!("{what} `{name}` is listed twice"));
         }
     }
 }
 
-fn check_head(fleet: &Fleet, faults: &mut Faults) {
-    faults.name(&[Step::Key("name")], "fleet", &fleet.name);
+fn check_fleet(fleet: &Fleet, faults: &mut Faults) {
+    faults.check_name(&[PathSegment::Key("name")], "fleet", &fleet.name);
     if fleet.domains.is_empty() {
-        faults.add(&[Step::Key("domains")], "no failure domain is listed");
+        faults.add(
+            &[PathSegment::Key("domains")],
+            "no failure domain is listed",
+        );
     }
     let mut seen = Seen::default();
     for (at, domain) in fleet.domains.iter().enumerate() {
-        let path = [Step::Key("domains"), Step::At(at)];
-        faults.name(&path, "failure domain", domain);
-        seen.once(faults, &path, "failure domain", domain);
+        let path = [PathSegment::Key("domains"), PathSegment::Index(at)];
+        faults.check_name(&path, "failure domain", domain);
+        seen.check_unique(faults, &path, "failure domain", domain);
     }
 }
 
 fn check_pools(fleet: &Fleet, faults: &mut Faults) {
     let mut seen = Seen::default();
     for (at, pool) in fleet.pools.iter().enumerate() {
-        let key = |key| [Step::Key("pool"), Step::At(at), Step::Key(key)];
-        faults.name(&key("name"), "pool", &pool.name);
-        seen.once(faults, &key("name"), "pool", &pool.name);
+        let key = |key| {
+            [
+                PathSegment::Key("pool"),
+                PathSegment::Index(at),
+                PathSegment::Key(key),
+            ]
+        };
+        faults.check_name(&key("name"), "pool", &pool.name);
+        seen.check_unique(faults, &key("name"), "pool", &pool.name);
         if pool.slots == 0 {
             faults.add(
                 &key("slots"),
@@ -183,7 +200,7 @@
     }
 }
 
-fn check_kind(pool: &Pool, key: impl Fn(&'static str) -> [Step; 3], faults: &mut Faults) {
+fn check_kind(pool: &Pool, key: impl Fn(&'static str) -> [PathSegment; 3], faults: &mut Faults) {
     match pool.kind {
         PoolKind::Engine if pool.lookup => faults.add(
             &key("lookup"),
@@ -206,15 +223,21 @@
 fn check_classes(fleet: &Fleet, faults: &mut Faults) {
     if fleet.classes.is_empty() && !fleet.organisations.is_empty() {
         faults.add(
-            &[Step::Key("organisation")],
+            &[PathSegment::Key("organisation")],
             "no class of requests is listed, so that no organisation could be served",
         );
     }
     let mut seen = Seen::default();
     for (at, class) in fleet.classes.iter().enumerate() {
-        let key = |key| [Step::Key("class"), Step::At(at), Step::Key(key)];
-        faults.name(&key("name"), "class", &class.name);
-        seen.once(faults, &key("name"), "class", &class.name);
+        let key = |key| {
+            [
+                PathSegment::Key("class"),
+                PathSegment::Index(at),
+                PathSegment::Key(key),
+            ]
+        };
+        faults.check_name(&key("name"), "class", &class.name);
+        seen.check_unique(faults, &key("name"), "class", &class.name);
         check_class(fleet, class, key, faults);
     }
 }
@@ -222,7 +245,7 @@
 fn check_class(
     fleet: &Fleet,
     class: &Class,
-    key: impl Fn(&'static str) -> [Step; 3],
+    key: impl Fn(&'static str) -> [PathSegment; 3],
     faults: &mut Faults,
 ) {
     let name = &class.name;
@@ -249,13 +272,13 @@
     }
     match fleet.pool(service).map(|pool| pool.kind) {
         Some(PoolKind::Service) => {}
-        Some(PoolKind::Engine) => faults.unknown(
+        Some(PoolKind::Engine) => faults.add_unknown(
             &key("service"),
             format!("class `{name}` goes to pool `{service}`, which is of engines, not services"),
             service,
             pools_of(fleet, PoolKind::Service),
         ),
-        None => faults.unknown(
+        None => faults.add_unknown(
             &key("service"),
             format!("class `{name}` goes to pool `{service}`, which is not listed"),
             service,
--- a/sesamebeam_core/src/fleet/check/models.rs
+++ b/sesamebeam_core/src/fleet/check/models.rs
@@ -2,8 +2,8 @@
 
 use super::{
     Faults,
+    PathSegment,
     Seen,
-    Step,
     pools_of, //
 };
 use crate::fleet::{
@@ -16,21 +16,27 @@
 pub(super) fn check(fleet: &Fleet, faults: &mut Faults) {
     let mut seen = Seen::default();
     for (at, model) in fleet.models.iter().enumerate() {
-        let key = |key| [Step::Key("model"), Step::At(at), Step::Key(key)];
-        faults.name(&key("name"), "model", &model.name);
-        seen.once(faults, &key("name"), "model", &model.name);
+        let key = |key| {
+            [
+                PathSegment::Key("model"),
+                PathSegment::Index(at),
+                PathSegment::Key(key),
+            ]
+        };
+        faults.check_name(&key("name"), "model", &model.name);
+        seen.check_unique(faults, &key("name"), "model", &model.name);
         check_pool(fleet, model, &key("pool"), faults);
         check_versions(model, at, faults);
     }
 }
 
-fn check_pool(fleet: &Fleet, model: &Model, path: &[Step], faults: &mut Faults) {
+fn check_pool(fleet: &Fleet, model: &Model, path: &[PathSegment], faults: &mut Faults) {
     let fault = match fleet.pool(&model.pool).map(|pool| pool.kind) {
         Some(PoolKind::Engine) => return,
         Some(PoolKind::Service) => "is of plain services, which load no model",
         None => "is not listed",
     };
-    faults.unknown(
+    faults.add_unknown(
         path,
         format!(
             "model `{}` runs on pool `{}`, which {fault}",
@@ -44,7 +50,11 @@
 fn check_versions(model: &Model, at: usize, faults: &mut Faults) {
     if model.versions.is_empty() {
         faults.add(
-            &[Step::Key("model"), Step::At(at), Step::Key("name")],
+            &[
+                PathSegment::Key("model"),
+                PathSegment::Index(at),
+                PathSegment::Key("name"),
+            ],
             format!("model `{}` has no version", model.name),
         );
     }
@@ -52,16 +62,16 @@
     for (n, version) in model.versions.iter().enumerate() {
         let key = |key| {
             [
-                Step::Key("model"),
-                Step::At(at),
-                Step::Key("version"),
-                Step::At(n),
-                Step::Key(key),
+                PathSegment::Key("model"),
+                PathSegment::Index(at),
+                PathSegment::Key("version"),
+                PathSegment::Index(n),
+                PathSegment::Key(key),
             ]
         };
-        faults.name(&key("name"), "version", &version.name);
+        faults.check_name(&key("name"), "version", &version.name);
         let what = format!("version of model `{}`", model.name);
-        seen.once(faults, &key("name"), &what, &version.name);
+        seen.check_unique(faults, &key("name"), &what, &version.name);
         check_version(model, version, key, faults);
     }
 }
@@ -69,7 +79,7 @@
 fn check_version(
     model: &Model,
     version: &Version,
-    key: impl Fn(&'static str) -> [Step; 5],
+    key: impl Fn(&'static str) -> [PathSegment; 5],
     faults: &mut Faults,
 ) {
     let full = format!("{}@{}", model.name, version.name);
@@ -82,5 +92,5 @@
             ),
         );
     }
-    faults.share(&key("prior"), &format!("prior of `{full}`"), version.prior);
+    faults.check_share(&key("prior"), &format!("prior of `{full}`"), version.prior);
 }
--- a/sesamebeam_core/src/fleet/check/organisations.rs
+++ b/sesamebeam_core/src/fleet/check/organisations.rs
@@ -1,11 +1,11 @@
-//! Checks of organisations, what they may use and their objectives.
+//! Checks of organisations, their allowed versions and their objectives.
 
 use std::collections::BTreeMap;
 
 use super::{
     Faults,
-    Seen,
-    Step, //
+    PathSegment,
+    Seen, //
 };
 use crate::{
     fleet::{
@@ -16,21 +16,29 @@
     ids::join_version,
 };
 
-/// Hex digits of a SHA-256.
-const HASH_DIGITS: usize = 64;
+/// Number of hex digits of a SHA-256 digest.
+const SHA256_HEX_DIGITS: usize = 64;
 
 pub(super) fn check(fleet: &Fleet, faults: &mut Faults) {
     let mut seen = Seen::default();
     let mut hashes = BTreeMap::new();
     for (at, org) in fleet.organisations.iter().enumerate() {
-        let key = |key| [Step::Key("organisation"), Step::At(at), Step::Key(key)];
+        let key = |key| {
+            [
+                PathSegment::Key("organisation"),
+                PathSegment::Index(at),
+                PathSegment::Key(key),
+            ]
+        };
         let name = &org.name;
-        faults.name(&key("name"), "organisation", name);
-        seen.once(faults, &key("name"), "organisation", name);
-        if !is_hash(&org.key_sha256) {
+        faults.check_name(&key("name"), "organisation", name);
+        seen.check_unique(faults, &key("name"), "organisation", name);
+        if !is_sha256_hex(&org.key_sha256) {
             faults.add(
                 &key("key_sha256"),
-                format!("key of organisation `{name}` is not {HASH_DIGITS} lower-case hex digits"),
+                format!(
+                    "key of organisation `{name}` is not {SHA256_HEX_DIGITS} lower-case hex digits"
+                ),
             );
         } else if let Some(other) = hashes.insert(&org.key_sha256, name) {
             faults.add(
@@ -52,13 +60,17 @@
     }
 }
 
-fn is_hash(text: &str) -> bool {
+fn is_sha256_hex(text: &str) -> bool {
     let digit = |c: u8| c.is_ascii_digit() || (b'a'..=b'f').contains(&c);
-    text.len() == HASH_DIGITS && text.bytes().all(digit)
+    text.len() == SHA256_HEX_DIGITS && text.bytes().all(digit)
 }
 
 fn check_allowed(fleet: &Fleet, org: &Organisation, at: usize, faults: &mut Faults) {
-    let path = [Step::Key("organisation"), Step::At(at), Step::Key("allow")];
+    let path = [
+        PathSegment::Key("organisation"),
+        PathSegment::Index(at),
+        PathSegment::Key("allow"),
+    ];
     if org.allow.is_empty() {
         faults.add(
             &path,
@@ -77,11 +89,11 @@
         .collect();
     let mut seen = Seen::default();
     for (n, version) in org.allow.iter().enumerate() {
-        let path = [path[0], path[1], path[2], Step::At(n)];
+        let path = [path[0], path[1], path[2], PathSegment::Index(n)];
         let what = format!("version allowed to organisation `{}`", org.name);
-        seen.once(faults, &path, &what, version);
+        seen.check_unique(faults, &path, &what, version);
         if fleet.version(version).is_none() {
-            faults.unknown(
+            faults.add_unknown(
                 &path,
                 format!(
                     "organisation `{}` allows `{version}`, which no model lists",
@@ -99,17 +111,17 @@
     for (n, target) in org.targets.iter().enumerate() {
         let key = |key| {
             [
-                Step::Key("organisation"),
-                Step::At(at),
-                Step::Key("target"),
-                Step::At(n),
-                Step::Key(key),
+                PathSegment::Key("organisation"),
+                PathSegment::Index(at),
+                PathSegment::Key("target"),
+                PathSegment::Index(n),
+                PathSegment::Key(key),
             ]
         };
         let what = format!("target of organisation `{}` for class", org.name);
-        seen.once(faults, &key("class"), &what, &target.class);
+        seen.check_unique(faults, &key("class"), &what, &target.class);
         if fleet.class(&target.class).is_none() {
-            faults.unknown(
+            faults.add_unknown(
                 &key("class"),
                 format!(
                     "organisation `{}` has a target for class `{}`, which is not listed",
@@ -126,30 +138,30 @@
 fn check_target(
     org: &Organisation,
     target: &Target,
-    key: impl Fn(&'static str) -> [Step; 5],
+    key: impl Fn(&'static str) -> [PathSegment; 5],
     faults: &mut Faults,
 ) {
     let of = format!(
         "of organisation `{}` for class `{}`",
         org.name, target.class
     );
-    faults.share(
+    faults.check_share(
         &key("quality"),
         &format!("quality target {of}"),
         target.quality,
     );
-    faults.share(
+    faults.check_share(
         &key("latency_share"),
         &format!("latency share {of}"),
         target.latency_share,
     );
-    faults.share(
+    faults.check_share(
         &key("whole"),
         &format!("share of whole answers {of}"),
         target.whole,
     );
     if !(target.confidence > 0.0 && target.confidence < 1.0) {
-        // Full confidence would need endless evidence.
+        // A confidence of 1 would require infinite evidence.
         faults.add(
             &key("confidence"),
             format!(
--- a/sesamebeam_core/src/fleet/check/rollouts.rs
+++ b/sesamebeam_core/src/fleet/check/rollouts.rs
@@ -2,8 +2,8 @@
 
 use super::{
     Faults,
-    Seen,
-    Step, //
+    PathSegment,
+    Seen, //
 };
 use crate::{
     fleet::{
@@ -17,8 +17,14 @@
 pub(super) fn check(fleet: &Fleet, faults: &mut Faults) {
     let mut seen = Seen::default();
     for (at, rollout) in fleet.rollouts.iter().enumerate() {
-        let key = |key| [Step::Key("rollout"), Step::At(at), Step::Key(key)];
-        seen.once(faults, &key("version"), "roll-out of", &rollout.version);
+        let key = |key| {
+            [
+                PathSegment::Key("rollout"),
+                PathSegment::Index(at),
+                PathSegment::Key(key),
+            ]
+        };
+        seen.check_unique(faults, &key("version"), "roll-out of", &rollout.version);
         check_version(fleet, rollout, &key("version"), faults);
         check_steps(rollout, &key("steps"), faults);
         if rollout.gate == 0 {
@@ -42,10 +48,10 @@
     }
 }
 
-fn check_version(fleet: &Fleet, rollout: &Rollout, path: &[Step], faults: &mut Faults) {
+fn check_version(fleet: &Fleet, rollout: &Rollout, path: &[PathSegment], faults: &mut Faults) {
     let name = &rollout.version;
     let Some((_, version)) = fleet.version(name) else {
-        let rolling: Vec<_> = fleet
+        let listed: Vec<_> = fleet
             .models
             .iter()
             .flat_map(|model| {
@@ -55,11 +61,11 @@
                     .map(|v| join_version(&model.name, &v.name))
             })
             .collect();
-        faults.unknown(
+        faults.add_unknown(
             path,
             format!("roll-out of `{name}`, which no model lists"),
             name,
-            rolling.iter().map(|name| name.as_str()),
+            listed.iter().map(|name| name.as_str()),
         );
         return;
     };
@@ -74,30 +80,35 @@
     );
 }
 
-fn check_steps(rollout: &Rollout, path: &[Step; 3], faults: &mut Faults) {
+fn check_steps(rollout: &Rollout, path: &[PathSegment; 3], faults: &mut Faults) {
     let name = &rollout.version;
     let Some(last) = rollout.steps.last() else {
         faults.add(path, format!("roll-out of `{name}` has no steps"));
         return;
     };
-    let mut before = 0.0;
+    let mut previous = 0.0;
     for (n, &share) in rollout.steps.iter().enumerate() {
-        let path = [path[0], path[1], path[2], Step::At(n)];
+        let path = [path[0], path[1], path[2], PathSegment::Index(n)];
         if !(share > 0.0 && share <= 1.0) {
             faults.add(
                 &path,
                 format!("step of the roll-out of `{name}` is {share}, not above 0 and up to 1"),
             );
-        } else if share <= before {
+        } else if share <= previous {
             faults.add(
                 &path,
-                format!("steps of the roll-out of `{name}` do not grow from {before} to {share}"),
+                format!("steps of the roll-out of `{name}` do not grow from {previous} to {share}"),
             );
         }
-        before = share;
+        previous = share;
     }
     if (0.0..1.0).contains(last) {
-        let path = [path[0], path[1], path[2], Step::At(rollout.steps.len() - 1)];
+        let path = [
+            path[0],
+            path[1],
+            path[2],
+            PathSegment::Index(rollout.steps.len() - 1),
+        ];
         faults.add(
             &path,
             format!("roll-out of `{name}` ends at {last}; the last step must be 1"),
