--- a/sesamebeam/src/control/serve.rs
+++ b/sesamebeam/src/control/serve.rs
@@ -131,7 +131,7 @@
         ControlRequest::Renew(renew) => is_entry(role, &renew.entry.instance),
         ControlRequest::Claim(claim) => is_entry(role, &claim.claimant.instance),
         ControlRequest::Complete(_)
-        | ControlRequest::Look(_)
+        | ControlRequest::GetClaim(_)
         | ControlRequest::Pin(_)
         | ControlRequest::Crash(_)
         | ControlRequest::Cleared(_)
--- a/sesamebeam/src/entry/upstream.rs
+++ b/sesamebeam/src/entry/upstream.rs
@@ -53,7 +53,7 @@
         IdempotencyKey,
         Incarnation, //
     },
-    message::record::ServerLife,
+    message::record::ServerIncarnation,
 };
 use smol_str::SmolStr;
 
@@ -387,7 +387,7 @@
     };
     match (state.state.as_str(), incarnation) {
         ("never", Some(incarnation)) => ServerKnows::Never {
-            life: ServerLife {
+            life: ServerIncarnation {
                 addr: server,
                 incarnation,
             },
@@ -460,7 +460,7 @@
             body: body.into(),
         }),
         ("never", Some(incarnation), _) => {
-            let life = ServerLife {
+            let life = ServerIncarnation {
                 addr: dispatch.server.addr,
                 incarnation,
             };
--- a/sesamebeam/src/link.rs
+++ b/sesamebeam/src/link.rs
@@ -28,7 +28,7 @@
     VarInt, //
 };
 use sesamebeam_core::message::wire::{
-    MAX_MESSAGE,
+    MAX_MESSAGE_BYTES,
     WireError, //
 };
 use thiserror::Error;
@@ -77,7 +77,7 @@
 const MAX_ONE_WAY: u32 = 4;
 
 /// Bytes of one connection that may be under way unread.
-const WINDOW: u32 = 2 * MAX_MESSAGE as u32;
+const WINDOW: u32 = 2 * MAX_MESSAGE_BYTES as u32;
 
 /// Handshakes under way at a time; more are refused.
 const MAX_HANDSHAKES: usize = 256;
--- a/sesamebeam/src/link/peer.rs
+++ b/sesamebeam/src/link/peer.rs
@@ -24,7 +24,7 @@
 };
 use sesamebeam_core::message::wire::{
     self,
-    MAX_MESSAGE, //
+    MAX_MESSAGE_BYTES, //
 };
 use tokio::{
     sync::{
@@ -132,9 +132,11 @@
         tx.write_all(&buf).await?;
         // It fails only if the stream was finished before.
         let _ = tx.finish();
-        match rx.read_to_end(MAX_MESSAGE).await {
+        match rx.read_to_end(MAX_MESSAGE_BYTES).await {
             Ok(answer) => Ok(wire::decode(&answer)?),
-            Err(ReadToEndError::TooLong) => Err(wire::WireError::TooLong(MAX_MESSAGE + 1).into()),
+            Err(ReadToEndError::TooLong) => {
+                Err(wire::WireError::TooLong(MAX_MESSAGE_BYTES + 1).into())
+            }
             Err(ReadToEndError::Read(quinn::ReadError::ConnectionLost(e))) => Err(e.into()),
             Err(ReadToEndError::Read(_)) => Err(LinkError::NoAnswer),
         }
@@ -268,7 +270,7 @@
     counters: &LinkCounters,
 ) {
     let reply = Replier { stream: Some(send) };
-    match timeout(READ_TIMEOUT, recv.read_to_end(MAX_MESSAGE)).await {
+    match timeout(READ_TIMEOUT, recv.read_to_end(MAX_MESSAGE_BYTES)).await {
         Ok(Ok(bytes)) => {
             // The queue is gone only with the peer.
             let _ = tx.send(Incoming::Call { bytes, reply }).await;
@@ -286,7 +288,7 @@
             return;
         }
         let length = u32::from_be_bytes(length) as usize;
-        if length > MAX_MESSAGE {
+        if length > MAX_MESSAGE_BYTES {
             counters.broken();
             let _ = recv.stop(BROKEN);
             return;
--- a/sesamebeam/tests/cli_report.rs
+++ b/sesamebeam/tests/cli_report.rs
@@ -27,7 +27,7 @@
             ControlReply,
             ControlRequest,
             EntryStatus,
-            Live,
+            LiveState,
             ReplicaStatus,
             RolloutView,
             Status, //
@@ -190,7 +190,7 @@
             replica(4, false, 90),
         ],
         entries: vec![entry("north-1", 4200), entry("north-2", 0)],
-        live: Live {
+        live: LiveState {
             at: 7990,
             held: vec!["parte@v8".into()],
             rollouts: vec![RolloutView {
--- a/sesamebeam/tests/link.rs
+++ b/sesamebeam/tests/link.rs
@@ -29,7 +29,7 @@
 };
 use sesamebeam_core::message::wire::{
     self,
-    MAX_MESSAGE,
+    MAX_MESSAGE_BYTES,
     WireError, //
 };
 use tokio::{
@@ -136,7 +136,7 @@
     let (peer, accepted) =
         soon(async { tokio::join!(client.connect(addr, None), server.accept()) }).await;
     let (peer, accepted) = (peer.unwrap(), accepted.unwrap());
-    let large = vec![7_u8; MAX_MESSAGE - 16];
+    let large = vec![7_u8; MAX_MESSAGE_BYTES - 16];
     let torn = futures::poll!(Box::pin(peer.send(&large)));
     assert!(torn.is_pending(), "the message is larger than one write");
 
@@ -254,7 +254,7 @@
     let peer = soon(client.connect(server.local_addr().unwrap(), None))
         .await
         .unwrap();
-    let refused = soon(peer.call::<Vec<u8>, u64>(&vec![0; MAX_MESSAGE])).await;
+    let refused = soon(peer.call::<Vec<u8>, u64>(&vec![0; MAX_MESSAGE_BYTES])).await;
     assert!(matches!(
         refused,
         Err(LinkError::Wire(WireError::TooLong(_)))
--- a/sesamebeam_bench/src/commit/claims.rs
+++ b/sesamebeam_bench/src/commit/claims.rs
@@ -12,7 +12,7 @@
     Claimant,
     CompleteRequest,
     Completed,
-    ServerLife,
+    ServerIncarnation,
     Usage, //
 };
 use smol_str::format_smolstr;
@@ -32,7 +32,7 @@
             instance: entry.into(),
             incarnation: INCARNATION,
         },
-        target: ServerLife {
+        target: ServerIncarnation {
             addr: SocketAddr::from(([10, 0, 0, 1], 8000)),
             incarnation: INCARNATION,
         },
--- a/sesamebeam_bench/src/policy/replay/attempt.rs
+++ b/sesamebeam_bench/src/policy/replay/attempt.rs
@@ -7,7 +7,7 @@
         MonoTime,
         VersionId, //
     },
-    message::record::ServerLife,
+    message::record::ServerIncarnation,
     policy::{
         balance::{
             PickInput,
@@ -48,7 +48,7 @@
     pub(super) version: Option<VersionId>,
     pub(super) step: Step,
     pub(super) server: usize,
-    pub(super) life: ServerLife,
+    pub(super) life: ServerIncarnation,
     pub(super) sent: MonoTime,
     pub(super) runs: Option<(MonoTime, MonoTime)>,
     /// Counts changes of the end, so that an older event is known as stale.
--- a/sesamebeam_bench/src/policy/router.rs
+++ b/sesamebeam_bench/src/policy/router.rs
@@ -18,7 +18,7 @@
     message::{
         command::RolloutState,
         control::{
-            Live,
+            LiveState,
             RolloutView, //
         },
         server::Announcement,
@@ -141,7 +141,7 @@
     pub(crate) rater_answers: bool,
     versions: Vec<(VersionId, f64)>,
     pins: IndexMap<SessionId, VersionId>,
-    live: Live,
+    live: LiveState,
     step_since: MonoTime,
     turn: usize,
 }
@@ -169,7 +169,7 @@
             rater_answers: true,
             versions: deployment.versions(),
             pins: IndexMap::new(),
-            live: Live::default(),
+            live: LiveState::default(),
             step_since: MonoTime::ZERO,
             turn: 0,
         };
--- a/sesamebeam_bench/src/policy/world.rs
+++ b/sesamebeam_bench/src/policy/world.rs
@@ -15,7 +15,7 @@
         VersionId, //
     },
     message::{
-        record::ServerLife,
+        record::ServerIncarnation,
         server::{
             Announcement,
             CacheEvent,
@@ -121,8 +121,8 @@
         }
     }
 
-    pub(crate) fn life(&self) -> ServerLife {
-        ServerLife {
+    pub(crate) fn life(&self) -> ServerIncarnation {
+        ServerIncarnation {
             addr: self.addr,
             incarnation: self.incarnation,
         }
--- a/sesamebeam_core/src/control.rs
+++ b/sesamebeam_core/src/control.rs
@@ -151,9 +151,9 @@
             replicas: self.replica.progress(now),
             entries: entries.unwrap_or_default(),
             live: self.state.live().clone(),
-            claims: self.state.claims_kept() as u64,
-            pins: self.state.pins_kept() as u64,
-            bills: self.state.bills_kept() as u64,
+            claims: self.state.claim_count() as u64,
+            pins: self.state.pin_count() as u64,
+            bills: self.state.bill_count() as u64,
         }
     }
 
--- a/sesamebeam_core/src/control/claims.rs
+++ b/sesamebeam_core/src/control/claims.rs
@@ -37,11 +37,11 @@
                 && self.window_over(&req.key)
                 && self.claimant_gone(&view.claimant)
         });
-        let opening = self.state.opening(&req.key);
+        let opening = self.state.grant(&req.key);
         let command = match (retaken, opening) {
             (Some(_), Some(opening)) => Command::Retake(Retake {
                 claim: req,
-                opened: opening.opened,
+                granted_at: opening.granted_at,
             }),
             _ => Command::Claim(req),
         };
@@ -71,7 +71,7 @@
         if self.cfg.faults.ignore_windows {
             return true;
         }
-        let Some(mut opening) = self.state.opening(key) else {
+        let Some(mut opening) = self.state.grant(key) else {
             return false;
         };
         opening.window = self.cfg.stretched(opening.window);
--- a/sesamebeam_core/src/control/notices.rs
+++ b/sesamebeam_core/src/control/notices.rs
@@ -9,7 +9,7 @@
         },
     },
     ids::Revision,
-    message::control::Live,
+    message::control::LiveState,
 };
 
 /// What was told last.
@@ -17,7 +17,7 @@
 pub(super) struct Noticed {
     revision: Revision,
     in_force: Revision,
-    live: Live,
+    live: LiveState,
 }
 
 impl ControlCore {
@@ -37,7 +37,7 @@
         }
     }
 
-    fn notice_live(&mut self, before: &Live, after: &Live) {
+    fn notice_live(&mut self, before: &LiveState, after: &LiveState) {
         for version in &after.held {
             if !before.held.contains(version) {
                 self.notice(ControlNotice::Held(version.clone()));
--- a/sesamebeam_core/src/control/requests.rs
+++ b/sesamebeam_core/src/control/requests.rs
@@ -74,7 +74,7 @@
                 }
                 self.reply(ticket, ControlReply::Done);
             }
-            ControlRequest::Look(key) => self.query(ticket, Query::Look(key)),
+            ControlRequest::GetClaim(key) => self.query(ticket, Query::Look(key)),
             ControlRequest::Current => self.query(ticket, Query::Current),
             ControlRequest::Bills { from, limit } => {
                 let limit = limit.min(MAX_BILLS) as usize;
--- a/sesamebeam_core/src/control/windows.rs
+++ b/sesamebeam_core/src/control/windows.rs
@@ -11,8 +11,8 @@
         MonoTime, //
     },
     state::{
-        MAX_WINDOW,
-        Opening, //
+        ClaimGrant,
+        MAX_DISPATCH_WINDOW, //
     },
 };
 
@@ -44,7 +44,7 @@
 impl Windows {
     /// Notes that a position was applied.
     pub(super) fn note(&mut self, index: LogIndex, now: MonoTime) {
-        let kept = MAX_WINDOW * 4;
+        let kept = MAX_DISPATCH_WINDOW * 4;
         while let Some(mark) = self.marks.front()
             && self.marks.len() > 1
             && mark.ends + kept < now
@@ -65,10 +65,10 @@
     }
 
     /// Tells whether a dispatch window and `after` it are over.
-    pub(super) fn over(&self, opening: &Opening, after: Duration, now: MonoTime) -> bool {
+    pub(super) fn over(&self, opening: &ClaimGrant, after: Duration, now: MonoTime) -> bool {
         let at = self
             .marks
-            .partition_point(|mark| mark.last < opening.opened);
+            .partition_point(|mark| mark.last < opening.granted_at);
         let mark = self.marks.get(at);
         mark.is_some_and(|mark| now >= mark.ends + opening.window + after)
     }
--- a/sesamebeam_core/src/entry.rs
+++ b/sesamebeam_core/src/entry.rs
@@ -63,14 +63,14 @@
     message::{
         control::ControlRequest,
         peer::{
-            Alive,
+            LeaseRefresh,
             PeerMessage, //
         },
         record::{
             Claimant,
             PinKey,
             PinView,
-            ServerLife, //
+            ServerIncarnation, //
         },
     },
     policy::{
@@ -246,12 +246,12 @@
     /// Organisation and class of responses sampled for rating.
     sampled: IndexMap<RequestId, (OrgId, ClassId)>,
     /// Recently broken attempts: time, backend server, request digest.
-    broken_attempts: VecDeque<(MonoTime, ServerLife, Digest)>,
+    broken_attempts: VecDeque<(MonoTime, ServerIncarnation, Digest)>,
     /// Backend server incarnations whose crash was already handled.
-    dead_incarnations: VecDeque<ServerLife>,
+    dead_incarnations: VecDeque<ServerIncarnation>,
     /// Backend servers that refreshed their lease here since the last heartbeat
     /// message to other entries.
-    refreshed: IndexMap<ServerAddr, Alive>,
+    refreshed: IndexMap<ServerAddr, LeaseRefresh>,
     /// Backend servers that announced themselves here since the last report to
     /// the control group.
     unreported: IndexSet<ServerAddr>,
--- a/sesamebeam_core/src/entry/choose.rs
+++ b/sesamebeam_core/src/entry/choose.rs
@@ -31,7 +31,7 @@
         ServerAddr,
         VersionId, //
     },
-    message::record::ServerLife,
+    message::record::ServerIncarnation,
     policy::{
         admission::{
             AdmissionOutcome,
@@ -236,7 +236,7 @@
         &self,
         now: MonoTime,
         id: RequestId,
-        target: &ServerLife,
+        target: &ServerIncarnation,
     ) -> bool {
         self.step_allowed(now, id) && self.balance.accepts_requests(now, *target)
     }
@@ -259,7 +259,11 @@
         }
     }
 
-    pub(super) fn pick_server(&mut self, now: MonoTime, id: RequestId) -> Option<ServerLife> {
+    pub(super) fn pick_server(
+        &mut self,
+        now: MonoTime,
+        id: RequestId,
+    ) -> Option<ServerIncarnation> {
         let req = self.requests.get(&id)?;
         let digest = req.arrival.digest;
         let exclude: Vec<ServerAddr> = req
@@ -305,7 +309,7 @@
     }
 
     /// Records the start of an attempt on its backend server.
-    pub(super) fn record_start(&mut self, id: RequestId, server: ServerLife, alone: bool) {
+    pub(super) fn record_start(&mut self, id: RequestId, server: ServerIncarnation, alone: bool) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
--- a/sesamebeam_core/src/entry/claims.rs
+++ b/sesamebeam_core/src/entry/claims.rs
@@ -36,7 +36,7 @@
             ClaimView,
             CompleteRequest,
             Completed,
-            ServerLife,
+            ServerIncarnation,
             Usage, //
         }, //
     },
@@ -47,7 +47,7 @@
     /// Claims the key of a request for a backend server. Nothing is sent before
     /// the claim is committed. Otherwise two entries that receive the same
     /// request could both run it, and the caller would be billed twice.
-    pub(super) fn claim(&mut self, now: MonoTime, id: RequestId, target: ServerLife) {
+    pub(super) fn claim(&mut self, now: MonoTime, id: RequestId, target: ServerIncarnation) {
         let Some(req) = self.requests.get_mut(&id) else {
             return;
         };
@@ -126,7 +126,7 @@
     /// Creates the claim for the current attempt of a request. It is identical
     /// when created again after a lost reply, so the control group deduplicates
     /// it.
-    fn claim_request(&self, id: RequestId, target: ServerLife) -> Option<ClaimRequest> {
+    fn claim_request(&self, id: RequestId, target: ServerIncarnation) -> Option<ClaimRequest> {
         let req = self.requests.get(&id)?;
         Some(ClaimRequest {
             key: req.claim_key()?,
@@ -349,7 +349,7 @@
         req.phase = Phase::LookingUpClaim(refusal);
         self.send_control(
             ControlPurpose::LookUpClaim(id),
-            ControlRequest::Look(key),
+            ControlRequest::GetClaim(key),
             self.cfg.claim_timeout,
         );
     }
@@ -373,7 +373,7 @@
 
     /// Sends a claimed request. All checks are repeated, since its version may
     /// have been withdrawn or its backend server stopped during the claim.
-    fn dispatch_claimed(&mut self, now: MonoTime, id: RequestId, target: ServerLife) {
+    fn dispatch_claimed(&mut self, now: MonoTime, id: RequestId, target: ServerIncarnation) {
         let Some(req) = self.requests.get(&id) else {
             return;
         };
@@ -396,7 +396,7 @@
         &mut self,
         now: MonoTime,
         id: RequestId,
-        server: ServerLife,
+        server: ServerIncarnation,
         at: RequestId,
         version: Option<crate::ids::VersionId>,
         kind: DispatchKind,
--- a/sesamebeam_core/src/entry/event.rs
+++ b/sesamebeam_core/src/entry/event.rs
@@ -35,7 +35,7 @@
         peer::PeerMessage,
         record::{
             Completed,
-            ServerLife,
+            ServerIncarnation,
             Usage, //
         },
         server::{
@@ -227,7 +227,7 @@
     /// It never received the id, and will not run it after a cancel.
     Never {
         /// Incarnation that gave this reply.
-        life: ServerLife,
+        life: ServerIncarnation,
     },
     /// It received the id, but no longer has the response.
     Gone,
@@ -381,7 +381,7 @@
     /// Id under which the backend server knows the request.
     pub id: RequestId,
     /// Backend server.
-    pub server: ServerLife,
+    pub server: ServerIncarnation,
     /// Version to run; `None` for a plain service.
     pub version: Option<VersionId>,
     /// Priority of the request.
@@ -442,7 +442,7 @@
     /// A backend server became available.
     ServerUp {
         /// Backend server.
-        server: ServerLife,
+        server: ServerIncarnation,
         /// Pool.
         pool: PoolId,
     },
--- a/sesamebeam_core/src/entry/lease.rs
+++ b/sesamebeam_core/src/entry/lease.rs
@@ -43,7 +43,7 @@
         }
         if !held && now >= self.next_config_query {
             self.next_config_query = now + self.cfg.renew_pause * 5;
-            self.send_to_entries(Recipients::Domain, PeerMessage::WantConfig);
+            self.send_to_entries(Recipients::Domain, PeerMessage::RequestConfig);
         }
     }
 
--- a/sesamebeam_core/src/entry/membership.rs
+++ b/sesamebeam_core/src/entry/membership.rs
@@ -27,10 +27,10 @@
             Update, //
         },
         peer::{
-            Alive,
+            LeaseRefresh,
             PeerMessage, //
         },
-        record::ServerLife,
+        record::ServerIncarnation,
         server::Announcement, //
     },
     policy::{
@@ -54,7 +54,7 @@
             return;
         }
         let announced = self.servers.announce(now, announcement);
-        let life = ServerLife {
+        let life = ServerIncarnation {
             addr: announcement.addr,
             incarnation: announcement.incarnation,
         };
@@ -70,7 +70,7 @@
                     .push(EntryAction::Notice(Notice::Ignored { why }));
             }
             Announced::Restarted { old } => {
-                let old = ServerLife {
+                let old = ServerIncarnation {
                     addr: announcement.addr,
                     incarnation: old,
                 };
@@ -154,11 +154,11 @@
                 }
             }
             PeerMessage::Alive(list) => self.handle_heartbeats(now, from, &list),
-            PeerMessage::WantServers => {
+            PeerMessage::RequestServers => {
                 let list: Vec<Announcement> = self.servers.reachable().cloned().collect();
                 self.send_to_entries(Recipients::One(from), PeerMessage::Servers(list));
             }
-            PeerMessage::WantConfig => self.send_config(from),
+            PeerMessage::RequestConfig => self.send_config(from),
             PeerMessage::Config {
                 revision,
                 fleet,
@@ -175,7 +175,12 @@
     }
 
     /// Handles a backend server that refused a connection or was unreachable.
-    pub(super) fn server_unreachable(&mut self, now: MonoTime, life: &ServerLife, refused: bool) {
+    pub(super) fn server_unreachable(
+        &mut self,
+        now: MonoTime,
+        life: &ServerIncarnation,
+        refused: bool,
+    ) {
         self.balance.avoid(now, life.addr);
         if refused {
             self.server_died(now, *life);
@@ -224,7 +229,7 @@
 
     /// Handles the end of a backend server's incarnation once. It is proved by a
     /// new incarnation or a refused connection.
-    fn server_died(&mut self, now: MonoTime, life: ServerLife) {
+    fn server_died(&mut self, now: MonoTime, life: ServerIncarnation) {
         if self.dead_incarnations.contains(&life) {
             return;
         }
@@ -253,7 +258,7 @@
     /// Counts a crash once for each version that ran. Counting it for each request
     /// would let the requests beside the faulty one add up as evidence against
     /// their version.
-    fn count_crash(&mut self, now: MonoTime, life: &ServerLife) {
+    fn count_crash(&mut self, now: MonoTime, life: &ServerIncarnation) {
         let mut ran: IndexMap<VersionId, ClassId> = IndexMap::new();
         for req in self.requests.values() {
             for run in req.running.iter().filter(|run| run.server == *life) {
@@ -269,7 +274,7 @@
 
     /// Returns the digests of the requests that may have crashed a backend server:
     /// those running on it and those that broke shortly before.
-    fn crash_candidates(&self, life: &ServerLife) -> Vec<Digest> {
+    fn crash_candidates(&self, life: &ServerIncarnation) -> Vec<Digest> {
         let running = self
             .requests
             .values()
@@ -287,7 +292,7 @@
     ///
     /// After a network partition, no entry of this failure domain may know the
     /// backend servers of another one, so the sender itself is asked.
-    fn handle_heartbeats(&mut self, now: MonoTime, from: InstanceId, list: &[Alive]) {
+    fn handle_heartbeats(&mut self, now: MonoTime, from: InstanceId, list: &[LeaseRefresh]) {
         let mut unknown = false;
         for alive in list {
             match self.servers.get(alive.addr) {
@@ -299,7 +304,7 @@
         }
         if unknown && now >= self.next_server_query {
             self.next_server_query = now + self.cfg.alive_every;
-            self.send_to_entries(Recipients::One(from), PeerMessage::WantServers);
+            self.send_to_entries(Recipients::One(from), PeerMessage::RequestServers);
         }
     }
 
@@ -329,7 +334,7 @@
         now: MonoTime,
         revision: u64,
         fleet: FleetChange,
-        live: crate::message::control::Live,
+        live: crate::message::control::LiveState,
     ) {
         if self.view.lease_held(now) {
             return;
@@ -355,8 +360,8 @@
     }
 }
 
-fn alive_of(announcement: &Announcement) -> Alive {
-    Alive {
+fn alive_of(announcement: &Announcement) -> LeaseRefresh {
+    LeaseRefresh {
         addr: announcement.addr,
         incarnation: announcement.incarnation,
     }
--- a/sesamebeam_core/src/entry/request.rs
+++ b/sesamebeam_core/src/entry/request.rs
@@ -32,7 +32,7 @@
     message::record::{
         ClaimKey,
         ClaimView,
-        ServerLife, //
+        ServerIncarnation, //
     },
     policy::plan::Plan,
 };
@@ -65,7 +65,7 @@
     /// Pool of the current step.
     pub(super) pool: PoolId,
     /// Backend servers to avoid, because they refused the request or were lost.
-    pub(super) avoid: Vec<ServerLife>,
+    pub(super) avoid: Vec<ServerIncarnation>,
     /// Number of attempts.
     pub(super) attempts: Attempt,
     /// Number of dispatches, including resumes and look-ups.
@@ -106,7 +106,7 @@
     /// A pool slot.
     Queued,
     /// The reply to a claim for this backend server, requested at this time.
-    Claiming(ServerLife, MonoTime),
+    Claiming(ServerIncarnation, MonoTime),
     /// The response of a backend server.
     Running,
     /// The state of a claim, to determine the outcome of this refusal.
@@ -116,7 +116,7 @@
     /// The cancel of an existing claim at its backend server.
     CancellingOther(ClaimView),
     /// The cancel of its own claim at this backend server.
-    CancellingOwn(ServerLife),
+    CancellingOwn(ServerIncarnation),
     /// The record that a claim of this entry is abandoned.
     Abandoning,
     /// The next resume, at this time.
@@ -133,7 +133,7 @@
     /// Request id at the backend server.
     pub(super) id: RequestId,
     /// Backend server.
-    pub(super) target: ServerLife,
+    pub(super) target: ServerIncarnation,
     /// End of the dispatch window.
     pub(super) send_by: MonoTime,
 }
@@ -159,7 +159,7 @@
     /// Id at the backend server.
     pub(super) id: RequestId,
     /// Backend server.
-    pub(super) server: ServerLife,
+    pub(super) server: ServerIncarnation,
     /// Version that it runs.
     pub(super) version: Option<VersionId>,
     /// What was sent.
--- a/sesamebeam_core/src/entry/view.rs
+++ b/sesamebeam_core/src/entry/view.rs
@@ -33,7 +33,7 @@
         command::RolloutState,
         control::{
             FleetChange,
-            Live,
+            LiveState,
             Update, //
         }, //
     },
@@ -64,7 +64,7 @@
     /// The fleet file.
     fleet: Fleet,
     /// State that is not part of the fleet file.
-    live: Live,
+    live: LiveState,
     /// Expiry of the configuration lease; `None` before the first.
     lease_until: Option<MonoTime>,
     /// Positions by name, for constant-time look-ups.
@@ -104,7 +104,7 @@
     }
 
     /// Returns the state that is not part of the fleet file.
-    pub fn live(&self) -> &Live {
+    pub fn live(&self) -> &LiveState {
         &self.live
     }
 
@@ -264,7 +264,7 @@
 }
 
 impl Index {
-    fn of(fleet: &Fleet, live: &Live) -> Self {
+    fn of(fleet: &Fleet, live: &LiveState) -> Self {
         let mut index = Self {
             quarantine: live.quarantine.iter().copied().collect(),
             ..Self::default()
--- a/sesamebeam_core/src/message.rs
+++ b/sesamebeam_core/src/message.rs
@@ -1,7 +1,7 @@
-//! Messages between the processes, as typed enums.
+//! Messages between processes.
 //!
-//! [`wire`] encodes them. A message says nothing about connections: who sent it
-//! is known from the certificate of the connection it came on.
+//! [`wire`] encodes them. Messages do not identify their sender, which is known
+//! from the certificate of the connection.
 
 pub mod command;
 pub mod control;
--- a/sesamebeam_core/src/message/command.rs
+++ b/sesamebeam_core/src/message/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated log, and what applying them gives.
+//! Commands of the replicated log and their outcomes.
 
 use std::time::Duration;
 
@@ -33,85 +33,87 @@
     },
 };
 
-/// One entry of the replicated log.
+/// Entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Moves the log's own clock, by which records expire.
+    /// Advances the log clock, which determines when records expire.
     Clock {
-        /// Time since the group was made, never going back.
+        /// Time since the group was created; an earlier time than before has no
+        /// effect.
         at: Duration,
     },
-    /// An operator's file.
+    /// Applies a fleet file sent by an operator.
     Apply(Change),
-    /// A claim on a request that must run at most once.
+    /// Claims a request that must run at most once.
     Claim(ClaimRequest),
-    /// The end of a claim with its billing entry.
+    /// Ends a claim and writes its billing entry.
     Complete(CompleteRequest),
-    /// The settling of an open billing entry.
+    /// Settles an open billing entry.
     Settle(SettleRequest),
-    /// The version of a session.
+    /// Pins a session to a version.
     Pin(PinRequest),
-    /// A crash of a backend server.
+    /// Reports a crash of a backend server.
     Crash(CrashReport),
-    /// Evidence about a version from one entry.
+    /// Adds evidence of one entry about a version.
     Evidence(Evidence),
-    /// A decision of the leader on a roll-out.
+    /// Moves a roll-out to another state, as decided by the leader.
     Rollout(RolloutStep),
-    /// An order to an engine, written before it is sent.
+    /// Records an order to an engine before it is sent.
     Order(Order),
-    /// A claim that replaces an open one whose claimant is gone.
+    /// Replaces an open claim whose claimant is gone.
     Retake(Retake),
-    /// Suspects that ran to their end on another backend server.
+    /// Clears crash suspects that completed on another backend server.
     Cleared(Vec<Digest>),
-    /// A revision that the leader found to be in force at every entry.
+    /// Records a revision that the leader found to be in force on every entry.
     InForce(Revision),
-    /// How long records are kept, as the leader's settings say.
+    /// Sets the retention limits to those of the leader's settings.
     Retention(Retention),
 }
 
-/// A claim that replaces an open one.
+/// Request to replace an open claim.
 ///
-/// Only the leader can tell by its clock that the dispatch window of the open
-/// claim is over and that its claimant is gone. It states for which opening of
-/// the claim it found that out, so that an opening which comes between the
-/// finding and this command makes the command void.
+/// Only the leader can determine, by its own clock, that the dispatch window of
+/// the open claim is over and that the claimant is gone. The command states
+/// which grant the leader evaluated, so that it has no effect if the claim is
+/// granted again before the command is applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Retake {
-    /// The new claim.
+    /// New claim.
     pub claim: ClaimRequest,
-    /// Log position at which the claim that it replaces was last opened.
-    pub opened: LogIndex,
+    /// Log index of the last grant of the claim that is replaced.
+    pub granted_at: LogIndex,
 }
 
-/// How long records are kept and how many, the same on every replica.
+/// Limits on the age and number of records, identical on every replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Retention {
-    /// Time that a claim is kept after it ended, and after which an open claim
-    /// counts as unknown.
+    /// Time for which an ended claim is kept, and after which an open claim
+    /// becomes unknown.
     pub claims: Duration,
-    /// Time that a pin is kept after its last use.
+    /// Time for which a pin is kept after its last use.
     pub pins: Duration,
-    /// Time that a charged or void billing entry is kept; an open one is kept
-    /// until it is settled.
+    /// Time for which a charged or void billing entry is kept. An open one is
+    /// kept until it is settled.
     pub bills: Duration,
-    /// Time that a verdict is kept.
+    /// Time for which a verdict is kept.
     pub verdicts: Duration,
-    /// Time that a crash counts against the requests that it took down.
+    /// Time for which a crash counts against its suspects.
     pub crashes: Duration,
-    /// Time that a fingerprint stays quarantined.
+    /// Time for which a fingerprint stays quarantined.
     pub quarantine: Duration,
-    /// Most claims kept; a further one takes the place of the oldest that ended
-    /// an hour ago or longer, and is denied if there is none.
+    /// Maximum number of claims. A further claim replaces the oldest one that
+    /// ended at least an hour ago, and is denied if there is none.
     pub max_claims: u32,
-    /// Most pins kept; a further one is denied.
+    /// Maximum number of pins; further ones are denied.
     pub max_pins: u32,
-    /// Most billing entries kept; a further claim is denied.
+    /// Maximum number of billing entries; further claims are denied.
     pub max_bills: u32,
-    /// Most verdicts kept; the oldest goes first.
+    /// Maximum number of verdicts; the oldest is removed first.
     pub max_verdicts: u32,
-    /// Largest answer body kept, in bytes.
+    /// Maximum size of a kept response body in bytes.
     pub body_cap: u32,
-    /// Bytes of answer bodies kept together; the oldest goes first.
+    /// Maximum total size of the kept response bodies in bytes; the oldest is
+    /// removed first.
     pub bodies_cap: u64,
 }
 
@@ -134,151 +136,154 @@
     }
 }
 
-/// Why a command wrote nothing.
+/// Reason why a command was denied and changed nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 pub enum Denial {
-    /// As many claims or billing entries are kept as the settings allow.
+    /// The maximum number of claims or billing entries is reached.
     #[error("as many claims or bills are kept as the settings allow")]
     ClaimsFull,
-    /// As many pins are kept as the settings allow.
+    /// The maximum number of pins is reached.
     #[error("as many pins are kept as the settings allow")]
     PinsFull,
-    /// The claim to be replaced is no longer kept.
+    /// The claim to replace is no longer kept.
     #[error("the claim to be replaced is no longer kept")]
     ClaimExpired,
-    /// The dispatch window is longer than the group allows.
+    /// The dispatch window exceeds the maximum.
     #[error("the dispatch window is longer than the group allows")]
     WindowTooLong,
-    /// The organisation does not exist or may not use the version.
+    /// The organisation does not exist or is not allowed to use the version.
     #[error("the organisation may not use the version")]
     NotAllowed,
-    /// The version takes no new work.
+    /// The version is withdrawn and accepts no new work.
     #[error("the version is withdrawn")]
     Withdrawn,
-    /// The pin is of another model than the version proposed.
+    /// The proposed version belongs to another model than the pin.
     #[error("the version is of another model")]
     OtherModel,
 }
 
-/// An operator's change: a whole file and the revision it was made from.
+/// Change by an operator: a whole fleet file and the revision it is based on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Revision that the file was made from.
+    /// Revision that the file is based on.
     pub base: Revision,
-    /// Digest of the file's text; with `base` the id of the change.
+    /// Digest of the text of the file. Together with `base` it identifies the
+    /// change.
     pub digest: Digest,
-    /// The file.
+    /// New fleet file.
     pub fleet: Box<Fleet>,
-    /// Who sent it, for people.
+    /// Operator who sent the change; informational.
     pub operator: SmolStr,
-    /// Wall-clock time, for people.
+    /// Wall-clock time; informational.
     pub at: UnixMillis,
 }
 
-/// The verdict on a change. Kept, so that a resend gets the first one again.
+/// Verdict on a change. It is kept so that a resent change gets the same
+/// verdict.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Accepted as this revision.
+    /// The change was accepted as this revision.
     Accepted(Revision),
-    /// Another change was made from the same base and came first.
+    /// Another change from the same base was accepted first.
     Conflict(Conflict),
-    /// The file has faults.
+    /// The file is invalid.
     Faulty(Vec<SmolStr>),
 }
 
-/// Why a change lost.
+/// Details of a conflict between two changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// Revision in force.
+    /// Current revision.
     pub current: Revision,
-    /// Who sent the change that won.
+    /// Operator who sent the accepted change.
     pub winner: SmolStr,
-    /// Names of the parts in which the two files differ.
+    /// Parts in which the two files differ.
     pub differences: Vec<SmolStr>,
 }
 
-/// What one entry has seen of one version since its last report.
+/// Evidence of one entry about one version since its last report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Entry that saw it.
+    /// Entry that reports the evidence.
     pub from: InstanceId,
-    /// Version it is about.
+    /// Version that the evidence is about.
     pub version: VersionId,
-    /// Answers rated good.
+    /// Number of answers rated good.
     pub good: u32,
-    /// Answers rated bad.
+    /// Number of answers rated bad.
     pub bad: u32,
-    /// Requests that failed by the version's fault.
+    /// Number of requests that failed because of the version.
     pub errors: u32,
-    /// Whether the entry's own test holds the version.
+    /// Whether the entry's own test decided to hold the version.
     pub hold: bool,
 }
 
-/// Where a roll-out stands.
+/// State of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutState {
-    /// Waiting until enough backend servers have loaded the version.
+    /// Waiting for enough backend servers to load the version.
     Loading,
-    /// At this step, counted from 0.
+    /// At a step, counted from 0.
     At(u32),
-    /// Held by evidence: no new sessions or requests.
+    /// Held because of evidence; the version gets no new sessions or requests.
     Held,
-    /// All steps done.
+    /// All steps are complete.
     Done,
 }
 
-/// A decision of the leader on a roll-out.
+/// Transition of a roll-out that the leader decided on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutStep {
     /// Version that is rolled out.
     pub version: VersionId,
-    /// State from which it moves; a decision from another state has no effect.
+    /// Current state; the step has no effect if the roll-out is in another
+    /// state.
     pub from: RolloutState,
-    /// State to which it moves.
+    /// Next state.
     pub to: RolloutState,
 }
 
-/// What an engine should have or be: a desired state, never a step.
+/// Desired state of an engine. It is always a state and never an action.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Desired {
-    /// Have this version loaded.
+    /// The version is loaded.
     Loaded(VersionId),
-    /// Have this version unloaded.
+    /// The version is not loaded.
     Unloaded(VersionId),
-    /// Take this role, such as `prefill` or `decode`.
+    /// The engine has this role, such as `prefill` or `decode`.
     Role(SmolStr),
 }
 
-/// An order to one engine.
+/// Order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Engine that is ordered.
+    /// Engine that receives the order.
     pub server: ServerAddr,
-    /// What it should have or be.
+    /// Desired state of the engine.
     pub desired: Desired,
-    /// Fencing number, set when the order is applied to the log.
+    /// Fencing token, assigned when the order is applied.
     pub fencing: Fencing,
 }
 
-/// What applying a command gives.
+/// Outcome of applying a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Nothing to say.
+    /// The command was applied and returns nothing.
     Done,
     /// Verdict on a change.
     Verdict(Verdict),
-    /// Answer to a claim.
+    /// Reply to a claim.
     Claim(ClaimReply),
-    /// Answer to a completion.
+    /// Reply to a completion.
     Complete(CompleteReply),
-    /// Whether an open billing entry was settled.
+    /// Whether the billing entry was settled.
     Settled(bool),
-    /// The version of a session.
+    /// Pinned version of a session.
     Pin(PinView),
-    /// Fingerprints that are now quarantined.
+    /// All quarantined fingerprints.
     Quarantined(Vec<Digest>),
-    /// Order with its fencing number.
+    /// Order with its fencing token.
     Ordered(Order),
-    /// Nothing was written.
+    /// The command was denied and changed nothing.
     Denied(Denial),
 }
--- a/sesamebeam_core/src/message/control.rs
+++ b/sesamebeam_core/src/message/control.rs
@@ -1,4 +1,4 @@
-//! What entries and operators ask of the control group, and its answers.
+//! Requests of entries and operators to the control group, and its replies.
 
 use std::time::Duration;
 
@@ -55,79 +55,81 @@
     },
 };
 
-/// What is asked of a control replica.
+/// Request to a control replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlRequest {
-    /// An entry renews its configuration lease and asks for what is new.
+    /// Renews the configuration lease of an entry and requests updates.
     Renew(Renew),
-    /// A claim on a request that must run at most once.
+    /// Claims a request that must run at most once.
     Claim(ClaimRequest),
-    /// The end of a claim with its billing entry.
+    /// Ends a claim and writes its billing entry.
     Complete(CompleteRequest),
-    /// How far a claim has come.
-    Look(ClaimKey),
-    /// The version of a session.
+    /// Returns the state of a claim.
+    GetClaim(ClaimKey),
+    /// Pins a session to a version.
     Pin(PinRequest),
-    /// A crash of a backend server.
+    /// Reports a crash of a backend server.
     Crash(CrashReport),
-    /// Evidence about versions.
+    /// Reports evidence about versions.
     Evidence(Vec<Evidence>),
-    /// Backend servers of the entry's failure domain, for orders to engines.
+    /// Reports the backend servers of the entry's failure domain, which the
+    /// leader needs for orders to engines.
     Servers(Vec<Announcement>),
-    /// An operator's file.
+    /// Applies a fleet file sent by an operator.
     Apply(Change),
-    /// State of the group and of the entries.
+    /// Returns the state of the group and of the entries.
     Status,
-    /// The fleet file in force.
+    /// Returns the fleet file in force.
     Current,
-    /// Billing entries from a position on.
+    /// Returns billing entries.
     Bills {
-        /// First position wanted.
+        /// First sequence number to return.
         from: BillSeq,
-        /// Most entries wanted.
+        /// Maximum number of billing entries to return.
         limit: u32,
     },
-    /// The settling of an open billing entry.
+    /// Settles an open billing entry.
     Settle(SettleRequest),
-    /// Replaces a replica whose disk is lost.
+    /// Replaces a replica that lost its disk.
     Replace(Replace),
-    /// Suspects of crashes that ran to their end on another backend server.
+    /// Clears crash suspects that completed on another backend server.
     Cleared(Vec<Digest>),
 }
 
-/// An entry's renewal of its configuration lease.
+/// Renewal of the configuration lease of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Renew {
-    /// The entry in its present life.
+    /// Name and current incarnation of the entry.
     pub entry: Claimant,
     /// Failure domain of the entry.
     pub domain: DomainId,
-    /// Revision in force at the entry.
+    /// Revision in force on the entry.
     pub revision: Revision,
-    /// Log position of the live state in force at the entry.
+    /// Log index of the live state in force on the entry.
     pub live_at: LogIndex,
-    /// Whether the entry is stopping and gives its lease back.
+    /// Whether the entry is stopping and releases its lease.
     pub leaving: bool,
 }
 
-/// Answer to a renewal.
+/// Reply to a renewal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Renewed {
-    /// Length of the lease, from before the renewal was sent.
+    /// Duration of the lease, measured from before the renewal was sent.
     pub lease: Duration,
-    /// What is new, if anything is.
+    /// Update of the configuration, if there is one.
     pub update: Option<Update>,
 }
 
-/// What is new for an entry. Applied whole; never goes back.
+/// Configuration update for an entry. It is applied as a whole and never
+/// returns to an older state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// Revision that the entry has after this update.
+    /// Revision of the entry after the update.
     pub revision: Revision,
     /// Change of the fleet file, if the revision is new.
     pub fleet: Option<FleetChange>,
-    /// Live state beside the file, if it is new.
-    pub live: Option<Live>,
+    /// Live state, if it changed.
+    pub live: Option<LiveState>,
 }
 
 /// Change of the fleet file.
@@ -135,7 +137,7 @@
 pub enum FleetChange {
     /// The whole file.
     Whole(Box<Fleet>),
-    /// The difference from a base revision.
+    /// The difference to a base revision.
     Delta(Box<FleetDelta>),
 }
 
@@ -158,31 +160,31 @@
     pub organisations: Vec<Organisation>,
     /// Roll-outs that are new or changed.
     pub rollouts: Vec<Rollout>,
-    /// Names of what is gone.
-    pub gone: Vec<Gone>,
-    /// Orders of lists that changes, removals and additions at the end alone
-    /// would not give.
+    /// Names of the removed parts.
+    pub removed: Vec<RemovedPart>,
+    /// Complete orders of those lists whose order does not result from changing
+    /// and removing items in place and appending new ones.
     pub orders: Vec<ListOrder>,
 }
 
-/// The whole order of one list of a fleet file, by name.
+/// Complete order of one list of a fleet file, by name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListOrder {
-    /// Of the pools.
+    /// Order of the pools.
     Pools(Vec<SmolStr>),
-    /// Of the models.
+    /// Order of the models.
     Models(Vec<SmolStr>),
-    /// Of the classes.
+    /// Order of the classes.
     Classes(Vec<SmolStr>),
-    /// Of the organisations.
+    /// Order of the organisations.
     Organisations(Vec<SmolStr>),
-    /// Of the roll-outs.
+    /// Order of the roll-outs.
     Rollouts(Vec<SmolStr>),
 }
 
-/// Name of a part that a new fleet file no longer has.
+/// Name of a part that was removed from the fleet file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Gone {
+pub enum RemovedPart {
     /// A pool.
     Pool(SmolStr),
     /// A model.
@@ -195,149 +197,151 @@
     Rollout(SmolStr),
 }
 
-/// State beside the fleet file that entries act on.
+/// Live state: replicated state outside of the fleet file that entries act on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Live {
-    /// Log position that this state is of.
+pub struct LiveState {
+    /// Log index of the last change of this state.
     pub at: LogIndex,
-    /// Versions held fleet-wide by evidence.
+    /// Versions held fleet-wide because of evidence.
     pub held: Vec<VersionId>,
-    /// Where each roll-out stands.
+    /// State of each roll-out.
     pub rollouts: Vec<RolloutView>,
-    /// Fingerprints of requests that crash backend servers.
+    /// Fingerprints of quarantined requests, which crash backend servers.
     pub quarantine: Vec<Digest>,
 }
 
-/// Where a roll-out stands.
+/// View of a roll-out for entries and operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutView {
     /// Version that is rolled out.
     pub version: VersionId,
-    /// Where it stands.
+    /// State of the roll-out.
     pub state: RolloutState,
-    /// Share of eligible requests it may take (0 to 1).
+    /// Share of eligible requests that the version may receive (0 to 1).
     pub share: f64,
-    /// Rated answers seen fleet-wide at this step: good and bad.
+    /// Fleet-wide numbers of answers rated good and bad at this step.
     pub rated: (u32, u32),
 }
 
-/// Replaces a replica whose disk is lost by one with a new data folder.
+/// Replaces a replica that lost its disk by one with a new data directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replace {
-    /// Replica that is gone.
+    /// Replica to remove.
     pub gone: NodeId,
-    /// Replica that takes its place, with its own number.
+    /// New replica, which has a node number of its own.
     pub new: NodeId,
-    /// Where it listens.
+    /// Address at which the new replica listens.
     pub addr: ProcessAddr,
-    /// Incarnation of its data folder.
+    /// Incarnation of the data directory of the new replica.
     pub incarnation: u128,
 }
 
-/// Where the leader is to be found.
+/// Node number and address of the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderHint {
-    /// Number of the leader.
+    /// Node number of the leader.
     pub node: NodeId,
-    /// Where it listens, if the log knows: a replica that took the place of a
-    /// lost one is in nobody's settings yet, and may lead.
+    /// Address at which the leader listens, if the log contains it. A replica
+    /// that replaced a lost one is not listed in any settings yet but may
+    /// become leader.
     pub addr: Option<ProcessAddr>,
 }
 
-/// A control replica's answer.
+/// Reply of a control replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ControlReply {
-    /// Answer to [`ControlRequest::Renew`].
+    /// Reply to [`ControlRequest::Renew`].
     Renewed(Renewed),
-    /// Answer to [`ControlRequest::Claim`].
+    /// Reply to [`ControlRequest::Claim`].
     Claim(ClaimReply),
-    /// Answer to [`ControlRequest::Complete`].
+    /// Reply to [`ControlRequest::Complete`].
     Complete(CompleteReply),
-    /// Answer to [`ControlRequest::Look`].
+    /// Reply to [`ControlRequest::GetClaim`].
     Claimed(Option<ClaimView>),
-    /// Answer to [`ControlRequest::Pin`].
+    /// Reply to [`ControlRequest::Pin`].
     Pin(PinView),
-    /// Answer to [`ControlRequest::Apply`].
+    /// Reply to [`ControlRequest::Apply`].
     Verdict(Verdict),
-    /// Answer to [`ControlRequest::Status`].
+    /// Reply to [`ControlRequest::Status`].
     Status(Box<Status>),
-    /// Answer to [`ControlRequest::Current`].
+    /// Reply to [`ControlRequest::Current`].
     Current {
         /// Revision in force.
         revision: Revision,
-        /// The file.
+        /// Fleet file of the revision.
         fleet: Box<Fleet>,
     },
-    /// Answer to [`ControlRequest::Bills`].
+    /// Reply to [`ControlRequest::Bills`].
     Bills(Vec<Bill>),
-    /// Answer to [`ControlRequest::Settle`].
+    /// Reply to [`ControlRequest::Settle`].
     Settled(bool),
-    /// Done, with nothing to say.
+    /// The request succeeded and returns nothing.
     Done,
-    /// This replica does not lead; the leader that it knows of.
+    /// This replica is not the leader. Contains the leader, if it is known.
     NotLeader(Option<LeaderHint>),
-    /// There is no quorum, or the disk takes no writes. Nothing was written
-    /// that this replica knows of, but a write may yet come through.
+    /// There is no quorum, or the disk cannot be written. As far as this
+    /// replica knows nothing was written, but a write may still be committed.
     Unavailable(SmolStr),
-    /// The request is refused for good.
+    /// The request is invalid and must not be retried.
     Refused(SmolStr),
-    /// The group agreed to write nothing.
+    /// The command was applied and denied; nothing was written.
     Denied(Denial),
 }
 
-/// State of the group and of the entries, for operators.
+/// State of the group and of the entries, shown to operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Replica that answers.
+    /// Replica that replies.
     pub node: NodeId,
     /// Leader, if one is known.
     pub leader: Option<NodeId>,
     /// Term of the group.
     pub term: Term,
-    /// Last log position known to be committed.
+    /// Last log index known to be committed.
     pub committed: LogIndex,
-    /// Revision accepted last.
+    /// Last accepted revision.
     pub revision: Revision,
-    /// Revision that every entry has, or whose lease has ended.
+    /// Highest revision that is in force on every entry, not counting entries
+    /// whose lease has ended.
     pub in_force: Revision,
     /// Replicas of the group.
     pub replicas: Vec<ReplicaStatus>,
     /// Entries by name.
     pub entries: Vec<EntryStatus>,
-    /// State beside the file.
-    pub live: Live,
-    /// Claims kept.
+    /// Live state.
+    pub live: LiveState,
+    /// Number of claims.
     pub claims: u64,
-    /// Pins kept.
+    /// Number of pins.
     pub pins: u64,
-    /// Billing entries kept.
+    /// Number of billing entries.
     pub bills: u64,
 }
 
-/// State of a replica, as the leader sees it.
+/// State of a replica as known to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// Number of the replica.
+    /// Node number of the replica.
     pub node: NodeId,
     /// Whether it votes.
     pub voter: bool,
-    /// Last log position that it has synced.
+    /// Last log index that the replica has synced to disk.
     pub synced: LogIndex,
-    /// Time since it was last heard of.
+    /// Time since the last message from the replica.
     pub silent: Duration,
 }
 
-/// State of an entry, as the leader sees it.
+/// State of an entry as known to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EntryStatus {
     /// Name of the entry.
     pub instance: InstanceId,
     /// Failure domain of the entry.
     pub domain: DomainId,
-    /// Revision in force there.
+    /// Revision in force on the entry.
     pub revision: Revision,
-    /// Time since that revision came in force there.
+    /// Time since that revision came into force on the entry.
     pub since: Duration,
-    /// What is left of its lease; zero when it has ended.
+    /// Remaining time of its lease; zero if the lease has ended.
     pub lease_left: Duration,
 }
--- a/sesamebeam_core/src/message/entry.rs
+++ b/sesamebeam_core/src/message/entry.rs
@@ -1,4 +1,4 @@
-//! What operators ask of an entry, and its answers.
+//! Requests of operators to an entry, and its replies.
 
 use serde::{
     Deserialize,
@@ -19,27 +19,28 @@
     policy::burn::BurnReport,
 };
 
-/// What is asked of an entry.
+/// Request to an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EntryRequest {
-    /// What was decided on a recent request.
+    /// Explains the decisions made for a recent request.
     Explain(RequestId),
-    /// Burn of the objectives, of all organisations or of one.
+    /// Returns the error budget burn of all organisations or of one.
     Burn(Option<OrgId>),
-    /// State of the entry.
+    /// Returns the state of the entry.
     Status,
 }
 
-/// An entry's answer.
+/// Reply of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EntryReply {
-    /// Answer to [`EntryRequest::Explain`]; none if the request is not known here.
+    /// Reply to [`EntryRequest::Explain`]; `None` if the entry does not know
+    /// the request.
     Explained(Option<Explanation>),
-    /// Answer to [`EntryRequest::Burn`].
+    /// Reply to [`EntryRequest::Burn`].
     Burn(BurnReport),
-    /// Answer to [`EntryRequest::Status`].
+    /// Reply to [`EntryRequest::Status`].
     Status(Box<EntryState>),
-    /// The question is refused for good.
+    /// The request is invalid and must not be retried.
     Refused(SmolStr),
 }
 
@@ -50,14 +51,14 @@
     pub instance: InstanceId,
     /// Failure domain of the entry.
     pub domain: DomainId,
-    /// Revision in force there.
+    /// Revision in force on the entry.
     pub revision: Revision,
-    /// Whether its configuration lease is held.
+    /// Whether the entry holds its configuration lease.
     pub lease_held: bool,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub in_flight: u64,
-    /// Whether a stop has begun.
+    /// Whether the entry is stopping.
     pub stopping: bool,
-    /// Backend servers known there.
+    /// Backend servers known to the entry.
     pub servers: Vec<Announcement>,
 }
--- a/sesamebeam_core/src/message/peer.rs
+++ b/sesamebeam_core/src/message/peer.rs
@@ -8,7 +8,7 @@
 use super::{
     control::{
         FleetChange,
-        Live, //
+        LiveState, //
     },
     server::Announcement, //
 };
@@ -22,45 +22,47 @@
     VersionId, //
 };
 
-/// A backend server that refreshed its lease.
+/// Lease refresh of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Alive {
-    /// Address at which it takes requests.
+pub struct LeaseRefresh {
+    /// Address at which the backend server accepts requests.
     pub addr: ServerAddr,
-    /// Life of the backend server.
+    /// Incarnation of the backend server.
     pub incarnation: Incarnation,
 }
 
-/// What one entry tells another.
+/// Message from one entry to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Backend servers that are new or changed, within the failure domain.
+    /// New or changed backend servers; sent within the failure domain.
     Servers(Vec<Announcement>),
-    /// Backend servers that refreshed their leases, without their load: it
-    /// would not fit the control budget at 10,000 backend servers.
-    Alive(Vec<Alive>),
-    /// Every backend server the asker should know, wanted after a start.
-    WantServers,
-    /// The highest configuration known, wanted by an entry that starts cut off.
-    WantConfig,
-    /// The highest configuration known.
+    /// Lease refreshes of backend servers. They do not contain load reports,
+    /// which would exceed the control budget at 10,000 backend servers.
+    Alive(Vec<LeaseRefresh>),
+    /// Requests all backend servers that the sender should know. Sent after a
+    /// start.
+    RequestServers,
+    /// Requests the newest known configuration. Sent by an entry that starts
+    /// while the control group is unreachable.
+    RequestConfig,
+    /// Newest known configuration.
     Config {
         /// Revision of the file.
         revision: Revision,
-        /// The file, always whole.
+        /// Fleet file, always whole.
         fleet: FleetChange,
-        /// State beside the file.
-        live: Live,
+        /// Live state.
+        live: LiveState,
     },
-    /// Versions that this entry's own test holds, and fingerprints that it
-    /// suspects, before the control group has them.
+    /// Versions held by this entry's own test and fingerprints that it
+    /// suspects. Sent before the control group has processed them.
     Alarm {
-        /// Versions held locally.
+        /// Versions held by the sender.
         held: Vec<VersionId>,
-        /// Fingerprints with a crash.
+        /// Fingerprints that took part in a crash.
         suspects: Vec<Digest>,
     },
-    /// The entry is stopping: it takes no new requests.
+    /// The entry is stopping and accepts no new requests.
     Leaving {
         /// Name of the entry.
         instance: InstanceId,
--- a/sesamebeam_core/src/message/record.rs
+++ b/sesamebeam_core/src/message/record.rs
@@ -1,7 +1,7 @@
 //! Write-once records: claims, completions, pins, crash reports.
 //!
-//! A record is written once, by quorum. The first value wins and every later
-//! writer is told that value.
+//! A record is written once, by a quorum. The first value wins, and every later
+//! writer receives that value.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     VersionId, //
 };
 
-/// What a claim is written under: a key is unique within its organisation.
+/// Key of a claim; unique within an organisation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// Organisation of the caller.
@@ -37,239 +37,243 @@
     pub key: IdempotencyKey,
 }
 
-/// An instance in one of its lives.
+/// An instance and its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Claimant {
     /// Name of the instance.
     pub instance: InstanceId,
-    /// Life of the instance.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
 }
 
-/// A backend server in one of its lives.
+/// A backend server and its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ServerLife {
-    /// Address at which it takes requests.
+pub struct ServerIncarnation {
+    /// Address at which the backend server accepts requests.
     pub addr: ServerAddr,
-    /// Life of the backend server.
+    /// Incarnation of the backend server.
     pub incarnation: Incarnation,
 }
 
-/// What an entry asks for before it sends a request that must run at most once.
+/// Request of an entry to claim a request that must run at most once, made
+/// before the request is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// What the claim is written under.
+    /// Key of the claim.
     pub key: ClaimKey,
-    /// Digest of the request's body; another body under the key is a conflict.
+    /// Digest of the request body. Another body with the same key is a
+    /// conflict.
     pub digest: Digest,
-    /// Number under which the backend server will know the request.
+    /// Identifier by which the backend server will know the request.
     pub request: RequestId,
-    /// Entry that will send it.
+    /// Entry that will send the request.
     pub claimant: Claimant,
-    /// Backend server that it will be sent to.
-    pub target: ServerLife,
-    /// Version that will run it; none for a plain service.
+    /// Backend server that the request will be sent to.
+    pub target: ServerIncarnation,
+    /// Version that will run the request; `None` for a plain service.
     pub version: Option<VersionId>,
     /// Class of the request.
     pub class: ClassId,
-    /// Time, from before the claim was asked for, within which the claimant sends.
+    /// Dispatch window: time within which the claimant sends the request,
+    /// measured from before the claim was requested.
     pub window: Duration,
-    /// Generation that this claim replaces by compare-and-set; 0 for a first claim.
+    /// Generation that is replaced by compare-and-set; 0 for the first claim.
     pub replaces: Generation,
 }
 
-/// How far a claim has come.
+/// State of a claim.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// Claimed; the request may be sent or running.
+    /// The request is claimed and may have been sent or be running.
     Open,
-    /// The whole answer is known.
+    /// The complete answer is known.
     Completed(Completed),
-    /// The claimant proved that it sent nothing; the key may be claimed anew.
+    /// The request was proven not to have run; the key may be claimed again.
     Abandoned,
-    /// Nobody can tell any more whether it ran.
+    /// It cannot be determined any more whether the request ran.
     Unknown,
 }
 
-/// What is kept of a whole answer.
+/// Kept data of a complete answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Completed {
     /// HTTP status of the answer.
     pub status: u16,
     /// Content type of the answer.
     pub content_type: SmolStr,
-    /// Digest of the whole body.
+    /// Digest of the complete body.
     pub digest: Digest,
-    /// Length of the whole body in bytes.
+    /// Length of the complete body in bytes.
     pub length: u64,
-    /// The body, unless it is larger than the cap.
+    /// Body, unless it exceeds the size limit.
     pub body: Option<Vec<u8>>,
 }
 
-/// A claim as the control group keeps it.
+/// A claim as kept by the control group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClaimView {
-    /// Number of the claim on its key.
+    /// Generation of the claim; increases with each claim on the key.
     pub generation: Generation,
-    /// Digest of the request's body.
+    /// Digest of the request body.
     pub digest: Digest,
-    /// Number under which the backend server knows the request.
+    /// Identifier by which the backend server knows the request.
     pub request: RequestId,
-    /// Entry that claimed it.
+    /// Entry that claimed the request.
     pub claimant: Claimant,
-    /// Backend server that it was claimed for.
-    pub target: ServerLife,
-    /// Version that runs it; none for a plain service.
+    /// Backend server that the request was claimed for.
+    pub target: ServerIncarnation,
+    /// Version that runs the request; `None` for a plain service.
     pub version: Option<VersionId>,
-    /// How far it has come.
+    /// State of the claim.
     pub state: ClaimState,
-    /// Whether the dispatch window and the network bound after it are over,
-    /// by the leader's clock. Never true too early.
+    /// Whether the dispatch window and the following network bound are over by
+    /// the leader's clock. It may be set late but never early.
     pub window_over: bool,
-    /// Whether the claimant's lease is over, by the leader's clock. Never true
-    /// too early.
+    /// Whether the lease of the claimant has ended by the leader's clock. It
+    /// may be set late but never early.
     pub claimant_gone: bool,
 }
 
-/// Answer to a [`ClaimRequest`].
+/// Reply to a [`ClaimRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[expect(clippy::large_enum_variant, reason = "a reply lives for one message")]
 pub enum ClaimReply {
-    /// The claim is the asker's, with its generation.
+    /// The claim was granted with this generation.
     Granted(Generation),
-    /// Somebody was first.
+    /// Another request holds or has ended the claim.
     Existing(ClaimView),
-    /// The key was used with another body.
+    /// The key was already used with another body.
     Conflict,
 }
 
-/// Usage that is billed.
+/// Billed usage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
 }
 
-/// The end of a claim.
+/// Request to end a claim.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompleteRequest {
-    /// What the claim was written under.
+    /// Key of the claim.
     pub key: ClaimKey,
-    /// Claim that ends.
+    /// Generation of the claim.
     pub generation: Generation,
-    /// Number of the request.
+    /// Identifier of the request.
     pub request: RequestId,
-    /// How it ends.
+    /// How the claim ends.
     pub end: ClaimEnd,
-    /// Usage that is billed in the same log record.
+    /// Usage, billed in the same log entry.
     pub usage: Usage,
-    /// Wall-clock time of the end, for people.
+    /// Wall-clock time of the end; informational.
     pub at: UnixMillis,
 }
 
 /// How a claim ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClaimEnd {
-    /// The whole answer arrived.
+    /// The complete answer was received.
     Completed(Completed),
-    /// The claimant proved that it sent nothing, or that the backend server
-    /// refused without running it.
+    /// The claimant proved that it did not send the request, or that the
+    /// backend server refused it without running it.
     Abandoned,
-    /// Nobody can tell any more whether it ran.
+    /// It cannot be determined any more whether the request ran.
     Unknown,
 }
 
-/// Answer to a [`CompleteRequest`].
+/// Reply to a [`CompleteRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CompleteReply {
-    /// Recorded, also when it had been recorded before.
+    /// The end is recorded, by this request or by an earlier one.
     Recorded,
-    /// The claim had already ended in another way, or is of a later generation.
+    /// The claim has already ended in another way, has another generation or is
+    /// not kept.
     Superseded,
 }
 
-/// What one billing entry charges.
+/// State of a billing entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BillState {
-    /// The answer was whole.
+    /// The usage is charged.
     Charged,
-    /// Nobody can tell yet whether it ran.
+    /// It is not known yet whether the request ran.
     Open,
-    /// An open entry that was found not to have run.
+    /// The request of an open entry was found not to have run.
     Void,
 }
 
-/// One billing entry. Each claim has at most one.
+/// A billing entry. Each claim has at most one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bill {
-    /// Position in the export; a settled entry gets a new position.
+    /// Sequence number in the export; a settled entry gets a new number.
     pub seq: BillSeq,
-    /// Organisation and key that is billed.
+    /// Key of the billed claim.
     pub key: ClaimKey,
-    /// Number of the request.
+    /// Identifier of the request.
     pub request: RequestId,
     /// Class of the request.
     pub class: ClassId,
-    /// Version that ran it; none for a plain service.
+    /// Version that ran the request; `None` for a plain service.
     pub version: Option<VersionId>,
-    /// Usage that is billed.
+    /// Billed usage.
     pub usage: Usage,
-    /// What it charges.
+    /// State of the billing entry.
     pub state: BillState,
     /// Wall-clock time of the end of the request.
     pub at: UnixMillis,
 }
 
-/// How an open billing entry is settled.
+/// Request to settle an open billing entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleRequest {
-    /// What the claim was written under.
+    /// Key of the claim.
     pub key: ClaimKey,
     /// Whether the request ran.
     pub ran: bool,
-    /// Usage if it ran.
+    /// Usage, if the request ran.
     pub usage: Usage,
 }
 
-/// What a session pin is written under.
+/// Key of a session pin.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PinKey {
     /// Organisation of the caller.
     pub org: OrgId,
-    /// The caller's session name.
+    /// Session name chosen by the caller.
     pub session: SessionId,
     /// Model whose version is pinned.
     pub model: ModelId,
 }
 
-/// Asks for the version of a session, proposing one.
+/// Request for the pinned version of a session, with a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PinRequest {
-    /// What the pin is written under.
+    /// Key of the pin.
     pub key: PinKey,
-    /// Version proposed.
+    /// Proposed version.
     pub version: VersionId,
-    /// Generation that the proposal replaces because its version is withdrawn;
-    /// 0 for a first pin.
+    /// Generation of the pin that the proposal replaces because its version was
+    /// withdrawn; 0 for the first pin.
     pub replaces: Generation,
 }
 
-/// The version of a session.
+/// Pinned version of a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PinView {
-    /// Number of the pin on its key.
+    /// Generation of the pin; increases with each pin on the key.
     pub generation: Generation,
-    /// Version that the session keeps.
+    /// Version that the session uses.
     pub version: VersionId,
 }
 
-/// Tells that a backend server died while it ran requests.
+/// Report that a backend server crashed while it was running requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Backend server that died.
-    pub server: ServerLife,
-    /// Fingerprints of the requests that it ran, with their suspicion.
+    /// Backend server that crashed.
+    pub server: ServerIncarnation,
+    /// Fingerprints of the requests that the backend server was running.
     pub suspects: Vec<Digest>,
 }
--- a/sesamebeam_core/src/message/server.rs
+++ b/sesamebeam_core/src/message/server.rs
@@ -1,4 +1,4 @@
-//! What backend servers and the services round the system tell it.
+//! Messages from backend servers and from the rating service.
 
 use std::time::Duration;
 
@@ -17,59 +17,61 @@
     VersionId, //
 };
 
-/// Load of a backend server, as it reports it.
+/// Load reported by a backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests being run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting inside the backend server.
+    /// Number of requests queued inside the backend server.
     pub waiting: u32,
     /// Share of the KV cache in use (0 to 1).
     pub kv_used: f32,
-    /// Age of these figures when they were sent, in milliseconds.
+    /// Age of the load report when it was sent, in milliseconds.
     pub age_ms: u32,
 }
 
-/// A change in a backend server's prefix cache. Late and with gaps: a hint.
+/// Change in the prefix cache of a backend server. Events may be late or
+/// missing and are only a hint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
     /// Hash of the prefix.
     pub prefix: u64,
-    /// Whether it is now held, or was dropped.
+    /// Whether the prefix is now cached; `false` if it was evicted.
     pub held: bool,
 }
 
-/// What a backend server announces about itself, to any entry.
+/// Announcement that a backend server sends to any entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Pool it belongs to.
+    /// Pool that the backend server belongs to.
     pub pool: PoolId,
-    /// Failure domain it runs in.
+    /// Failure domain that the backend server runs in.
     pub domain: DomainId,
-    /// Address at which it takes requests.
+    /// Address at which the backend server accepts requests.
     pub addr: ServerAddr,
-    /// Life of the backend server.
+    /// Incarnation of the backend server.
     pub incarnation: Incarnation,
-    /// Grows with each announcement of one life.
+    /// Sequence number; increases with each announcement of an incarnation.
     pub seq: u64,
-    /// Whether it is leaving and takes no new work.
+    /// Whether the backend server is shutting down and accepts no new work.
     #[serde(default)]
     pub leaving: bool,
-    /// Load, with its lag.
+    /// Load and its age.
     #[serde(default)]
     pub load: Load,
-    /// Versions it has loaded.
+    /// Versions that the backend server has loaded.
     #[serde(default)]
     pub versions: Vec<VersionId>,
-    /// Changes in its prefix cache since the last announcement.
+    /// Changes in the prefix cache since the last announcement.
     #[serde(default)]
     pub cache: Vec<CacheEvent>,
-    /// Generated tokens a second of one stream when nothing else runs.
+    /// Generated tokens per second of a single stream when no other request
+    /// runs.
     #[serde(default)]
     pub speed: f32,
 }
 
-/// What the rating service says of one answer.
+/// Rating of one answer by the rating service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rating {
     /// Request that was answered.
--- a/sesamebeam_core/src/message/wire.rs
+++ b/sesamebeam_core/src/message/wire.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages with a version in front.
+//! Encoding of messages, prefixed with a version.
 
 use serde::{
     Serialize,
@@ -6,28 +6,29 @@
 };
 use thiserror::Error;
 
-/// Version that this release writes.
+/// Wire version that this release writes.
 pub const WIRE_VERSION: u8 = 1;
 
-/// Oldest version that this release reads: one release back.
+/// Oldest wire version that this release reads, that of the previous release.
 pub const OLDEST_WIRE_VERSION: u8 = 1;
 
-/// Largest message in bytes; a longer one is refused before it is read.
-pub const MAX_MESSAGE: usize = 8 << 20;
+/// Maximum message length in bytes; a longer message is refused before it is
+/// read.
+pub const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
-/// Why a message could not be written or read.
+/// Reason why a message could not be encoded or decoded.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum WireError {
-    /// The message has no bytes.
+    /// The message is empty.
     #[error("message is empty")]
     Empty,
     /// The message is too long.
-    #[error("message of {0} bytes is longer than {MAX_MESSAGE}")]
+    #[error("message of {0} bytes is longer than {MAX_MESSAGE_BYTES}")]
     TooLong(usize),
-    /// The sender's version is not understood.
+    /// The wire version of the sender is not supported.
     #[error("wire version {0} is not understood, only {OLDEST_WIRE_VERSION} to {WIRE_VERSION}")]
     Version(u8),
-    /// The bytes do not decode.
+    /// The message cannot be decoded.
     #[error("message does not decode: {0}")]
     Codec(#[from] postcard::Error),
 }
@@ -39,7 +40,7 @@
 /// Fails if the message is longer than [`MAX_MESSAGE`].
 pub fn encode(message: &impl Serialize) -> Result<Vec<u8>, WireError> {
     let buf = postcard::to_extend(message, vec![WIRE_VERSION])?;
-    if buf.len() > MAX_MESSAGE {
+    if buf.len() > MAX_MESSAGE_BYTES {
         return Err(WireError::TooLong(buf.len()));
     }
     Ok(buf)
@@ -49,9 +50,10 @@
 ///
 /// # Errors
 ///
-/// Fails if the version is not understood or the bytes do not decode.
+/// Fails if the message is empty, too long or cannot be decoded, or if its
+/// version is not supported.
 pub fn decode<T: DeserializeOwned>(buf: &[u8]) -> Result<T, WireError> {
-    if buf.len() > MAX_MESSAGE {
+    if buf.len() > MAX_MESSAGE_BYTES {
         return Err(WireError::TooLong(buf.len()));
     }
     let (&version, body) = buf.split_first().ok_or(WireError::Empty)?;
--- a/sesamebeam_core/src/policy/balance.rs
+++ b/sesamebeam_core/src/policy/balance.rs
@@ -28,7 +28,7 @@
         VersionId, //
     },
     message::{
-        record::ServerLife,
+        record::ServerIncarnation,
         server::{
             Announcement,
             Load, //
@@ -147,7 +147,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pick {
     /// The selected backend server and its incarnation.
-    pub server: ServerLife,
+    pub server: ServerIncarnation,
     /// Expected time until the complete answer.
     pub wait: Duration,
     /// All backend servers that were considered.
@@ -299,7 +299,7 @@
     /// Applies the pause that an incarnation of a backend server requested, if
     /// any, unless an earlier pause ends later. A pause ends only when its time
     /// is over.
-    pub fn pause(&mut self, now: MonoTime, server: ServerLife, requested: Option<Duration>) {
+    pub fn pause(&mut self, now: MonoTime, server: ServerIncarnation, requested: Option<Duration>) {
         let state = self.servers.get_mut(&server.addr);
         let state = state.filter(|state| state.incarnation == server.incarnation);
         let (Some(state), Some(requested)) = (state, requested) else {
@@ -374,7 +374,7 @@
         let index = best(&considered).or_else(|| self.score_all(now, input, &mut considered))?;
         let (_, state) = self.servers.get_key_value(&considered[index].addr)?;
         Some(Pick {
-            server: ServerLife {
+            server: ServerIncarnation {
                 addr: considered[index].addr,
                 incarnation: state.incarnation,
             },
@@ -386,7 +386,7 @@
     /// Returns whether a backend server may still receive new requests: it is
     /// known with this incarnation, is not leaving and has not requested a
     /// pause. Checked again immediately before sending.
-    pub fn accepts_requests(&self, now: MonoTime, server: ServerLife) -> bool {
+    pub fn accepts_requests(&self, now: MonoTime, server: ServerIncarnation) -> bool {
         let state = self.servers.get(&server.addr);
         let state = state.filter(|state| state.incarnation == server.incarnation);
         state.is_some_and(|state| !state.leaving && state.pause_at(now).is_none())
--- a/sesamebeam_core/src/policy/exposure.rs
+++ b/sesamebeam_core/src/policy/exposure.rs
@@ -43,7 +43,7 @@
             Evidence,
             RolloutState, //
         },
-        control::Live, //
+        control::LiveState, //
     },
 };
 
@@ -225,7 +225,7 @@
     }
 
     /// Applies the control group's state: fleet-wide holds and roll-out shares.
-    pub fn apply_live(&mut self, live: &Live) {
+    pub fn apply_live(&mut self, live: &LiveState) {
         for (version, trust) in &mut self.versions {
             trust.fleet_hold = live.held.contains(version);
             trust.share = 0.0;
--- a/sesamebeam_core/src/policy/suspects.rs
+++ b/sesamebeam_core/src/policy/suspects.rs
@@ -23,7 +23,7 @@
     },
     message::record::{
         CrashReport,
-        ServerLife, //
+        ServerIncarnation, //
     },
 };
 
@@ -84,7 +84,7 @@
     crashes: u32,
     last_crash: MonoTime,
     /// Backend servers on which it is currently running.
-    running: Vec<ServerLife>,
+    running: Vec<ServerIncarnation>,
 }
 
 /// Tracks the fingerprints of requests that were in flight during crashes.
@@ -145,7 +145,7 @@
 
     /// Returns the backend servers on which a suspect must not run now because
     /// another suspect is running there.
-    pub fn occupied_servers(&self, fingerprint: Digest) -> Vec<ServerLife> {
+    pub fn occupied_servers(&self, fingerprint: Digest) -> Vec<ServerIncarnation> {
         if !self.cfg.isolate || !self.suspects.contains_key(&fingerprint) {
             return Vec::new();
         }
@@ -159,7 +159,7 @@
     }
 
     /// Records that a request was sent.
-    pub fn started(&mut self, fingerprint: Digest, server: ServerLife) {
+    pub fn started(&mut self, fingerprint: Digest, server: ServerIncarnation) {
         if let Some(suspicion) = self.suspects.get_mut(&fingerprint) {
             suspicion.running.push(server);
         }
@@ -167,7 +167,7 @@
 
     /// Records that a request ended without a crash of its backend server. A
     /// complete answer clears the request.
-    pub fn finished(&mut self, fingerprint: Digest, server: ServerLife, whole: bool) {
+    pub fn finished(&mut self, fingerprint: Digest, server: ServerIncarnation, whole: bool) {
         if whole {
             self.suspects.swap_remove(&fingerprint);
             self.local_quarantine.swap_remove(&fingerprint);
@@ -189,7 +189,7 @@
     pub fn record_crash(
         &mut self,
         now: MonoTime,
-        server: ServerLife,
+        server: ServerIncarnation,
         in_flight: &[Digest],
     ) -> Option<CrashReport> {
         if !self.cfg.attribute_crashes {
--- a/sesamebeam_core/src/state.rs
+++ b/sesamebeam_core/src/state.rs
@@ -1,8 +1,8 @@
 //! The replicated state machine of the control group.
 //!
-//! Every replica applies the same commands in the same order and comes to the
-//! same state, bit for bit: nothing here reads a clock or draws a number, and
-//! time is the log's own, moved by [`Command::Clock`].
+//! Every replica applies the same commands in the same order and reaches a
+//! bit-identical state. Code in this module therefore reads no clock and draws
+//! no random numbers; time is the log clock, which [`Command::Clock`] advances.
 
 mod bill;
 mod claim;
@@ -21,14 +21,14 @@
 use thiserror::Error;
 
 pub use self::claim::{
-    MAX_WINDOW,
-    Opening, //
+    ClaimGrant,
+    MAX_DISPATCH_WINDOW, //
 };
 use self::{
     bill::Bills,
     claim::{
-        Claims,
-        Cx, //
+        ApplyContext,
+        Claims, //
     },
     config::Config,
     crash::Crashes,
@@ -57,7 +57,7 @@
         },
         control::{
             FleetChange,
-            Live,
+            LiveState,
             RolloutView, //
         },
         record::{
@@ -70,59 +70,63 @@
     },
 };
 
-/// Layout of a snapshot that this release writes and reads.
+/// Version of the snapshot layout that this release writes and reads.
 const SNAPSHOT_VERSION: u8 = 1;
 
-/// Bytes in front of a snapshot's body: its layout and checksum.
+/// Length of the header before the snapshot body: layout version and checksum.
 const SNAPSHOT_HEADER: usize = 5;
 
-/// Why a snapshot was not restored.
+/// Reason why a snapshot could not be restored.
 #[derive(Debug, Error)]
 pub enum StateError {
     /// The snapshot is shorter than its header.
     #[error("snapshot of {0} bytes is shorter than its header")]
-    Short(usize),
-    /// The snapshot's layout is not understood.
+    TooShort(usize),
+    /// The layout version of the snapshot is not supported.
     #[error("snapshot layout {0} is not understood, only {SNAPSHOT_VERSION}")]
     Version(u8),
-    /// The snapshot's checksum does not fit.
-    #[error("snapshot checksum is {found:08x}, not {wanted:08x}")]
+    /// The checksum of the snapshot does not match.
+    #[error("snapshot checksum is {found:08x}, not {expected:08x}")]
     Checksum {
         /// Checksum in the header.
-        wanted: u32,
+        expected: u32,
         /// Checksum of the body.
         found: u32,
     },
-    /// The snapshot does not decode.
+    /// The snapshot cannot be decoded.
     #[error("snapshot does not decode: {0}")]
     Codec(#[from] postcard::Error),
 }
 
-/// Safeguards that a test switches off to see its failure come about.
+/// Fault injection for tests: each field disables one safeguard, so that a test
+/// can reproduce the failure which it prevents.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// A claim is retaken whichever opening the leader judged.
-    pub retake_any_opening: bool,
-    /// A completion that comes twice is billed twice.
+    /// A claim is retaken even if it was granted again after the leader
+    /// evaluated it.
+    pub retake_any_grant: bool,
+    /// A completion that is reported twice is billed twice.
     pub bill_resends: bool,
-    /// Verdicts do not go into snapshots.
+    /// Snapshots do not contain verdicts.
     pub snapshot_without_verdicts: bool,
-    /// A pin may be on any version.
+    /// A session may be pinned to any version.
     pub pin_any_version: bool,
-    /// Every fingerprint of two crashes is quarantined.
+    /// Every fingerprint that took part in two crashes is quarantined.
     pub quarantine_bystanders: bool,
-    /// Roll-outs step without their gates.
+    /// Roll-outs advance before their gates are met.
     pub step_without_gate: bool,
-    /// A leader counts a claimant without a lease as gone from its first moment.
+    /// A new leader considers claimants without a known lease as gone
+    /// immediately.
     pub trust_empty_leases: bool,
-    /// Dispatch windows count as over at once.
+    /// Dispatch windows are considered over immediately.
     pub ignore_windows: bool,
-    /// A leader orders and answers without its lease.
+    /// A leader issues orders and answers requests without holding its lease.
     pub act_without_lease: bool,
-    /// A leader gives orders before the lease of the one before it is over.
+    /// A leader issues orders before the lease of its predecessor has ended.
     pub order_at_once: bool,
-    /// Orders ignore the weight store's rate and the size of the pool.
+    /// Orders ignore the transfer rate of the weight store and the size of the
+    /// pool.
     pub order_unpaced: bool,
 }
 
@@ -139,42 +143,43 @@
     crashes: Crashes,
     rollouts: Rollouts,
     fencing: Fencing,
-    live: Live,
-    /// Switches of tests.
+    live: LiveState,
+    /// Fault injection for tests.
     #[doc(hidden)]
     #[serde(skip)]
     pub faults: Faults,
 }
 
 impl State {
-    /// Applies a command at its position in the log.
+    /// Applies the command at a log index.
     ///
-    /// A position that was applied before is a fault of the caller; positions
-    /// may have gaps.
+    /// Indexes must increase but may have gaps. Applying an index again is an
+    /// error of the caller.
     ///
     /// # Panics
     ///
-    /// Panics in debug builds if the position does not grow.
+    /// Panics in debug builds if the index does not increase.
     pub fn apply(&mut self, index: LogIndex, command: &Command) -> Outcome {
         debug_assert!(index > self.applied, "position {index} was applied before");
         self.applied = index;
-        let outcome = self.outcome_of(index, command);
-        if touches_live(command) {
-            self.refresh_live(index);
+        let outcome = self.execute(index, command);
+        if affects_live_state(command) {
+            self.refresh_live_state(index);
         }
         outcome
     }
 
-    /// Writes the whole state.
+    /// Serialises the whole state.
     ///
     /// # Panics
     ///
-    /// Panics if the codec refuses a type of the state, which no value does.
+    /// Panics if the codec cannot encode a type of the state, which does not
+    /// depend on the value.
     pub fn snapshot(&self) -> Vec<u8> {
         let buf = vec![SNAPSHOT_VERSION, 0, 0, 0, 0];
         let written = if self.faults.snapshot_without_verdicts {
             let mut state = self.clone();
-            state.config.forget_verdicts();
+            state.config.clear_verdicts();
             postcard::to_extend(&state, buf)
         } else {
             postcard::to_extend(self, buf)
@@ -185,15 +190,16 @@
         buf
     }
 
-    /// Reads a state that [`State::snapshot`] wrote.
+    /// Restores a state from a snapshot written by [`State::snapshot`].
     ///
     /// # Errors
     ///
-    /// Fails if the layout is not understood, or the bytes are not whole.
+    /// Fails if the layout version is not supported or the bytes are truncated
+    /// or corrupted.
     pub fn restore(buf: &[u8]) -> Result<Self, StateError> {
         let (header, body) = buf
             .split_first_chunk::<SNAPSHOT_HEADER>()
-            .ok_or(StateError::Short(buf.len()))?;
+            .ok_or(StateError::TooShort(buf.len()))?;
         let [version, checksum @ ..] = *header;
         if version != SNAPSHOT_VERSION {
             return Err(StateError::Version(version));
@@ -201,111 +207,117 @@
         let wanted = u32::from_le_bytes(checksum);
         let found = crc32fast::hash(body);
         if wanted != found {
-            return Err(StateError::Checksum { wanted, found });
+            return Err(StateError::Checksum {
+                expected: wanted,
+                found,
+            });
         }
         Ok(postcard::from_bytes(body)?)
     }
 
-    /// Returns the position applied last.
+    /// Returns the last applied log index.
     pub fn applied(&self) -> LogIndex {
         self.applied
     }
 
-    /// Returns the time on the log's own clock.
+    /// Returns the time of the log clock.
     pub fn clock(&self) -> Duration {
         self.clock
     }
 
-    /// Returns how long records are kept.
+    /// Returns the retention limits.
     pub fn retention(&self) -> &Retention {
         &self.retention
     }
 
-    /// Returns the revision accepted last.
+    /// Returns the last accepted revision.
     pub fn revision(&self) -> Revision {
         self.config.revision
     }
 
-    /// Returns the highest revision found to be in force at every entry.
+    /// Returns the highest revision known to be in force on every entry.
     pub fn in_force(&self) -> Revision {
         self.config.in_force
     }
 
-    /// Returns the fleet file accepted last.
+    /// Returns the last accepted fleet file.
     pub fn fleet(&self) -> &Fleet {
         &self.config.fleet
     }
 
-    /// Finds the verdict that a change was given.
+    /// Returns the verdict on a change, if it is still kept.
     pub fn verdict(&self, change: &Change) -> Option<&Verdict> {
         self.config.verdict(change)
     }
 
-    /// Computes the change that brings an entry from a revision to the newest.
+    /// Returns the change that updates an entry from `revision` to the newest
+    /// revision.
     pub fn change_from(&self, revision: Revision) -> Option<FleetChange> {
         self.config.change_from(revision)
     }
 
-    /// Returns the state beside the file. Its position moves only when something
-    /// changes that an entry acts on.
-    pub fn live(&self) -> &Live {
+    /// Returns the live state. Its log index only changes if something changes
+    /// that entries act on.
+    pub fn live(&self) -> &LiveState {
         &self.live
     }
 
-    /// Views a claim. What only a leader's clock tells is false.
+    /// Returns a claim. The fields that depend on the leader's clock are
+    /// `false`.
     pub fn claim(&self, key: &ClaimKey) -> Option<&ClaimView> {
         self.claims.view(key)
     }
 
-    /// Finds when in the log a claim was granted last, and its window.
-    pub fn opening(&self, key: &ClaimKey) -> Option<Opening> {
-        self.claims.opening(key)
+    /// Returns the log index and the dispatch window of the last grant of a
+    /// claim.
+    pub fn grant(&self, key: &ClaimKey) -> Option<ClaimGrant> {
+        self.claims.grant(key)
     }
 
-    /// Finds a pin.
+    /// Returns a pin.
     pub fn pin(&self, key: &PinKey) -> Option<&PinView> {
         self.pins.view(key)
     }
 
-    /// Lists billing entries from a position on.
+    /// Returns up to `limit` billing entries from sequence number `from`.
     pub fn bills(&self, from: BillSeq, limit: usize) -> Vec<Bill> {
         self.bills.list(from, limit)
     }
 
-    /// Tells where a roll-out stands.
+    /// Returns the state of a roll-out.
     pub fn rollout(&self, version: &str) -> Option<RolloutState> {
         self.rollouts.state(version)
     }
 
-    /// Lists the roll-out steps whose gates are passed.
+    /// Returns the roll-out steps whose gates are met.
     pub fn due_steps(&self) -> Vec<RolloutStep> {
         self.rollouts.due(&self.config.fleet, self.clock)
     }
 
-    /// Counts the claims.
-    pub fn claims_kept(&self) -> usize {
+    /// Returns the number of claims.
+    pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
-    /// Counts the pins.
-    pub fn pins_kept(&self) -> usize {
+    /// Returns the number of pins.
+    pub fn pin_count(&self) -> usize {
         self.pins.len()
     }
 
-    /// Counts the billing entries.
-    pub fn bills_kept(&self) -> usize {
+    /// Returns the number of billing entries.
+    pub fn bill_count(&self) -> usize {
         self.bills.len()
     }
 
-    /// Counts the bytes of kept answer bodies.
+    /// Returns the total size of the kept response bodies in bytes.
     pub fn body_bytes(&self) -> u64 {
         self.claims.body_bytes()
     }
 
-    fn outcome_of(&mut self, index: LogIndex, command: &Command) -> Outcome {
+    fn execute(&mut self, index: LogIndex, command: &Command) -> Outcome {
         let clock = self.clock;
         match command {
-            Command::Clock { at } => self.move_clock(index, *at),
+            Command::Clock { at } => self.advance_clock(index, *at),
             Command::Retention(retention) => self.retention = retention.clone(),
             Command::InForce(revision) => self.set_in_force(*revision),
             Command::Evidence(evidence) => {
@@ -316,41 +328,41 @@
                 self.rollouts.step(&self.config.fleet, step, clock, gates);
             }
             Command::Cleared(fingerprints) => self.crashes.clear(clock, fingerprints),
-            Command::Apply(change) => return Outcome::Verdict(self.judge(change)),
+            Command::Apply(change) => return Outcome::Verdict(self.apply_change(change)),
             Command::Claim(req) => {
-                let (claims, mut cx) = self.claims_cx(index);
+                let (claims, mut cx) = self.claims_with_context(index);
                 return claims.claim(&mut cx, req);
             }
             Command::Retake(retake) => {
-                let (claims, mut cx) = self.claims_cx(index);
+                let (claims, mut cx) = self.claims_with_context(index);
                 return claims.retake(&mut cx, retake);
             }
             Command::Complete(req) => {
-                let (claims, mut cx) = self.claims_cx(index);
+                let (claims, mut cx) = self.claims_with_context(index);
                 return Outcome::Complete(claims.complete(&mut cx, req));
             }
             Command::Settle(req) => {
-                let (claims, mut cx) = self.claims_cx(index);
+                let (claims, mut cx) = self.claims_with_context(index);
                 return Outcome::Settled(claims.settle(&mut cx, req));
             }
             Command::Pin(req) => {
-                let any = self.faults.pin_any_version;
+                let any_version = self.faults.pin_any_version;
                 return self
                     .pins
-                    .pin(&self.config, clock, &self.retention, req, any);
+                    .pin(&self.config, clock, &self.retention, req, any_version);
             }
             Command::Crash(report) => {
                 let bystanders = self.faults.quarantine_bystanders;
                 self.crashes.report(clock, report, bystanders);
                 return Outcome::Quarantined(self.crashes.quarantined());
             }
-            Command::Order(order) => return Outcome::Ordered(self.order(order)),
+            Command::Order(order) => return Outcome::Ordered(self.assign_fencing(order)),
         }
         Outcome::Done
     }
 
-    fn claims_cx(&mut self, index: LogIndex) -> (&mut Claims, Cx<'_>) {
-        let cx = Cx {
+    fn claims_with_context(&mut self, index: LogIndex) -> (&mut Claims, ApplyContext<'_>) {
+        let cx = ApplyContext {
             index,
             clock: self.clock,
             retention: &self.retention,
@@ -360,9 +372,9 @@
         (&mut self.claims, cx)
     }
 
-    fn move_clock(&mut self, index: LogIndex, at: Duration) {
+    fn advance_clock(&mut self, index: LogIndex, at: Duration) {
         self.clock = self.clock.max(at);
-        let (claims, mut cx) = self.claims_cx(index);
+        let (claims, mut cx) = self.claims_with_context(index);
         claims.expire(&mut cx);
         self.bills.expire(self.clock, self.retention.bills);
         self.pins.expire(self.clock, self.retention.pins);
@@ -375,18 +387,19 @@
         self.config.in_force = self.config.in_force.max(known);
     }
 
-    fn judge(&mut self, change: &Change) -> Verdict {
+    fn apply_change(&mut self, change: &Change) -> Verdict {
         let before = self.config.revision;
         let old = self.config.fleet.clone();
-        let verdict = self.config.judge(change, self.clock);
+        let verdict = self.config.decide(change, self.clock);
         if self.config.revision != before {
-            self.rollouts.follow(&old, &self.config.fleet, self.clock);
+            self.rollouts
+                .update_fleet(&old, &self.config.fleet, self.clock);
         }
         self.config.expire(self.clock, &self.retention);
         verdict
     }
 
-    fn order(&mut self, order: &Order) -> Order {
+    fn assign_fencing(&mut self, order: &Order) -> Order {
         self.fencing += 1;
         Order {
             fencing: self.fencing,
@@ -394,10 +407,10 @@
         }
     }
 
-    /// Works out the live state anew. Its position stays if nothing changed that
-    /// an entry acts on: counts of ratings come all the time, and each would
-    /// otherwise be sent to every entry.
-    fn refresh_live(&mut self, index: LogIndex) {
+    /// Recomputes the live state. Its log index stays the same if nothing
+    /// changed that entries act on: rating counts change all the time, and each
+    /// change would otherwise be sent to every entry.
+    fn refresh_live_state(&mut self, index: LogIndex) {
         let held = self.rollouts.held();
         let rollouts = self.rollouts.views(&self.config.fleet);
         let quarantine = self.crashes.quarantined();
@@ -407,9 +420,9 @@
                 .live
                 .rollouts
                 .iter()
-                .map(acted_on)
-                .eq(rollouts.iter().map(acted_on));
-        self.live = Live {
+                .map(relevant_fields)
+                .eq(rollouts.iter().map(relevant_fields));
+        self.live = LiveState {
             at: if same { self.live.at } else { index },
             held,
             rollouts,
@@ -418,8 +431,8 @@
     }
 }
 
-/// Tells whether a command may change what entries act on beside the file.
-fn touches_live(command: &Command) -> bool {
+/// Returns whether a command may change the live state.
+fn affects_live_state(command: &Command) -> bool {
     match command {
         Command::Clock { .. }
         | Command::Apply(_)
@@ -438,7 +451,7 @@
     }
 }
 
-/// Picks the part of a roll-out that an entry acts on.
-fn acted_on(view: &RolloutView) -> (&VersionId, RolloutState, f64) {
+/// Returns the fields of a roll-out that entries act on.
+fn relevant_fields(view: &RolloutView) -> (&VersionId, RolloutState, f64) {
     (&view.version, view.state, view.share)
 }
--- a/sesamebeam_core/src/state/bill.rs
+++ b/sesamebeam_core/src/state/bill.rs
@@ -1,4 +1,4 @@
-//! Billing entries: one for each claim, exported by sequence number.
+//! Billing entries, at most one per claim, exported by sequence number.
 
 use std::{
     collections::{
@@ -21,25 +21,25 @@
     },
 };
 
-/// The billing entries that are kept.
+/// The kept billing entries.
 ///
-/// INVARIANT: `due` holds exactly the entries that are not open.
+/// INVARIANT: `due` contains exactly the entries that are not open.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Bills {
-    /// Sequence number given last.
+    /// Last assigned sequence number.
     last: BillSeq,
-    /// Entries by position, with the time at which each got it.
+    /// Entries by sequence number, with the time at which it was assigned.
     entries: BTreeMap<BillSeq, (Duration, Bill)>,
-    /// Entries that may expire, the oldest first.
+    /// Entries that may expire, oldest first.
     due: BTreeSet<(Duration, BillSeq)>,
 }
 
 impl Bills {
-    /// Writes an entry at the end of the export.
+    /// Appends an entry, removing the one that it replaces.
     ///
-    /// An entry that changes moves: an export that was read past its old
-    /// position would otherwise never show the change.
-    pub(super) fn write(
+    /// A changed entry gets a new sequence number. An export that has already
+    /// read past the old number would otherwise never see the change.
+    pub(super) fn append(
         &mut self,
         clock: Duration,
         replaces: Option<BillSeq>,
@@ -57,23 +57,23 @@
         seq
     }
 
-    /// Finds an entry by its position.
+    /// Returns an entry by sequence number.
     pub(super) fn get(&self, seq: BillSeq) -> Option<&Bill> {
         self.entries.get(&seq).map(|(_, bill)| bill)
     }
 
-    /// Lists entries from a position on.
+    /// Returns up to `limit` entries from sequence number `from`.
     pub(super) fn list(&self, from: BillSeq, limit: usize) -> Vec<Bill> {
         let entries = self.entries.range(from..).take(limit);
         entries.map(|(_, (_, bill))| bill.clone()).collect()
     }
 
-    /// Counts the entries.
+    /// Returns the number of entries.
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Drops settled entries over their time.
+    /// Removes charged and void entries whose retention has ended.
     pub(super) fn expire(&mut self, clock: Duration, kept: Duration) {
         while let Some(&(at, seq)) = self.due.first() {
             if at + kept > clock {
--- a/sesamebeam_core/src/state/claim.rs
+++ b/sesamebeam_core/src/state/claim.rs
@@ -1,4 +1,4 @@
-//! Claims on requests that must run at most once, and how they end.
+//! Claims on requests that must run at most once.
 
 use std::{
     collections::{
@@ -49,50 +49,52 @@
     },
 };
 
-/// Longest dispatch window that a claim may ask for.
-pub const MAX_WINDOW: Duration = Duration::from_secs(60);
+/// Maximum dispatch window that a claim may request.
+pub const MAX_DISPATCH_WINDOW: Duration = Duration::from_secs(60);
 
-/// The claims that are kept.
+/// The kept claims.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Claims {
     /// Claims by key.
     records: BTreeMap<ClaimKey, Record>,
-    /// Keys by the time from which their retention counts, the oldest first.
+    /// Keys by the time at which their retention starts, oldest first.
     due: BTreeSet<(Duration, ClaimKey)>,
-    /// Keys of kept answer bodies by the position of their completion.
+    /// Keys of the kept response bodies, by the log index of the completion.
     bodies: BTreeMap<LogIndex, ClaimKey>,
-    /// Bytes of the kept answer bodies.
+    /// Total size of the kept response bodies in bytes.
     body_bytes: u64,
-    /// Claims that have not ended.
+    /// Number of open claims.
     open: u32,
 }
 
-/// Shortest time that an ended claim is kept, also when the table is full.
-const LEAST_KEPT: Duration = Duration::from_secs(3600);
+/// Minimum time for which an ended claim is kept, even if the table is full.
+const MIN_ENDED_AGE: Duration = Duration::from_secs(3600);
 
-/// Oldest claims that are looked at for one that may go.
-const MOST_LOOKED_AT: usize = 64;
+/// Maximum number of claims that are searched, oldest first, for one to evict.
+const MAX_EVICTION_SCAN: usize = 64;
 
-/// One claim.
+/// A claim with its retention and billing data.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Record {
     view: ClaimView,
     class: ClassId,
     window: Duration,
-    /// Log position at which the claim was granted last.
-    opened: LogIndex,
-    /// Time on the log's clock from which retention counts.
+    /// Log index of the last grant of the claim.
+    granted_at: LogIndex,
+    /// Log clock time at which retention starts.
     since: Duration,
-    /// Position of its billing entry.
+    /// Sequence number of the billing entry.
     bill: Option<BillSeq>,
-    /// How an operator settled the billing entry.
+    /// Whether an operator declared that the request ran, if the billing entry
+    /// was settled.
     settled: Option<bool>,
-    /// Position of the completion whose answer body is kept.
-    body_at: Option<LogIndex>,
+    /// Log index of the completion, if its response body is kept.
+    body_index: Option<LogIndex>,
 }
 
-/// Where in the log a command stands, with what it may touch besides claims.
-pub(super) struct Cx<'a> {
+/// Context of a command: its log index and the state that it may access besides
+/// the claims.
+pub(super) struct ApplyContext<'a> {
     pub(super) index: LogIndex,
     pub(super) clock: Duration,
     pub(super) retention: &'a Retention,
@@ -100,63 +102,69 @@
     pub(super) bills: &'a mut Bills,
 }
 
-/// An open claim, as the leader needs it to judge its window.
+/// The last grant of a claim. The leader uses it to determine whether the
+/// dispatch window is over.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Opening {
-    /// Log position at which the claim was granted last.
-    pub opened: LogIndex,
-    /// Dispatch window that it was granted with.
+pub struct ClaimGrant {
+    /// Log index of the last grant of the claim.
+    pub granted_at: LogIndex,
+    /// Dispatch window of the grant.
     pub window: Duration,
 }
 
 impl Claims {
-    /// Applies a claim.
-    pub(super) fn claim(&mut self, cx: &mut Cx<'_>, req: &ClaimRequest) -> Outcome {
-        if req.window > MAX_WINDOW {
+    /// Applies a claim request.
+    pub(super) fn claim(&mut self, cx: &mut ApplyContext<'_>, req: &ClaimRequest) -> Outcome {
+        if req.window > MAX_DISPATCH_WINDOW {
             return Outcome::Denied(Denial::WindowTooLong);
         }
         let Some(record) = self.records.get_mut(&req.key) else {
-            return self.first(cx, req);
+            return self.claim_first(cx, req);
         };
         if record.view.digest != req.digest {
             return Outcome::Claim(ClaimReply::Conflict);
         }
-        if record.granted_to(req) {
-            // The asker may count its window from this second request. The
-            // position moves, so that a replica counts the window anew too.
-            record.opened = cx.index;
+        if record.is_resend_of(req) {
+            // The claimant may measure its window from this second request. The
+            // new log index makes replicas restart the window, too.
+            record.granted_at = cx.index;
             record.window = record.window.max(req.window);
             return Outcome::Claim(ClaimReply::Granted(record.view.generation));
         }
         let replaced = req.replaces == record.view.generation;
         if replaced && record.view.state == ClaimState::Abandoned {
-            return self.renew(cx, req);
+            return self.replace(cx, req);
         }
         Outcome::Claim(ClaimReply::Existing(record.view.clone()))
     }
 
-    /// Applies a claim that replaces an open one whose claimant is gone.
+    /// Applies a claim that replaces an open claim whose claimant is gone.
     ///
-    /// Two entries that both find the claimant gone would both send. Replacing
-    /// by compare-and-set lets one of them through: the generation and the
-    /// opening must be those that the leader judged.
-    pub(super) fn retake(&mut self, cx: &mut Cx<'_>, retake: &Retake) -> Outcome {
+    /// Two entries that both find the claimant gone would both send the
+    /// request. The claim is therefore replaced by compare-and-set: its
+    /// generation and its last grant must be those that the leader evaluated.
+    pub(super) fn retake(&mut self, cx: &mut ApplyContext<'_>, retake: &Retake) -> Outcome {
         let req = &retake.claim;
         let Some(record) = self.records.get(&req.key) else {
             return Outcome::Denied(Denial::ClaimExpired);
         };
-        let judged = req.replaces == record.view.generation
-            && (retake.opened == record.opened || cx.faults.retake_any_opening);
+        let unchanged = req.replaces == record.view.generation
+            && (retake.granted_at == record.granted_at || cx.faults.retake_any_grant);
         let same_body = record.view.digest == req.digest;
-        if judged && same_body && record.view.state == ClaimState::Open {
-            self.renew(cx, req)
+        if unchanged && same_body && record.view.state == ClaimState::Open {
+            self.replace(cx, req)
         } else {
             self.claim(cx, req)
         }
     }
 
-    /// Applies the end of a claim, with its billing entry in the same step.
-    pub(super) fn complete(&mut self, cx: &mut Cx<'_>, req: &CompleteRequest) -> CompleteReply {
+    /// Applies the end of a claim and writes its billing entry in the same
+    /// command.
+    pub(super) fn complete(
+        &mut self,
+        cx: &mut ApplyContext<'_>,
+        req: &CompleteRequest,
+    ) -> CompleteReply {
         let Some(record) = self.records.get_mut(&req.key) else {
             return CompleteReply::Superseded;
         };
@@ -182,9 +190,9 @@
         CompleteReply::Recorded
     }
 
-    /// Applies an operator's settling of an open billing entry. The claim stays
-    /// unknown: an operator's word starts no second run.
-    pub(super) fn settle(&mut self, cx: &mut Cx<'_>, req: &SettleRequest) -> bool {
+    /// Settles an open billing entry as declared by an operator. The claim
+    /// stays unknown, so that the declaration cannot cause a second run.
+    pub(super) fn settle(&mut self, cx: &mut ApplyContext<'_>, req: &SettleRequest) -> bool {
         let Some(record) = self.records.get_mut(&req.key) else {
             return false;
         };
@@ -205,8 +213,9 @@
         true
     }
 
-    /// Ends open claims over their time as unknown, and drops ended ones.
-    pub(super) fn expire(&mut self, cx: &mut Cx<'_>) {
+    /// Ends open claims whose retention has ended as unknown, and removes ended
+    /// ones.
+    pub(super) fn expire(&mut self, cx: &mut ApplyContext<'_>) {
         while let Some((since, key)) = self.due.first() {
             if *since + cx.retention.claims > cx.clock {
                 return;
@@ -220,37 +229,38 @@
         }
     }
 
-    /// Views a claim. What only a leader's clock tells is false.
+    /// Returns a claim. The fields that depend on the leader's clock are
+    /// `false`.
     pub(super) fn view(&self, key: &ClaimKey) -> Option<&ClaimView> {
         self.records.get(key).map(|record| &record.view)
     }
 
-    /// Finds the opening of a claim.
-    pub(super) fn opening(&self, key: &ClaimKey) -> Option<Opening> {
-        self.records.get(key).map(|record| Opening {
-            opened: record.opened,
+    /// Returns the last grant of a claim.
+    pub(super) fn grant(&self, key: &ClaimKey) -> Option<ClaimGrant> {
+        self.records.get(key).map(|record| ClaimGrant {
+            granted_at: record.granted_at,
             window: record.window,
         })
     }
 
-    /// Counts the claims.
+    /// Returns the number of claims.
     pub(super) fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Counts the bytes of kept answer bodies.
+    /// Returns the total size of the kept response bodies in bytes.
     pub(super) fn body_bytes(&self) -> u64 {
         self.body_bytes
     }
 
-    fn first(&mut self, cx: &mut Cx<'_>, req: &ClaimRequest) -> Outcome {
+    fn claim_first(&mut self, cx: &mut ApplyContext<'_>, req: &ClaimRequest) -> Outcome {
         if req.replaces != 0 {
             return Outcome::Denied(Denial::ClaimExpired);
         }
         if self.records.len() >= cx.retention.max_claims as usize {
-            self.make_room(cx);
+            self.evict_oldest_ended(cx);
         }
-        // Each open claim may still need a billing entry.
+        // Every open claim may still need a billing entry.
         let bills = cx.bills.len() + self.open as usize;
         if self.records.len() >= cx.retention.max_claims as usize
             || bills >= cx.retention.max_bills as usize
@@ -260,12 +270,12 @@
         self.open(cx, req, 1, None)
     }
 
-    /// Forgets the oldest ended claim, if it ended long enough ago.
+    /// Evicts the oldest ended claim, if it ended long enough ago.
     ///
-    /// A busy day would else fill the table and the next sheet be denied, to
-    /// keep answers that nobody asks for any more. Callers send again within
-    /// minutes; none that does finds its claim gone.
-    fn make_room(&mut self, cx: &Cx<'_>) {
+    /// Otherwise a busy day would fill the table, and new claims would be
+    /// denied in order to keep responses that nobody requests any more. Callers
+    /// resend within minutes, so no resend finds its claim evicted.
+    fn evict_oldest_ended(&mut self, cx: &ApplyContext<'_>) {
         let ended = |key: &ClaimKey| {
             self.records.get(key).is_some_and(|record| {
                 matches!(
@@ -277,15 +287,15 @@
         let oldest = self
             .due
             .iter()
-            .take(MOST_LOOKED_AT)
-            .find(|(since, key)| *since + LEAST_KEPT <= cx.clock && ended(key));
+            .take(MAX_EVICTION_SCAN)
+            .find(|(since, key)| *since + MIN_ENDED_AGE <= cx.clock && ended(key));
         if let Some(key) = oldest.map(|(_, key)| key.clone()) {
             self.remove(&key);
         }
     }
 
-    /// Opens the next generation of a claim.
-    fn renew(&mut self, cx: &mut Cx<'_>, req: &ClaimRequest) -> Outcome {
+    /// Replaces a claim by its next generation.
+    fn replace(&mut self, cx: &mut ApplyContext<'_>, req: &ClaimRequest) -> Outcome {
         let Some(old) = self.records.get(&req.key) else {
             return Outcome::Denied(Denial::ClaimExpired);
         };
@@ -297,7 +307,7 @@
 
     fn open(
         &mut self,
-        cx: &Cx<'_>,
+        cx: &ApplyContext<'_>,
         req: &ClaimRequest,
         generation: u32,
         bill: Option<BillSeq>,
@@ -317,11 +327,11 @@
             view,
             class: req.class.clone(),
             window: req.window,
-            opened: cx.index,
+            granted_at: cx.index,
             since: cx.clock,
             bill,
             settled: None,
-            body_at: None,
+            body_index: None,
         };
         self.open += 1;
         self.due.insert((cx.clock, req.key.clone()));
@@ -334,12 +344,12 @@
         record.is_some_and(|record| record.view.state == ClaimState::Open)
     }
 
-    /// Ends a claim that nobody ended.
+    /// Ends an open claim whose retention has ended.
     ///
-    /// Its entry may have died after sending, so the request may have run. With
-    /// the claim simply dropped, a run would never be billed; the open entry
-    /// asks an operator instead.
-    fn end_as_unknown(&mut self, cx: &mut Cx<'_>, key: &ClaimKey) {
+    /// The entry may have crashed after it sent the request, so the request may
+    /// have run. If the claim were removed, a run would never be billed; the
+    /// open billing entry asks an operator to decide.
+    fn end_as_unknown(&mut self, cx: &mut ApplyContext<'_>, key: &ClaimKey) {
         let Some(record) = self.records.get(key) else {
             return;
         };
@@ -354,7 +364,7 @@
         self.end(cx, &req);
     }
 
-    fn end(&mut self, cx: &mut Cx<'_>, req: &CompleteRequest) {
+    fn end(&mut self, cx: &mut ApplyContext<'_>, req: &CompleteRequest) {
         let Some(record) = self.records.get_mut(&req.key) else {
             return;
         };
@@ -362,7 +372,7 @@
             self.open -= 1;
         }
         self.due.remove(&(record.since, req.key.clone()));
-        // With an open billing entry the claim stays until that is settled.
+        // While its billing entry is open, the claim does not expire.
         if req.end != ClaimEnd::Unknown {
             self.due.insert((cx.clock, req.key.clone()));
         }
@@ -401,8 +411,10 @@
         self.keep_body(cx, &req.key);
     }
 
-    /// Counts the body of a completion, or drops it if it is over the cap.
-    fn keep_body(&mut self, cx: &Cx<'_>, key: &ClaimKey) {
+    /// Accounts for the response body of a completion, or drops it if it
+    /// exceeds the size limit. The oldest bodies are dropped if the total size
+    /// exceeds its limit.
+    fn keep_body(&mut self, cx: &ApplyContext<'_>, key: &ClaimKey) {
         let Some(record) = self.records.get_mut(key) else {
             return;
         };
@@ -416,7 +428,7 @@
             done.body = None;
             return;
         }
-        record.body_at = Some(cx.index);
+        record.body_index = Some(cx.index);
         self.bodies.insert(cx.index, key.clone());
         self.body_bytes += length as u64;
         while self.body_bytes > cx.retention.bodies_cap
@@ -431,7 +443,7 @@
         let Some(record) = self.records.get_mut(key) else {
             return;
         };
-        if let Some(at) = record.body_at.take() {
+        if let Some(at) = record.body_index.take() {
             self.bodies.remove(&at);
         }
         let body = record.completed_mut().and_then(|done| done.body.take());
@@ -459,13 +471,14 @@
         }
     }
 
-    /// Tells whether this claim was granted to the very same request.
+    /// Returns whether this claim was granted to the same request.
     ///
-    /// The answer to a claim can be lost with its leader, and the entry asks the
-    /// next one. Without this the entry would find a claim of its own and take
-    /// it for somebody else's. The generation must fit too: a late copy of an
-    /// earlier request names a backend server that is no longer the claim's.
-    fn granted_to(&self, req: &ClaimRequest) -> bool {
+    /// The reply to a claim can be lost when the leader fails, and the entry
+    /// then asks the next leader. Without this check, the entry would be told
+    /// of its own claim and take it for the claim of another entry. The
+    /// generation must match, too: a delayed copy of an earlier request names a
+    /// backend server that is no longer the target of the claim.
+    fn is_resend_of(&self, req: &ClaimRequest) -> bool {
         self.view.state == ClaimState::Open
             && self.view.generation == req.replaces + 1
             && self.view.request == req.request
@@ -475,7 +488,7 @@
 
     fn bill(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut ApplyContext<'_>,
         key: &ClaimKey,
         replaces: Option<BillSeq>,
         state: BillState,
@@ -492,7 +505,7 @@
             state,
             at,
         };
-        self.bill = Some(cx.bills.write(cx.clock, replaces, bill));
+        self.bill = Some(cx.bills.append(cx.clock, replaces, bill));
     }
 }
 
--- a/sesamebeam_core/src/state/config.rs
+++ b/sesamebeam_core/src/state/config.rs
@@ -1,4 +1,4 @@
-//! The fleet file, its revisions and the verdicts on operators' changes.
+//! The fleet file, its revisions and the verdicts on changes by operators.
 
 use std::{
     collections::{
@@ -36,52 +36,54 @@
     },
 };
 
-/// Files kept besides the one in force, for differences to entries that lag. An
-/// entry that lags further gets the whole file.
-const PAST_FILES: usize = 8;
+/// Number of previous files that are kept, from which differences are computed
+/// for entries that lag behind. An entry that lags further behind receives the
+/// whole file.
+const MAX_PREVIOUS_FILES: usize = 8;
 
-/// Most differences that a conflict names.
+/// Maximum number of differences that a conflict lists.
 const MAX_DIFFERENCES: usize = 64;
 
-/// Id of a change: the revision that it was made from, and its digest.
+/// Identifier of a change: its base revision and its digest.
 type ChangeId = (Revision, Digest);
 
 /// The configuration of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Config {
-    /// Revision accepted last; 0 before the first.
+    /// Last accepted revision; 0 if none was accepted yet.
     pub(super) revision: Revision,
-    /// Highest revision found to be in force at every entry.
+    /// Highest revision known to be in force on every entry.
     pub(super) in_force: Revision,
-    /// The file accepted last.
+    /// Last accepted file.
     pub(super) fleet: Fleet,
-    /// Who sent the file accepted last.
+    /// Operator who sent the last accepted file.
     operator: SmolStr,
-    /// Files before it, the newest last.
-    past: VecDeque<Past>,
-    /// Verdicts by id of the change.
+    /// Previous files, newest last.
+    previous: VecDeque<PreviousFile>,
+    /// Verdicts by identifier of the change.
     verdicts: BTreeMap<ChangeId, Verdict>,
-    /// Ids in the order of their verdicts, with the time of each.
-    judged: VecDeque<(Duration, ChangeId)>,
+    /// Time of each verdict with the identifier of the change, oldest first.
+    verdict_times: VecDeque<(Duration, ChangeId)>,
 }
 
 /// A file that was replaced.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Past {
+struct PreviousFile {
     revision: Revision,
     operator: SmolStr,
     fleet: Fleet,
 }
 
 impl Config {
-    /// Judges a change. A change that was judged before gets that verdict.
+    /// Decides on a change. A change that is sent again gets its previous
+    /// verdict.
     ///
-    /// The answer to an `apply` can be lost, and its sender then sends the file
-    /// again. Judged anew, it would lose against itself: its base is no longer
-    /// the revision in force, so the sender would read of a conflict although
-    /// its own file is in force. The verdict under the id of the change tells
-    /// the same again, on every replica and after a snapshot.
-    pub(super) fn judge(&mut self, change: &Change, clock: Duration) -> Verdict {
+    /// The reply to an `apply` can be lost, in which case the operator sends
+    /// the file again. A second decision would report a conflict of the file
+    /// with itself, because its base is no longer the newest revision. Verdicts
+    /// are therefore kept by identifier of the change, on every replica and in
+    /// snapshots.
+    pub(super) fn decide(&mut self, change: &Change, clock: Duration) -> Verdict {
         let id = (change.base, change.digest);
         if let Some(verdict) = self.verdicts.get(&id) {
             return verdict.clone();
@@ -92,41 +94,46 @@
             self.conflict(change)
         };
         self.verdicts.insert(id, verdict.clone());
-        self.judged.push_back((clock, id));
+        self.verdict_times.push_back((clock, id));
         verdict
     }
 
-    /// Finds the verdict that a change was given.
+    /// Returns the verdict on a change, if it is still kept.
     pub(super) fn verdict(&self, change: &Change) -> Option<&Verdict> {
         self.verdicts.get(&(change.base, change.digest))
     }
 
-    /// Drops verdicts over their time, and the oldest over their number.
+    /// Removes verdicts whose retention has ended, and the oldest ones above
+    /// the maximum number.
     pub(super) fn expire(&mut self, clock: Duration, retention: &Retention) {
-        while let Some(&(at, id)) = self.judged.front() {
-            let old = at + retention.verdicts <= clock;
-            if !old && self.judged.len() <= retention.max_verdicts as usize {
+        while let Some(&(at, id)) = self.verdict_times.front() {
+            let expired = at + retention.verdicts <= clock;
+            if !expired && self.verdict_times.len() <= retention.max_verdicts as usize {
                 return;
             }
-            self.judged.pop_front();
+            self.verdict_times.pop_front();
             self.verdicts.remove(&id);
         }
     }
 
-    /// Computes what an entry at a revision needs to have the newest file.
+    /// Returns the change that updates an entry from `revision` to the newest
+    /// revision.
     pub(super) fn change_from(&self, revision: Revision) -> Option<FleetChange> {
         if revision >= self.revision {
             return None;
         }
-        let past = self.past.iter().find(|past| past.revision == revision);
-        Some(match past {
-            Some(past) => delta::change(revision, &past.fleet, &self.fleet),
+        let previous = self
+            .previous
+            .iter()
+            .find(|previous| previous.revision == revision);
+        Some(match previous {
+            Some(previous) => delta::change(revision, &previous.fleet, &self.fleet),
             None => FleetChange::Whole(Box::new(self.fleet.clone())),
         })
     }
 
-    /// Tells whether an organisation may start new work on a version.
-    pub(super) fn usable(&self, org: &str, version: &str) -> Result<(), Denial> {
+    /// Checks whether an organisation may start new work on a version.
+    pub(super) fn check_usable(&self, org: &str, version: &str) -> Result<(), Denial> {
         let org = self.fleet.organisation(org).ok_or(Denial::NotAllowed)?;
         if !org.allow.iter().any(|allowed| allowed == version) {
             return Err(Denial::NotAllowed);
@@ -138,21 +145,21 @@
         }
     }
 
-    /// Forgets every verdict.
-    pub(super) fn forget_verdicts(&mut self) {
+    /// Removes all verdicts.
+    pub(super) fn clear_verdicts(&mut self) {
         self.verdicts.clear();
-        self.judged.clear();
+        self.verdict_times.clear();
     }
 
     fn accept(&mut self, change: &Change) -> Verdict {
-        let past = Past {
+        let previous = PreviousFile {
             revision: self.revision,
             operator: std::mem::replace(&mut self.operator, change.operator.clone()),
             fleet: std::mem::replace(&mut self.fleet, (*change.fleet).clone()),
         };
-        self.past.push_back(past);
-        if self.past.len() > PAST_FILES {
-            self.past.pop_front();
+        self.previous.push_back(previous);
+        if self.previous.len() > MAX_PREVIOUS_FILES {
+            self.previous.pop_front();
         }
         self.revision += 1;
         Verdict::Accepted(self.revision)
@@ -168,12 +175,18 @@
         })
     }
 
-    /// Names who sent the change that was accepted over a base.
+    /// Returns the operator whose change from the base revision was accepted.
     fn winner_after(&self, base: Revision) -> SmolStr {
         if base + 1 >= self.revision {
             return self.operator.clone();
         }
-        let winner = self.past.iter().find(|past| past.revision == base + 1);
-        winner.map_or_else(|| self.operator.clone(), |past| past.operator.clone())
+        let winner = self
+            .previous
+            .iter()
+            .find(|previous| previous.revision == base + 1);
+        winner.map_or_else(
+            || self.operator.clone(),
+            |previous| previous.operator.clone(),
+        )
     }
 }
--- a/sesamebeam_core/src/state/crash.rs
+++ b/sesamebeam_core/src/state/crash.rs
@@ -1,19 +1,23 @@
-//! Fingerprints of requests that crash the backend servers that run them.
+//! Quarantine of requests that crash backend servers, by fingerprint.
 //!
-//! A crash takes down every request that the backend server ran, and all of
-//! them are suspects. The guilty one is in each further crash; a bystander that
-//! was sent again often shares one further crash with it, seldom two.
+//! When a backend server crashes, every request that it was running is a
+//! suspect. The culprit is a suspect of each of its crashes. A bystander that
+//! is resent is often a suspect of a second crash together with the culprit,
+//! but seldom of a third.
 //!
-//! The rule, worked out anew over the kept crashes in their order whenever one is
-//! reported, so that a late report can also lift a quarantine:
+//! The culprits are recomputed from all kept crashes, in order, whenever a
+//! crash is reported or suspects are cleared. A late report can therefore also
+//! lift a quarantine. The rules are:
 //!
-//! 1. A crash in which a fingerprint found guilty took part is explained by it
-//!    and counts against nobody else.
-//! 2. Of the suspects of a crash, the one with the most unexplained crashes is
-//!    guilty if these are two or more and no other suspect has as many.
-//! 3. Several with as many are found guilty together only from the third crash
-//!    on: a further crash or a clearing mostly tells them apart before.
-//! 4. A suspect that runs to its end elsewhere is cleared of earlier crashes.
+//! 1. A crash with a known culprit among its suspects is explained by it and
+//!    does not count against the other suspects.
+//! 2. The suspect of a crash with the most unexplained crashes is a culprit if
+//!    it has at least two and no other suspect has as many.
+//! 3. Several suspects with the same number of crashes are all culprits only
+//!    from the third crash on. Before that, another crash or a cleared suspect
+//!    usually tells them apart.
+//! 4. A suspect that completes on another backend server is cleared of all
+//!    earlier crashes.
 
 use std::{
     collections::{
@@ -35,67 +39,74 @@
         command::Retention,
         record::{
             CrashReport,
-            ServerLife, //
+            ServerIncarnation, //
         },
     },
 };
 
-/// Most crashes kept; the oldest goes first.
+/// Maximum number of kept crashes; the oldest is removed first.
 const MAX_CRASHES: usize = 128;
 
-/// Most suspects kept of one crash.
+/// Maximum number of suspects kept per crash.
 const MAX_SUSPECTS: usize = 512;
 
-/// Most fingerprints quarantined; the oldest goes first.
+/// Maximum number of quarantined fingerprints; the oldest is released first.
 const MAX_QUARANTINED: usize = 1024;
 
-/// Crashes from which a fingerprint is guilty that no other suspect equals.
-const ALONE: usize = 2;
+/// Number of unexplained crashes from which a suspect is a culprit if no other
+/// suspect has as many.
+const MIN_CRASHES_SINGLE: usize = 2;
 
-/// Crashes from which several equal suspects are guilty together.
-const TOGETHER: usize = 3;
+/// Number of unexplained crashes from which several suspects with the same
+/// number are all culprits.
+const MIN_CRASHES_TIED: usize = 3;
 
-/// The crashes that are kept, and what follows from them.
+/// The kept crashes and the resulting quarantine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Crashes {
-    /// Crashes, the oldest first.
+    /// Crashes, oldest first.
     kept: VecDeque<Crash>,
-    /// Quarantined fingerprints with the time at which each was quarantined.
+    /// Quarantined fingerprints with the time of the start of the quarantine.
     quarantine: BTreeMap<Digest, Duration>,
 }
 
-/// One crash: every report on one life of a backend server together.
+/// A crash, merged from all reports on one incarnation of a backend server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Crash {
     at: Duration,
-    server: ServerLife,
+    server: ServerIncarnation,
     suspects: BTreeSet<Digest>,
 }
 
 impl Crashes {
-    /// Applies a report. Entries report apart what each of them ran, and may
-    /// report twice.
-    pub(super) fn report(&mut self, clock: Duration, report: &CrashReport, bystanders: bool) {
-        let crash = self.crash_of(clock, report.server);
+    /// Adds a crash report. Each entry reports only the requests that it ran
+    /// itself, and may report twice.
+    pub(super) fn report(
+        &mut self,
+        clock: Duration,
+        report: &CrashReport,
+        quarantine_bystanders: bool,
+    ) {
+        let crash = self.crash_mut(clock, report.server);
         for suspect in &report.suspects {
             if crash.suspects.len() < MAX_SUSPECTS {
                 crash.suspects.insert(*suspect);
             }
         }
-        self.judge(clock, bystanders);
+        self.update_quarantine(clock, quarantine_bystanders);
     }
 
-    /// Clears suspects of the crashes so far.
+    /// Clears suspects of all crashes so far.
     pub(super) fn clear(&mut self, clock: Duration, cleared: &[Digest]) {
         for crash in &mut self.kept {
             for fingerprint in cleared {
                 crash.suspects.remove(fingerprint);
             }
         }
-        self.judge(clock, false);
+        self.update_quarantine(clock, false);
     }
 
-    /// Drops crashes and quarantines over their time.
+    /// Removes crashes and quarantines whose retention has ended.
     pub(super) fn expire(&mut self, clock: Duration, retention: &Retention) {
         while let Some(crash) = self.kept.front()
             && crash.at + retention.crashes <= clock
@@ -106,12 +117,12 @@
             .retain(|_, at| *at + retention.quarantine > clock);
     }
 
-    /// Lists the quarantined fingerprints.
+    /// Returns the quarantined fingerprints.
     pub(super) fn quarantined(&self) -> Vec<Digest> {
         self.quarantine.keys().copied().collect()
     }
 
-    fn crash_of(&mut self, clock: Duration, server: ServerLife) -> &mut Crash {
+    fn crash_mut(&mut self, clock: Duration, server: ServerIncarnation) -> &mut Crash {
         let found = self.kept.iter().position(|crash| crash.server == server);
         let at = found.unwrap_or_else(|| {
             if self.kept.len() == MAX_CRASHES {
@@ -127,14 +138,16 @@
         &mut self.kept[at]
     }
 
-    fn judge(&mut self, clock: Duration, bystanders: bool) {
-        let guilty = self.guilty(bystanders);
-        let in_kept = self.kept.iter().flat_map(|crash| &crash.suspects);
-        let in_kept: BTreeSet<_> = in_kept.copied().collect();
-        // What no kept crash speaks of any more keeps its quarantine to the end.
-        self.quarantine
-            .retain(|print, _| guilty.contains(print) || !in_kept.contains(print));
-        for fingerprint in guilty {
+    fn update_quarantine(&mut self, clock: Duration, quarantine_bystanders: bool) {
+        let culprits = self.culprits(quarantine_bystanders);
+        let kept_suspects = self.kept.iter().flat_map(|crash| &crash.suspects);
+        let kept_suspects: BTreeSet<_> = kept_suspects.copied().collect();
+        // A fingerprint whose crashes have all expired stays quarantined for
+        // the full time.
+        self.quarantine.retain(|fingerprint, _| {
+            culprits.contains(fingerprint) || !kept_suspects.contains(fingerprint)
+        });
+        for fingerprint in culprits {
             self.quarantine.entry(fingerprint).or_insert(clock);
         }
         while self.quarantine.len() > MAX_QUARANTINED {
@@ -146,39 +159,44 @@
         }
     }
 
-    /// Goes through the crashes as they happened and finds who is guilty.
-    fn guilty(&self, bystanders: bool) -> BTreeSet<Digest> {
-        let mut guilty = BTreeSet::new();
+    /// Determines the culprits by processing the crashes in order.
+    fn culprits(&self, quarantine_bystanders: bool) -> BTreeSet<Digest> {
+        let mut culprits = BTreeSet::new();
         let mut explained = BTreeSet::new();
-        let mut lives: BTreeMap<Digest, Vec<usize>> = BTreeMap::new();
+        let mut crashes_by_suspect: BTreeMap<Digest, Vec<usize>> = BTreeMap::new();
         for (at, crash) in self.kept.iter().enumerate() {
-            if !bystanders && !crash.suspects.is_disjoint(&guilty) {
+            if !quarantine_bystanders && !crash.suspects.is_disjoint(&culprits) {
                 explained.insert(at);
                 continue;
             }
             let mut counts = Vec::new();
             for suspect in &crash.suspects {
-                let crashes = lives.entry(*suspect).or_default();
+                let crashes = crashes_by_suspect.entry(*suspect).or_default();
                 crashes.push(at);
-                let open = crashes.iter().filter(|at| !explained.contains(*at));
-                counts.push((open.count(), *suspect));
+                let unexplained = crashes.iter().filter(|at| !explained.contains(*at));
+                counts.push((unexplained.count(), *suspect));
             }
-            for fingerprint in most_suspect(&counts, bystanders) {
-                guilty.insert(fingerprint);
-                explained.extend(lives.get(&fingerprint).into_iter().flatten());
+            for fingerprint in select_culprits(&counts, quarantine_bystanders) {
+                culprits.insert(fingerprint);
+                explained.extend(crashes_by_suspect.get(&fingerprint).into_iter().flatten());
             }
         }
-        guilty
+        culprits
     }
 }
 
-/// Picks who is guilty of one crash, by the unexplained crashes of each suspect.
-fn most_suspect(counts: &[(usize, Digest)], bystanders: bool) -> Vec<Digest> {
-    let most = counts.iter().map(|(count, _)| *count).max().unwrap_or(0);
-    let least = if bystanders { ALONE } else { most.max(ALONE) };
-    let found = counts.iter().filter(|(count, _)| *count >= least);
+/// Selects the culprits of one crash by the number of unexplained crashes of
+/// each suspect.
+fn select_culprits(counts: &[(usize, Digest)], quarantine_bystanders: bool) -> Vec<Digest> {
+    let max_count = counts.iter().map(|(count, _)| *count).max().unwrap_or(0);
+    let threshold = if quarantine_bystanders {
+        MIN_CRASHES_SINGLE
+    } else {
+        max_count.max(MIN_CRASHES_SINGLE)
+    };
+    let found = counts.iter().filter(|(count, _)| *count >= threshold);
     let found: Vec<Digest> = found.map(|(_, fingerprint)| *fingerprint).collect();
-    if bystanders || found.len() == 1 || most >= TOGETHER {
+    if quarantine_bystanders || found.len() == 1 || max_count >= MIN_CRASHES_TIED {
         found
     } else {
         Vec::new()
--- a/sesamebeam_core/src/state/delta.rs
+++ b/sesamebeam_core/src/state/delta.rs
@@ -1,8 +1,8 @@
 //! Differences between fleet files.
 //!
-//! A difference names each list's items by their names. Applying it keeps the
-//! order of what stays, puts what is new at the end, and then restores the
-//! order of a list only where that would not be the new file's own.
+//! A difference identifies list items by name. Applying it keeps the order of
+//! existing items and appends new items. A list whose resulting order would
+//! differ from that in the new file also carries its complete order.
 
 use std::collections::{
     BTreeMap,
@@ -28,23 +28,23 @@
     message::control::{
         FleetChange,
         FleetDelta,
-        Gone,
-        ListOrder, //
+        ListOrder,
+        RemovedPart, //
     },
 };
 
-/// Why a change of the fleet file was not installed.
+/// Reason why a change of the fleet file was not installed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DeltaError {
-    /// The difference was made from another revision.
-    #[error("the difference applies to revision {wanted}, not to {found}")]
+    /// The difference was computed from another revision.
+    #[error("the difference applies to revision {expected}, not to {found}")]
     Base {
-        /// Revision that the difference was made from.
-        wanted: Revision,
-        /// Revision that it was applied to.
+        /// Revision that the difference was computed from.
+        expected: Revision,
+        /// Revision in force.
         found: Revision,
     },
-    /// The change is of a revision that is not newer.
+    /// The revision of the change is not newer than the one in force.
     #[error("revision {found} is in force and {offered} is not newer")]
     NotNewer {
         /// Revision of the change.
@@ -52,13 +52,14 @@
         /// Revision in force.
         found: Revision,
     },
-    /// The difference orders an item that the file does not have.
+    /// The order of a list names an item that the file does not contain, or
+    /// omits one.
     #[error("the difference orders items that the file does not have")]
     Order,
 }
 
-/// Computes the change from one file to the next: a difference where the names
-/// of both files are unique, else the whole file.
+/// Computes the change from one file to the next: a difference if names are
+/// unique in both files, otherwise the whole file.
 pub fn change(base: Revision, old: &Fleet, new: &Fleet) -> FleetChange {
     if unique_names(old) && unique_names(new) {
         FleetChange::Delta(Box::new(compute(base, old, new)))
@@ -67,19 +68,24 @@
     }
 }
 
-/// Computes the difference between two files whose names are unique.
+/// Computes the difference between two files in which names are unique.
 pub fn compute(base: Revision, old: &Fleet, new: &Fleet) -> FleetDelta {
     let pools = diff(&old.pools, &new.pools, pool_name);
     let models = diff(&old.models, &new.models, model_name);
     let classes = diff(&old.classes, &new.classes, class_name);
     let organisations = diff(&old.organisations, &new.organisations, organisation_name);
     let rollouts = diff(&old.rollouts, &new.rollouts, rollout_name);
-    let mut gone = Vec::new();
-    gone.extend(pools.gone.into_iter().map(Gone::Pool));
-    gone.extend(models.gone.into_iter().map(Gone::Model));
-    gone.extend(classes.gone.into_iter().map(Gone::Class));
-    gone.extend(organisations.gone.into_iter().map(Gone::Organisation));
-    gone.extend(rollouts.gone.into_iter().map(Gone::Rollout));
+    let mut removed = Vec::new();
+    removed.extend(pools.removed.into_iter().map(RemovedPart::Pool));
+    removed.extend(models.removed.into_iter().map(RemovedPart::Model));
+    removed.extend(classes.removed.into_iter().map(RemovedPart::Class));
+    removed.extend(
+        organisations
+            .removed
+            .into_iter()
+            .map(RemovedPart::Organisation),
+    );
+    removed.extend(rollouts.removed.into_iter().map(RemovedPart::Rollout));
     let mut orders = Vec::new();
     orders.extend(pools.order.map(ListOrder::Pools));
     orders.extend(models.order.map(ListOrder::Models));
@@ -95,7 +101,7 @@
         classes: classes.changed,
         organisations: organisations.changed,
         rollouts: rollouts.changed,
-        gone,
+        removed: removed,
         orders,
     }
 }
@@ -104,26 +110,31 @@
 ///
 /// # Errors
 ///
-/// Fails if the difference orders items that the file does not have, which
-/// means that it was computed from another file.
+/// Fails if the order of a list does not match the items of the file, which
+/// means that the difference was computed from another file.
 pub fn apply(old: &Fleet, delta: &FleetDelta) -> Result<Fleet, DeltaError> {
-    let mut gone = GoneNames::default();
-    for part in &delta.gone {
-        gone.add(part);
+    let mut removed = RemovedNames::default();
+    for part in &delta.removed {
+        removed.add(part);
     }
     let mut new = Fleet {
         name: delta.name.clone().unwrap_or_else(|| old.name.clone()),
         domains: delta.domains.clone().unwrap_or_else(|| old.domains.clone()),
-        pools: merge(&old.pools, &delta.pools, &gone.pools, pool_name),
-        models: merge(&old.models, &delta.models, &gone.models, model_name),
-        classes: merge(&old.classes, &delta.classes, &gone.classes, class_name),
+        pools: merge(&old.pools, &delta.pools, &removed.pools, pool_name),
+        models: merge(&old.models, &delta.models, &removed.models, model_name),
+        classes: merge(&old.classes, &delta.classes, &removed.classes, class_name),
         organisations: merge(
             &old.organisations,
             &delta.organisations,
-            &gone.organisations,
+            &removed.organisations,
             organisation_name,
         ),
-        rollouts: merge(&old.rollouts, &delta.rollouts, &gone.rollouts, rollout_name),
+        rollouts: merge(
+            &old.rollouts,
+            &delta.rollouts,
+            &removed.rollouts,
+            rollout_name,
+        ),
     };
     for order in &delta.orders {
         match order {
@@ -139,14 +150,16 @@
     Ok(new)
 }
 
-/// Installs a change over the file in force.
+/// Applies a change to the file in force.
 ///
-/// A change that arrives late or twice would take the configuration back to an
-/// older revision; only a newer revision over its own base is installed.
+/// A change that arrives late or twice must not return the configuration to an
+/// older revision. Only a newer revision is accepted, and a difference only if
+/// the file in force is the one it was computed from.
 ///
 /// # Errors
 ///
-/// Fails if the change is not newer, or was computed from another file.
+/// Fails if the revision is not newer or the change was computed from another
+/// file.
 pub fn install(
     found: Revision,
     fleet: &Fleet,
@@ -160,13 +173,13 @@
         FleetChange::Whole(new) => Ok((**new).clone()),
         FleetChange::Delta(delta) if delta.base == found => apply(fleet, delta),
         FleetChange::Delta(delta) => Err(DeltaError::Base {
-            wanted: delta.base,
+            expected: delta.base,
             found,
         }),
     }
 }
 
-/// Names the parts in which two files differ, for people.
+/// Returns descriptions of the parts in which two files differ.
 pub fn differences(old: &Fleet, new: &Fleet) -> Vec<SmolStr> {
     let delta = compute(0, old, new);
     let mut names = Vec::new();
@@ -182,13 +195,13 @@
     for rollout in &delta.rollouts {
         part("rollout", &rollout.version);
     }
-    for gone in &delta.gone {
-        match gone {
-            Gone::Pool(name) => part("pool", name),
-            Gone::Model(name) => part("model", name),
-            Gone::Class(name) => part("class", name),
-            Gone::Organisation(name) => part("organisation", name),
-            Gone::Rollout(name) => part("rollout", name),
+    for removed in &delta.removed {
+        match removed {
+            RemovedPart::Pool(name) => part("pool", name),
+            RemovedPart::Model(name) => part("model", name),
+            RemovedPart::Class(name) => part("class", name),
+            RemovedPart::Organisation(name) => part("organisation", name),
+            RemovedPart::Rollout(name) => part("rollout", name),
         }
     }
     for order in &delta.orders {
@@ -206,7 +219,7 @@
 /// Difference between two lists.
 struct ListDelta<T> {
     changed: Vec<T>,
-    gone: Vec<SmolStr>,
+    removed: Vec<SmolStr>,
     order: Option<Vec<SmolStr>>,
 }
 
@@ -218,18 +231,18 @@
         .filter(|item| before.get(name(item)) != Some(item))
         .cloned()
         .collect();
-    let gone: Vec<SmolStr> = old
+    let removed: Vec<SmolStr> = old
         .iter()
         .map(name)
         .filter(|n| !after.contains(n))
         .cloned()
         .collect();
-    let gone_names = gone.iter().cloned().collect();
-    let merged = merge(old, &changed, &gone_names, name);
+    let removed_names = removed.iter().cloned().collect();
+    let merged = merge(old, &changed, &removed_names, name);
     let same_order = merged.iter().map(name).eq(new.iter().map(name));
     ListDelta {
         changed,
-        gone,
+        removed,
         order: (!same_order).then(|| new.iter().map(name).cloned().collect()),
     }
 }
@@ -237,14 +250,14 @@
 fn merge<T: Clone>(
     old: &[T],
     changed: &[T],
-    gone: &BTreeSet<SmolStr>,
+    removed: &BTreeSet<SmolStr>,
     name: fn(&T) -> &SmolStr,
 ) -> Vec<T> {
     let after: BTreeMap<_, _> = changed.iter().map(|item| (name(item), item)).collect();
     let before: BTreeSet<_> = old.iter().map(name).collect();
     let kept = old
         .iter()
-        .filter(|item| !gone.contains(name(item)))
+        .filter(|item| !removed.contains(name(item)))
         .map(|item| after.get(name(item)).copied().unwrap_or(item));
     let added = changed.iter().filter(|item| !before.contains(name(item)));
     kept.chain(added).cloned().collect()
@@ -269,9 +282,9 @@
     }
 }
 
-/// Names of what is gone, a set for each list.
+/// Names of the removed items of each list.
 #[derive(Default)]
-struct GoneNames {
+struct RemovedNames {
     pools: BTreeSet<SmolStr>,
     models: BTreeSet<SmolStr>,
     classes: BTreeSet<SmolStr>,
@@ -279,14 +292,14 @@
     rollouts: BTreeSet<SmolStr>,
 }
 
-impl GoneNames {
-    fn add(&mut self, part: &Gone) {
+impl RemovedNames {
+    fn add(&mut self, part: &RemovedPart) {
         match part {
-            Gone::Pool(name) => self.pools.insert(name.clone()),
-            Gone::Model(name) => self.models.insert(name.clone()),
-            Gone::Class(name) => self.classes.insert(name.clone()),
-            Gone::Organisation(name) => self.organisations.insert(name.clone()),
-            Gone::Rollout(name) => self.rollouts.insert(name.clone()),
+            RemovedPart::Pool(name) => self.pools.insert(name.clone()),
+            RemovedPart::Model(name) => self.models.insert(name.clone()),
+            RemovedPart::Class(name) => self.classes.insert(name.clone()),
+            RemovedPart::Organisation(name) => self.organisations.insert(name.clone()),
+            RemovedPart::Rollout(name) => self.rollouts.insert(name.clone()),
         };
     }
 }
--- a/sesamebeam_core/src/state/pin.rs
+++ b/sesamebeam_core/src/state/pin.rs
@@ -1,4 +1,4 @@
-//! Session pins: the version that a session keeps.
+//! Session pins, which keep a session on one version.
 
 use std::{
     collections::{
@@ -33,29 +33,30 @@
     },
 };
 
-/// The pins that are kept.
+/// The kept pins.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Pins {
     /// Pins by key.
     records: BTreeMap<PinKey, Record>,
-    /// Keys by the time of their last use, the oldest first.
+    /// Keys by the time of their last use, oldest first.
     due: BTreeSet<(Duration, PinKey)>,
 }
 
-/// One pin.
+/// A pin and the time of its last use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Record {
     view: PinView,
-    used: Duration,
+    last_used: Duration,
 }
 
 impl Pins {
-    /// Applies a request for a pin.
+    /// Applies a pin request.
     ///
-    /// The first proposal wins, and so does the first after the version of the
-    /// pin was withdrawn. An entry that proposes to replace a pin on a version
-    /// in use acts on a configuration that is not the group's: with its proposal
-    /// taken, a session would change version although nothing was withdrawn.
+    /// The first proposal wins, and likewise the first one after the pinned
+    /// version was withdrawn. An entry that proposes to replace a pin whose
+    /// version is still in use has a configuration that differs from that of
+    /// the group. If its proposal were accepted, the session would change
+    /// versions although none was withdrawn.
     pub(super) fn pin(
         &mut self,
         config: &Config,
@@ -67,12 +68,12 @@
         let key = &req.key;
         let found = self.records.get(key).map(|record| record.view.clone());
         if let Some(view) = &found
-            && (any_version || config.usable(&key.org, &view.version).is_ok())
+            && (any_version || config.check_usable(&key.org, &view.version).is_ok())
         {
             self.touch(key, clock);
             return Outcome::Pin(view.clone());
         }
-        if let Err(denial) = check(config, req)
+        if let Err(denial) = check_proposal(config, req)
             && !any_version
         {
             return Outcome::Denied(denial);
@@ -87,17 +88,17 @@
         self.touch(key, clock);
         let record = Record {
             view: view.clone(),
-            used: clock,
+            last_used: clock,
         };
         self.records.insert(key.clone(), record);
         self.due.insert((clock, key.clone()));
         Outcome::Pin(view)
     }
 
-    /// Drops pins that were not used for their time.
+    /// Removes pins that were not used for the time `kept`.
     pub(super) fn expire(&mut self, clock: Duration, kept: Duration) {
-        while let Some((used, _)) = self.due.first() {
-            if *used + kept > clock {
+        while let Some((last_used, _)) = self.due.first() {
+            if *last_used + kept > clock {
                 return;
             }
             if let Some((_, key)) = self.due.pop_first() {
@@ -106,29 +107,29 @@
         }
     }
 
-    /// Finds a pin.
+    /// Returns a pin.
     pub(super) fn view(&self, key: &PinKey) -> Option<&PinView> {
         self.records.get(key).map(|record| &record.view)
     }
 
-    /// Counts the pins.
+    /// Returns the number of pins.
     pub(super) fn len(&self) -> usize {
         self.records.len()
     }
 
     fn touch(&mut self, key: &PinKey, clock: Duration) {
         if let Some(record) = self.records.get_mut(key) {
-            self.due.remove(&(record.used, key.clone()));
+            self.due.remove(&(record.last_used, key.clone()));
             self.due.insert((clock, key.clone()));
-            record.used = clock;
+            record.last_used = clock;
         }
     }
 }
 
-fn check(config: &Config, req: &PinRequest) -> Result<(), Denial> {
+fn check_proposal(config: &Config, req: &PinRequest) -> Result<(), Denial> {
     let (model, _) = split_version(&req.version).ok_or(Denial::NotAllowed)?;
     if model != req.key.model && req.key.model != ANY_MODEL {
         return Err(Denial::OtherModel);
     }
-    config.usable(&req.key.org, &req.version)
+    config.check_usable(&req.key.org, &req.version)
 }
--- a/sesamebeam_core/src/state/rollout.rs
+++ b/sesamebeam_core/src/state/rollout.rs
@@ -1,4 +1,4 @@
-//! Evidence about versions, holds, and roll-outs as durable state machines.
+//! Evidence about versions, held versions and the state of roll-outs.
 
 use std::{
     collections::BTreeMap,
@@ -27,26 +27,27 @@
     },
 };
 
-/// Answers that the fleet's own test of a version needs at least.
+/// Minimum number of answers for the fleet-wide test of a version.
 const MIN_EVIDENCE: u32 = 12;
 
-/// Answers from which on older evidence counts half. A version that was good for
-/// long and turns bad would otherwise hide behind its past.
+/// Number of answers above which all counts are halved. Otherwise a version
+/// that was good for a long time and turns bad would be detected too late.
 const MAX_EVIDENCE: u32 = 400;
 
-/// How far the share of bad answers may lie over the expected one.
+/// Tolerated excess of the share of bad answers over the expected share.
 const BAD_MARGIN: f64 = 0.05;
 
-/// Standard deviations of the bound: the test is looked at after each report,
-/// and a high bound keeps the chance of a wrong hold small over many looks.
+/// Number of standard deviations of the confidence bound. The test is repeated
+/// after every report, and a high bound keeps the probability of a false hold
+/// low over many repetitions.
 const BOUND_DEVIATIONS: f64 = 3.0;
 
-/// Evidence, holds and roll-outs of all versions.
+/// Evidence, held versions and roll-outs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Rollouts {
-    /// Evidence by version, for versions that the fleet file lists.
-    evidence: BTreeMap<VersionId, Tally>,
-    /// Versions held by evidence.
+    /// Evidence by version, for versions listed in the fleet file.
+    evidence: BTreeMap<VersionId, AnswerCounts>,
+    /// Versions held because of their evidence, with the time of the hold.
     held: BTreeMap<VersionId, Duration>,
     /// Roll-outs by version.
     records: BTreeMap<VersionId, Record>,
@@ -54,28 +55,29 @@
 
 /// Counts of answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct Tally {
+struct AnswerCounts {
     good: u32,
     bad: u32,
     errors: u32,
 }
 
-/// One roll-out.
+/// State of a roll-out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Record {
     state: RolloutState,
-    /// Time on the log's clock at which it came to this state.
+    /// Log clock time at which the roll-out entered its state.
     since: Duration,
-    /// Evidence at this step.
-    step: Tally,
+    /// Evidence collected in this state.
+    step: AnswerCounts,
 }
 
 impl Rollouts {
-    /// Follows an accepted file.
+    /// Updates the roll-outs after a new file was accepted.
     ///
-    /// A hold ends when the operator declares the version or its roll-out anew:
-    /// no hold ends by itself, since what was seen of the version stays true.
-    pub(super) fn follow(&mut self, old: &Fleet, new: &Fleet, clock: Duration) {
+    /// A hold ends only when the operator changes the declaration of the
+    /// version or of its roll-out. It does not end by itself, because the
+    /// evidence remains valid.
+    pub(super) fn update_fleet(&mut self, old: &Fleet, new: &Fleet, clock: Duration) {
         self.evidence
             .retain(|version, _| declared(old, version) == declared(new, version));
         self.held
@@ -83,7 +85,7 @@
         let active: BTreeMap<&VersionId, &Rollout> = new
             .rollouts
             .iter()
-            .filter(|rollout| takes_work(new, &rollout.version))
+            .filter(|rollout| accepts_work(new, &rollout.version))
             .map(|rollout| (&rollout.version, rollout))
             .collect();
         self.records
@@ -95,22 +97,22 @@
                 .entry(version.clone())
                 .or_insert(Record::new(clock));
             if changed {
-                record.fit(rollout, clock);
+                record.adapt_to(rollout, clock);
             }
         }
     }
 
-    /// Adds what an entry saw. An entry's own hold is a sequential test at a
-    /// stated confidence; waiting for a second entry to find the same would only
-    /// expose more requests.
+    /// Adds the evidence of an entry. A hold by one entry applies fleet-wide:
+    /// it is the result of a sequential test at a given confidence, and waiting
+    /// for a second entry to confirm it would only expose more requests.
     pub(super) fn observe(&mut self, fleet: &Fleet, evidence: &Evidence, clock: Duration) {
         let Some((_, version)) = fleet.version(&evidence.version) else {
             return;
         };
-        let tally = self.evidence.entry(evidence.version.clone()).or_default();
-        tally.add(evidence);
-        tally.fade();
-        let bad = tally.is_worse_than(1.0 - version.prior);
+        let counts = self.evidence.entry(evidence.version.clone()).or_default();
+        counts.add(evidence);
+        counts.halve_above_maximum();
+        let bad = counts.is_worse_than(1.0 - version.prior);
         if let Some(record) = self.records.get_mut(&evidence.version) {
             record.step.add(evidence);
         }
@@ -119,20 +121,20 @@
         }
     }
 
-    /// Applies a decision of the leader. One from a state that the roll-out has
-    /// left, or before its gate, has no effect: a leader that was replaced
-    /// decides on what it last saw.
+    /// Applies a step that the leader decided on. The step has no effect if the
+    /// roll-out has left the state `step.from` or the gate is not met: a
+    /// replaced leader may decide on outdated state.
     pub(super) fn step(&mut self, fleet: &Fleet, step: &RolloutStep, clock: Duration, gates: bool) {
         if step.to == RolloutState::Held {
             self.hold(&step.version, clock);
             return;
         }
-        let from_here = self.state(&step.version) == Some(step.from);
+        let is_current = self.state(&step.version) == Some(step.from);
         let due = match step.from {
             RolloutState::Loading => step.to == RolloutState::At(0),
-            _ => !gates || self.next_of(fleet, &step.version, clock) == Some(step.to),
+            _ => !gates || self.next_state(fleet, &step.version, clock) == Some(step.to),
         };
-        if from_here
+        if is_current
             && due
             && let Some(record) = self.records.get_mut(&step.version)
         {
@@ -140,11 +142,11 @@
         }
     }
 
-    /// Lists the steps whose gates are passed. Loading has no gate here: only
-    /// the leader knows what is loaded.
+    /// Returns the steps whose gates are met. Loading has no gate here because
+    /// only the leader knows which versions are loaded.
     pub(super) fn due(&self, fleet: &Fleet, clock: Duration) -> Vec<RolloutStep> {
         let steps = self.records.iter().filter_map(|(version, record)| {
-            let to = self.next_of(fleet, version, clock)?;
+            let to = self.next_state(fleet, version, clock)?;
             Some(RolloutStep {
                 version: version.clone(),
                 from: record.state,
@@ -154,17 +156,17 @@
         steps.collect()
     }
 
-    /// Tells where a roll-out stands.
+    /// Returns the state of a roll-out.
     pub(super) fn state(&self, version: &str) -> Option<RolloutState> {
         self.records.get(version).map(|record| record.state)
     }
 
-    /// Lists the held versions.
+    /// Returns the held versions.
     pub(super) fn held(&self) -> Vec<VersionId> {
         self.held.keys().cloned().collect()
     }
 
-    /// Views every roll-out.
+    /// Returns the views of all roll-outs.
     pub(super) fn views(&self, fleet: &Fleet) -> Vec<RolloutView> {
         let views = self.records.iter().map(|(version, record)| RolloutView {
             version: version.clone(),
@@ -184,7 +186,7 @@
         }
     }
 
-    fn next_of(&self, fleet: &Fleet, version: &str, clock: Duration) -> Option<RolloutState> {
+    fn next_state(&self, fleet: &Fleet, version: &str, clock: Duration) -> Option<RolloutState> {
         let record = self.records.get(version)?;
         let rollout = fleet.rollout(version)?;
         let RolloutState::At(at) = record.state else {
@@ -208,13 +210,14 @@
         Self {
             state: RolloutState::Loading,
             since: clock,
-            step: Tally::default(),
+            step: AnswerCounts::default(),
         }
     }
 
-    /// Fits a roll-out to a changed declaration. A step that is gone falls back
-    /// to the last one; one that was held or done starts again.
-    fn fit(&mut self, rollout: &Rollout, clock: Duration) {
+    /// Adapts the state to a changed declaration. If the current step no longer
+    /// exists, the last step is entered; a roll-out that was held or done
+    /// starts again.
+    fn adapt_to(&mut self, rollout: &Rollout, clock: Duration) {
         let last = (rollout.steps.len() as u32).saturating_sub(1);
         match self.state {
             RolloutState::Loading => {}
@@ -227,18 +230,18 @@
     fn enter(&mut self, state: RolloutState, clock: Duration) {
         self.state = state;
         self.since = clock;
-        self.step = Tally::default();
+        self.step = AnswerCounts::default();
     }
 }
 
-impl Tally {
+impl AnswerCounts {
     fn add(&mut self, evidence: &Evidence) {
         self.good = self.good.saturating_add(evidence.good);
         self.bad = self.bad.saturating_add(evidence.bad);
         self.errors = self.errors.saturating_add(evidence.errors);
     }
 
-    fn fade(&mut self) {
+    fn halve_above_maximum(&mut self) {
         let all = u64::from(self.good) + u64::from(self.bad) + u64::from(self.errors);
         if all > u64::from(MAX_EVIDENCE) {
             self.good /= 2;
@@ -247,9 +250,10 @@
         }
     }
 
-    /// Tells whether the share of bad answers lies clearly over the expected
-    /// one, by the lower Wilson bound. Only operations that give the same bits
-    /// on every machine are used: each replica must come to the same result.
+    /// Returns whether the share of bad answers is significantly above the
+    /// expected share, by the lower Wilson bound. Only floating-point
+    /// operations that give bit-identical results on every machine are used,
+    /// because all replicas must reach the same result.
     fn is_worse_than(&self, expected: f64) -> bool {
         let bad = self.bad.saturating_add(self.errors);
         let all = self.good.saturating_add(bad);
@@ -274,7 +278,7 @@
     (declared, fleet.rollout(version))
 }
 
-fn takes_work(fleet: &Fleet, version: &str) -> bool {
+fn accepts_work(fleet: &Fleet, version: &str) -> bool {
     let found = fleet.version(version);
     found.is_some_and(|(_, version)| version.state != VersionState::Withdrawn)
 }
--- a/sesamebeam_core/tests/control/group.rs
+++ b/sesamebeam_core/tests/control/group.rs
@@ -54,7 +54,7 @@
             Claimant,
             CompleteRequest,
             Completed,
-            ServerLife,
+            ServerIncarnation,
             Usage, //
         },
         server::Announcement,
@@ -282,7 +282,7 @@
     }
 
     pub(crate) fn look(&mut self) -> ClaimView {
-        match self.ask_leader(ControlRequest::Look(key())) {
+        match self.ask_leader(ControlRequest::GetClaim(key())) {
             ControlReply::Claimed(Some(view)) => view,
             other => panic!("expected a claim, got {other:?}"),
         }
@@ -517,7 +517,7 @@
         digest: 7,
         request: u128::from(n),
         claimant: entry(n),
-        target: ServerLife {
+        target: ServerIncarnation {
             addr: ([10, 0, 0, 1], 80).into(),
             incarnation: 1,
         },
--- a/sesamebeam_core/tests/control/requests.rs
+++ b/sesamebeam_core/tests/control/requests.rs
@@ -75,7 +75,7 @@
         version: "beam@v1".into(),
     });
     assert_eq!(group.ask_leader(pin), pinned);
-    let other = ControlRequest::Look(ClaimKey {
+    let other = ControlRequest::GetClaim(ClaimKey {
         key: "none".into(),
         ..key()
     });
@@ -92,7 +92,7 @@
     group.cut(old);
     let pending = group.send(old, ControlRequest::Apply(change(1, 2, fleet())));
     group.wait_other_leader(old);
-    for req in [ControlRequest::Current, ControlRequest::Look(key())] {
+    for req in [ControlRequest::Current, ControlRequest::GetClaim(key())] {
         let reply = group.ask(old, req);
         let honest = matches!(
             reply,
--- a/sesamebeam_core/tests/control/schedules.rs
+++ b/sesamebeam_core/tests/control/schedules.rs
@@ -226,7 +226,7 @@
     group.run(Duration::from_secs(2));
     watch.check(&group);
     for (_, core) in group.running() {
-        assert_eq!(core.state().bills_kept(), 1);
+        assert_eq!(core.state().bill_count(), 1);
     }
 }
 
@@ -240,7 +240,7 @@
         Faults {
             ignore_windows: true,
             trust_empty_leases: true,
-            retake_any_opening: true,
+            retake_any_grant: true,
             ..Faults::default()
         },
         200,
--- a/sesamebeam_core/tests/policy/balance.rs
+++ b/sesamebeam_core/tests/policy/balance.rs
@@ -5,7 +5,7 @@
 use sesamebeam_core::{
     fleet::Priority,
     message::{
-        record::ServerLife,
+        record::ServerIncarnation,
         server::{
             CacheEvent,
             Load, //
@@ -58,8 +58,8 @@
 }
 
 /// Returns the incarnation under which the tests announce a backend server.
-fn life(number: u16) -> ServerLife {
-    ServerLife {
+fn life(number: u16) -> ServerIncarnation {
+    ServerIncarnation {
         addr: addr(number),
         incarnation: announcement(number, 1).incarnation,
     }
--- a/sesamebeam_core/tests/policy/exposure.rs
+++ b/sesamebeam_core/tests/policy/exposure.rs
@@ -13,7 +13,7 @@
     message::{
         command::RolloutState,
         control::{
-            Live,
+            LiveState,
             RolloutView, //
         },
     },
@@ -47,15 +47,15 @@
     (exposure, quality)
 }
 
-fn live(share: f64) -> Live {
-    Live {
+fn live(share: f64) -> LiveState {
+    LiveState {
         rollouts: vec![RolloutView {
             version: "beam@next".into(),
             state: RolloutState::At(0),
             share,
             rated: (0, 0),
         }],
-        ..Live::default()
+        ..LiveState::default()
     }
 }
 
--- a/sesamebeam_core/tests/policy/suspects.rs
+++ b/sesamebeam_core/tests/policy/suspects.rs
@@ -1,7 +1,7 @@
 //! Tests of the detection of requests that crash backend servers.
 
 use sesamebeam_core::{
-    message::record::ServerLife,
+    message::record::ServerIncarnation,
     policy::suspects::{
         SuspectStatus,
         Suspects,
@@ -16,8 +16,8 @@
 
 const CRASHING_REQUEST: u128 = 666;
 
-fn server(number: u16) -> ServerLife {
-    ServerLife {
+fn server(number: u16) -> ServerIncarnation {
+    ServerIncarnation {
         addr: addr(number),
         incarnation: 1,
     }
--- a/sesamebeam_core/tests/proofs/golden.rs
+++ b/sesamebeam_core/tests/proofs/golden.rs
@@ -54,7 +54,7 @@
                 let end = end.split('(').next().unwrap_or_default().to_owned();
                 format!("entry-{entry} to control: end {} as {end}", c.key.key)
             }
-            ControlRequest::Look(key) => format!("entry-{entry} to control: look {}", key.key),
+            ControlRequest::GetClaim(key) => format!("entry-{entry} to control: look {}", key.key),
             ControlRequest::Pin(pin) => format!(
                 "entry-{entry} to control: pin {} to {}, replacing {}",
                 pin.key.session, pin.version, pin.replaces
--- a/sesamebeam_core/tests/proofs/lone.rs
+++ b/sesamebeam_core/tests/proofs/lone.rs
@@ -23,7 +23,7 @@
             ControlReply,
             ControlRequest,
             FleetChange,
-            Live,
+            LiveState,
             Renewed,
             Update, //
         },
@@ -100,7 +100,7 @@
         let message = PeerMessage::Config {
             revision,
             fleet: whole(fleet),
-            live: Live::default(),
+            live: LiveState::default(),
         };
         let from = "entry-3".into();
         self.happen(EntryEvent::Peer { from, message });
--- a/sesamebeam_core/tests/proofs/world/server.rs
+++ b/sesamebeam_core/tests/proofs/world/server.rs
@@ -28,7 +28,7 @@
     message::{
         record::{
             Completed,
-            ServerLife,
+            ServerIncarnation,
             Usage, //
         },
         server::Announcement, //
@@ -133,8 +133,8 @@
         }
     }
 
-    fn life(&self) -> ServerLife {
-        ServerLife {
+    fn life(&self) -> ServerIncarnation {
+        ServerIncarnation {
             addr: self.addr,
             incarnation: self.incarnation,
         }
--- a/sesamebeam_core/tests/state/billing.rs
+++ b/sesamebeam_core/tests/state/billing.rs
@@ -1,4 +1,5 @@
-//! Billing: one entry for each claim, over all its generations and ends.
+//! Tests that each key has at most one billing entry, across the generations
+//! and ends of its claims.
 
 use sesamebeam_core::{
     message::{
@@ -18,12 +19,12 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     Group,
     claim,
+    completed_end,
     end,
-    key,
-    whole, //
+    key, //
 };
 
 fn states(state: &State) -> Vec<BillState> {
@@ -39,8 +40,8 @@
     })
 }
 
-/// The answer to a completion is lost and the entry reports it again. Billed for
-/// each report, the customer pays the materials twice.
+/// The reply to a completion is lost and the entry reports the completion
+/// again. Without deduplication, the customer is billed twice.
 #[parameterized(
     safeguard_on = { false },
     safeguard_off = { true },
@@ -50,7 +51,7 @@
     group.state.faults.bill_resends = fault;
     group.apply(&Command::Claim(claim(1, 0)));
     for _ in 0..2 {
-        let outcome = group.apply(&Command::Complete(end(1, 1, whole("sheet"))));
+        let outcome = group.apply(&Command::Complete(end(1, 1, completed_end("sheet"))));
         assert_eq!(outcome, Outcome::Complete(CompleteReply::Recorded));
         group.restart();
     }
@@ -58,12 +59,12 @@
 }
 
 #[parameterized(
-    found_whole = { Some(whole("sheet")), None, BillState::Charged },
+    found_completed = { Some(completed_end("sheet")), None, BillState::Charged },
     found_not_run = { Some(ClaimEnd::Abandoned), None, BillState::Void },
     settled_ran = { None, Some(true), BillState::Charged },
     settled_not_run = { None, Some(false), BillState::Void },
-    proof_after_word = { Some(whole("sheet")), Some(false), BillState::Charged },
-    nothing_more = { None, None, BillState::Open },
+    completed_after_settled = { Some(completed_end("sheet")), Some(false), BillState::Charged },
+    still_open = { None, None, BillState::Open },
 )]
 fn open_bill(later: Option<ClaimEnd>, settled: Option<bool>, state: BillState) {
     let mut group = Group::with_fleet();
@@ -80,20 +81,20 @@
     }
     group.restart();
     assert_eq!(states(&group.state), [state]);
-    let moved = group.state.bills(first + 1, 1).len() == 1;
-    assert_eq!(moved, state != BillState::Open);
+    let renumbered = group.state.bills(first + 1, 1).len() == 1;
+    assert_eq!(renumbered, state != BillState::Open);
 }
 
-/// A claim is found not to have run, is taken again and completes. The key has
-/// one entry, not a void one and a charged one.
+/// A claim whose request did not run is claimed again and completes. The key
+/// must have one billing entry, not a void and a charged one.
 #[test]
-fn one_over_generations() {
+fn one_bill_across_generations() {
     let mut group = Group::with_fleet();
     group.apply(&Command::Claim(claim(1, 0)));
     group.apply(&Command::Complete(end(1, 1, ClaimEnd::Unknown)));
     group.apply(&Command::Complete(end(1, 1, ClaimEnd::Abandoned)));
     group.apply(&Command::Claim(claim(2, 1)));
-    group.apply(&Command::Complete(end(2, 2, whole("sheet"))));
+    group.apply(&Command::Complete(end(2, 2, completed_end("sheet"))));
     assert_eq!(states(&group.state), [BillState::Charged]);
     assert_eq!(group.state.bills(1, 1)[0].request, 2);
 }
@@ -104,6 +105,6 @@
     assert_eq!(group.apply(&settle(true)), Outcome::Settled(false));
     group.apply(&Command::Claim(claim(1, 0)));
     assert_eq!(group.apply(&settle(true)), Outcome::Settled(false));
-    group.apply(&Command::Complete(end(1, 1, whole("sheet"))));
+    group.apply(&Command::Complete(end(1, 1, completed_end("sheet"))));
     assert_eq!(group.apply(&settle(false)), Outcome::Settled(false));
 }
--- a/sesamebeam_core/tests/state/claims.rs
+++ b/sesamebeam_core/tests/state/claims.rs
@@ -1,4 +1,5 @@
-//! Claims: the first wins, an end is final, and a retake is compare-and-set.
+//! Tests that the first claim wins, an end is final and a retake is a
+//! compare-and-set.
 
 use sesamebeam_core::message::{
     command::{
@@ -16,12 +17,12 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     Group,
     claim,
+    completed_end,
     end,
-    key,
-    whole, //
+    key, //
 };
 
 fn granted(generation: u32) -> Outcome {
@@ -56,19 +57,19 @@
     assert_eq!(outcome, Outcome::Claim(ClaimReply::Conflict));
 }
 
-/// The leader dies between granting a claim and answering. The entry asks the
-/// next leader for the very same claim, and must be told that it is its own.
+/// The leader crashes after a claim is committed and before it replies. The
+/// entry sends the same claim to the next leader, and it must be granted.
 #[test]
 fn answer_lost() {
     let mut group = Group::with_fleet();
     group.apply(&Command::Claim(claim(1, 0)));
-    let first = group.state.opening(&key("sheet"));
+    let first = group.state.grant(&key("sheet"));
     assert_eq!(group.apply(&Command::Claim(claim(1, 0))), granted(1));
-    assert_ne!(group.state.opening(&key("sheet")), first);
+    assert_ne!(group.state.grant(&key("sheet")), first);
 }
 
-/// An abandoned claim is taken by the next entry; a late copy of the first
-/// entry's question must not take it back, since nobody waits for its answer.
+/// An abandoned claim is claimed by another entry. A delayed copy of the first
+/// entry's claim must not replace it, because no entry waits for the reply.
 #[test]
 fn abandoned_then_late_copy() {
     let mut group = Group::with_fleet();
@@ -79,13 +80,13 @@
     assert_eq!(group.apply(&Command::Claim(claim(2, 1))), granted(2));
     let copy = group.apply(&Command::Claim(claim(1, 0)));
     assert_eq!(existing(&copy), (2, ClaimState::Open));
-    let late = group.apply(&Command::Complete(end(1, 1, whole("late"))));
+    let late = group.apply(&Command::Complete(end(1, 1, completed_end("late"))));
     assert_eq!(late, Outcome::Complete(CompleteReply::Superseded));
 }
 
 #[parameterized(
     open = { None },
-    completed = { Some(whole("done")) },
+    completed = { Some(completed_end("done")) },
     unknown = { Some(ClaimEnd::Unknown) },
 )]
 fn no_retake_by_claim(ended: Option<ClaimEnd>) {
@@ -98,40 +99,40 @@
     assert_eq!(existing(&outcome).0, 1);
 }
 
-/// Two entries find the claimant gone and both ask for its claim. One of them
-/// gets it; the other must find it taken, or the sheet is filed twice.
+/// Two entries find the claimant gone and both request a retake. Only one may
+/// be granted, otherwise the request runs twice.
 #[test]
-fn retakes_race() {
+fn concurrent_retakes() {
     let mut group = Group::with_fleet();
     group.apply(&Command::Claim(claim(1, 0)));
-    let opened = group.state.opening(&key("sheet")).unwrap().opened;
+    let opened = group.state.grant(&key("sheet")).unwrap().granted_at;
     let retake = |entry| {
         Command::Retake(Retake {
             claim: claim(entry, 1),
-            opened,
+            granted_at: opened,
         })
     };
     assert_eq!(group.apply(&retake(2)), granted(2));
     assert_eq!(existing(&group.apply(&retake(3))).0, 2);
 }
 
-/// The claimant was frozen, not gone: its question comes again, through the next
-/// leader, and is granted anew with a new window. A retake that was judged on
-/// the old window comes just behind it in the log. With both granted, the sheet
-/// is filed twice.
+/// The claimant was paused, not gone: it resends its claim through the next
+/// leader, which grants it again with a new window. A retake that was evaluated
+/// against the old window follows in the log. If both were granted, the request
+/// would run twice.
 #[parameterized(
     safeguard_on = { false },
     safeguard_off = { true },
 )]
-fn retake_of_old_opening(fault: bool) {
+fn retake_of_old_grant(fault: bool) {
     let mut group = Group::with_fleet();
-    group.state.faults.retake_any_opening = fault;
+    group.state.faults.retake_any_grant = fault;
     group.apply(&Command::Claim(claim(1, 0)));
-    let opened = group.state.opening(&key("sheet")).unwrap().opened;
+    let opened = group.state.grant(&key("sheet")).unwrap().granted_at;
     assert_eq!(group.apply(&Command::Claim(claim(1, 0))), granted(1));
     let retake = Retake {
         claim: claim(2, 1),
-        opened,
+        granted_at: opened,
     };
     let both_granted = group.apply(&Command::Retake(retake)) == granted(2);
     assert_eq!(both_granted, fault);
--- a/sesamebeam_core/tests/state/crashes.rs
+++ b/sesamebeam_core/tests/state/crashes.rs
@@ -1,4 +1,4 @@
-//! Crashes: the request that takes down backend servers, and bystanders.
+//! Tests of the quarantine of requests that crash backend servers.
 
 use sesamebeam_core::{
     ids::Digest,
@@ -12,16 +12,16 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     Group,
     server, //
 };
 
-const POISON: Digest = 666;
+const CULPRIT: Digest = 666;
 
-fn crash(group: &mut Group, life: u16, suspects: &[Digest]) -> Vec<Digest> {
+fn crash(group: &mut Group, incarnation: u16, suspects: &[Digest]) -> Vec<Digest> {
     let report = CrashReport {
-        server: server(life),
+        server: server(incarnation),
         suspects: suspects.to_vec(),
     };
     match group.apply(&Command::Crash(report)) {
@@ -30,20 +30,20 @@
     }
 }
 
-/// A request crashes its backend server, its caller sends it again, and the next
-/// one goes down too. From the second crash on nobody may run it.
+/// A request crashes a backend server, is resent and crashes another one. After
+/// the second crash no entry may run it.
 #[test]
 fn second_crash() {
     let mut group = Group::new();
-    assert!(crash(&mut group, 1, &[POISON, 1, 2]).is_empty());
-    assert!(crash(&mut group, 1, &[POISON, 3]).is_empty());
+    assert!(crash(&mut group, 1, &[CULPRIT, 1, 2]).is_empty());
+    assert!(crash(&mut group, 1, &[CULPRIT, 3]).is_empty());
     group.restart();
-    assert_eq!(crash(&mut group, 2, &[POISON, 4]), [POISON]);
-    assert_eq!(group.state.live().quarantine, [POISON]);
+    assert_eq!(crash(&mut group, 2, &[CULPRIT, 4]), [CULPRIT]);
+    assert_eq!(group.state.live().quarantine, [CULPRIT]);
 }
 
-/// Both requests of a crashed backend server are sent again, and land together
-/// on the next one. Quarantining both refuses a caller whose request is sound.
+/// Both requests of a crashed backend server are resent and run together on the
+/// next one. If both were quarantined, a harmless request would be refused.
 #[parameterized(
     safeguard_on = { false },
     safeguard_off = { true },
@@ -51,46 +51,48 @@
 fn bystander(fault: bool) {
     let mut group = Group::new();
     group.state.faults.quarantine_bystanders = fault;
-    crash(&mut group, 1, &[POISON, 1]);
-    crash(&mut group, 2, &[POISON, 1]);
-    let found = crash(&mut group, 3, &[POISON]);
-    assert!(found.contains(&POISON));
+    crash(&mut group, 1, &[CULPRIT, 1]);
+    crash(&mut group, 2, &[CULPRIT, 1]);
+    let found = crash(&mut group, 3, &[CULPRIT]);
+    assert!(found.contains(&CULPRIT));
     assert_eq!(found.contains(&1), fault);
 }
 
 #[test]
 fn cleared_elsewhere() {
     let mut group = Group::new();
-    crash(&mut group, 1, &[POISON, 1]);
+    crash(&mut group, 1, &[CULPRIT, 1]);
     group.apply(&Command::Cleared(vec![1]));
-    assert_eq!(crash(&mut group, 2, &[POISON, 1]), [POISON]);
+    assert_eq!(crash(&mut group, 2, &[CULPRIT, 1]), [CULPRIT]);
 }
 
-/// Two entries report one crash apart, the one with the guilty request later.
-/// The early report alone points at a bystander; the late one lifts that.
+/// Two entries report the same crash, and the report that contains the culprit
+/// arrives later. The first report alone incriminates a bystander; the second
+/// must lift its quarantine.
 #[test]
 fn late_report() {
     let mut group = Group::new();
-    crash(&mut group, 1, &[POISON, 1]);
+    crash(&mut group, 1, &[CULPRIT, 1]);
     assert_eq!(crash(&mut group, 2, &[1]), [1]);
-    assert!(crash(&mut group, 2, &[POISON]).is_empty());
-    assert_eq!(crash(&mut group, 3, &[POISON]), [POISON]);
+    assert!(crash(&mut group, 2, &[CULPRIT]).is_empty());
+    assert_eq!(crash(&mut group, 3, &[CULPRIT]), [CULPRIT]);
 }
 
-/// A bystander of two crashes that are explained is in a third one, by chance.
+/// Bystanders of explained crashes are suspects of a third crash by
+/// coincidence.
 #[test]
 fn explained_crashes() {
     let mut group = Group::new();
-    crash(&mut group, 1, &[POISON, 1]);
-    crash(&mut group, 2, &[POISON, 2]);
-    assert_eq!(crash(&mut group, 3, &[1, 2]), [POISON]);
+    crash(&mut group, 1, &[CULPRIT, 1]);
+    crash(&mut group, 2, &[CULPRIT, 2]);
+    assert_eq!(crash(&mut group, 3, &[1, 2]), [CULPRIT]);
 }
 
 #[test]
-fn third_crash_together() {
+fn third_crash_tied() {
     let mut group = Group::new();
-    for life in 1..=2 {
-        assert!(crash(&mut group, life, &[POISON, 1]).is_empty());
+    for incarnation in 1..=2 {
+        assert!(crash(&mut group, incarnation, &[CULPRIT, 1]).is_empty());
     }
-    assert_eq!(crash(&mut group, 3, &[POISON, 1]), [1, POISON]);
+    assert_eq!(crash(&mut group, 3, &[CULPRIT, 1]), [1, CULPRIT]);
 }
--- a/sesamebeam_core/tests/state/deltas.rs
+++ b/sesamebeam_core/tests/state/deltas.rs
@@ -1,4 +1,4 @@
-//! Differences between fleet files.
+//! Tests of differences between fleet files.
 
 use proptest::{
     prelude::*,
@@ -24,17 +24,17 @@
 };
 use smol_str::format_smolstr;
 
-use crate::make::{
+use crate::fixtures::{
     Group,
     fleet,
-    fleet_with, //
+    fleet_with_state, //
 };
 
-/// Makes a file with some of six items in each list, in any order, each in one
-/// of two contents.
+/// Generates a file with a subset of six items in each list, in any order, each
+/// with one of two contents.
 fn any_fleet() -> impl Strategy<Value = Fleet> {
-    let picks = || subsequence((0..6).collect::<Vec<usize>>(), 0..=6).prop_shuffle();
-    let lists = (picks(), picks(), picks(), picks(), picks());
+    let subset = || subsequence((0..6).collect::<Vec<usize>>(), 0..=6).prop_shuffle();
+    let lists = (subset(), subset(), subset(), subset(), subset());
     (lists, any::<[bool; 6]>(), any::<bool>()).prop_map(|(lists, contents, name)| {
         let base = fleet();
         let mut made = Fleet {
@@ -87,30 +87,30 @@
     #![proptest_config(config())]
 
     #[test]
-    fn applied_gives_new(old in any_fleet(), new in any_fleet()) {
+    fn applying_difference_gives_new_file(old in any_fleet(), new in any_fleet()) {
         let difference = delta::compute(1, &old, &new);
         prop_assert_eq!(delta::apply(&old, &difference), Ok(new.clone()));
         prop_assert_eq!(delta::differences(&old, &new).is_empty(), old == new);
     }
 
     #[test]
-    fn doubled_names_go_whole(old in any_fleet(), at in any::<Index>()) {
+    fn duplicate_names_send_whole_file(old in any_fleet(), at in any::<Index>()) {
         let mut new = fleet();
         new.pools.extend(old.pools.clone());
-        let twin = new.pools[at.index(new.pools.len())].clone();
-        new.pools.push(twin);
+        let duplicate = new.pools[at.index(new.pools.len())].clone();
+        new.pools.push(duplicate);
         let whole = matches!(delta::change(1, &old, &new), FleetChange::Whole(_));
         prop_assert!(whole);
     }
 }
 
-/// Changes overtake each other on their way to an entry. Installed in the order
-/// of their arrival, a withdrawal would be undone by the file before it.
+/// Changes arrive at an entry out of order. If an older change were applied
+/// after a newer one, it would undo the withdrawal of a version.
 #[test]
-fn never_back() {
+fn stale_change_rejected() {
     let mut group = Group::with_fleet();
     let first = group.state.change_from(0).unwrap();
-    group.accept(fleet_with("v1", VersionState::Withdrawn));
+    group.accept(fleet_with_state("v1", VersionState::Withdrawn));
     let second = group.state.change_from(1).unwrap();
     let one = delta::install(0, &Fleet::default(), 1, &first).unwrap();
     let two = delta::install(1, &one, 2, &second).unwrap();
@@ -127,7 +127,7 @@
     assert_eq!(
         gap,
         Err(DeltaError::Base {
-            wanted: 1,
+            expected: 1,
             found: 0
         })
     );
--- a/sesamebeam_core/tests/state/fixtures.rs
+++ b/sesamebeam_core/tests/state/fixtures.rs
@@ -1,4 +1,4 @@
-//! Makes values for the tests of the state.
+//! Helpers for the tests of the state.
 
 use std::time::Duration;
 
@@ -33,14 +33,14 @@
             Claimant,
             CompleteRequest,
             Completed,
-            ServerLife,
+            ServerIncarnation,
             Usage, //
         },
     },
     state::State,
 };
 
-/// Replicas of one log, and a snapshot taken on demand.
+/// A replicated state with the next log index.
 pub(crate) struct Group {
     pub(crate) state: State,
     next: u64,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Makes a group with the fleet of [`fleet`] accepted.
+    /// Creates a group that has accepted the file returned by [`fleet`].
     pub(crate) fn with_fleet() -> Self {
         let mut group = Self::new();
         group.accept(fleet());
@@ -67,7 +67,8 @@
         outcome
     }
 
-    /// Accepts a file over the newest revision.
+    /// Applies a file based on the newest revision and returns the new
+    /// revision.
     pub(crate) fn accept(&mut self, fleet: Fleet) -> Revision {
         let base = self.state.revision();
         let digest = Digest::from(self.next);
@@ -81,7 +82,7 @@
         self.apply(&Command::Clock { at });
     }
 
-    /// Replaces the state by what a snapshot keeps of it.
+    /// Replaces the state by the one restored from its snapshot.
     pub(crate) fn restart(&mut self) {
         let faults = self.state.faults;
         let buf = self.state.snapshot();
@@ -111,7 +112,8 @@
     }
 }
 
-/// Makes a fleet with one model: `v1` and `v2` settled, `v3` rolling out.
+/// Creates a fleet file with one model, whose versions `v1` and `v2` are
+/// settled and `v3` is rolling.
 pub(crate) fn fleet() -> Fleet {
     Fleet {
         name: "huallaga".into(),
@@ -158,8 +160,8 @@
     }
 }
 
-/// Sets the life of one version of [`fleet`].
-pub(crate) fn fleet_with(name: &str, state: VersionState) -> Fleet {
+/// Returns the file of [`fleet`] with another state of one version.
+pub(crate) fn fleet_with_state(name: &str, state: VersionState) -> Fleet {
     let mut fleet = fleet();
     for version in &mut fleet.models[0].versions {
         if version.name == name {
@@ -176,14 +178,14 @@
     }
 }
 
-pub(crate) fn server(n: u16) -> ServerLife {
-    ServerLife {
+pub(crate) fn server(n: u16) -> ServerIncarnation {
+    ServerIncarnation {
         addr: ([10, 0, 0, 1], n).into(),
         incarnation: u64::from(n),
     }
 }
 
-/// Makes a claim of entry `entry` on key `sheet`.
+/// Creates a claim of entry number `entry` on the key `sheet`.
 pub(crate) fn claim(entry: u64, replaces: Generation) -> ClaimRequest {
     ClaimRequest {
         key: key("sheet"),
@@ -201,7 +203,7 @@
     }
 }
 
-pub(crate) fn whole(body: &str) -> ClaimEnd {
+pub(crate) fn completed_end(body: &str) -> ClaimEnd {
     ClaimEnd::Completed(Completed {
         status: 200,
         content_type: "application/json".into(),
@@ -211,7 +213,7 @@
     })
 }
 
-/// Makes the end of the claim that entry `entry` holds.
+/// Creates the end of a claim of entry number `entry`.
 pub(crate) fn end(entry: u64, generation: Generation, end: ClaimEnd) -> CompleteRequest {
     CompleteRequest {
         key: key("sheet"),
--- a/sesamebeam_core/tests/state/main.rs
+++ b/sesamebeam_core/tests/state/main.rs
@@ -1,10 +1,10 @@
-//! Tests of the replicated state, one file a feature.
+//! Tests of the replicated state, one file per feature.
 
 mod billing;
 mod claims;
 mod crashes;
 mod deltas;
-mod make;
+mod fixtures;
 mod pins;
 mod retention;
 mod rollouts;
--- a/sesamebeam_core/tests/state/pins.rs
+++ b/sesamebeam_core/tests/state/pins.rs
@@ -1,4 +1,4 @@
-//! Pins: a session keeps its version, until that version is withdrawn.
+//! Tests that a session keeps its version until the version is withdrawn.
 
 use std::time::Duration;
 
@@ -19,9 +19,9 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     Group,
-    fleet_with, //
+    fleet_with_state, //
 };
 
 fn pin(version: &str, replaces: u32) -> Command {
@@ -52,27 +52,28 @@
     assert_eq!(group.apply(&pin("partes@v2", 1)), pinned(1, "partes@v1"));
 }
 
-/// The pinned version is withdrawn while the session goes on. Two entries
-/// propose another one at the same time, and must agree on which.
+/// The pinned version is withdrawn during a session. Two entries concurrently
+/// propose different new versions and must get the same pin.
 #[test]
 fn renewed_once() {
     let mut group = Group::with_fleet();
     group.apply(&pin("partes@v1", 0));
-    group.accept(fleet_with("v1", VersionState::Withdrawn));
+    group.accept(fleet_with_state("v1", VersionState::Withdrawn));
     assert_eq!(group.apply(&pin("partes@v2", 1)), pinned(2, "partes@v2"));
     assert_eq!(group.apply(&pin("partes@v3", 1)), pinned(2, "partes@v2"));
 }
 
-/// An entry that has not heard of a withdrawal yet proposes the withdrawn
-/// version. With the pin given, every request of the session runs on it.
+/// An entry that has not received the withdrawal of a version yet proposes that
+/// version. If the pin were granted, all requests of the session would run on
+/// it.
 #[parameterized(
     safeguard_on = { false },
     safeguard_off = { true },
 )]
-fn late_proposal(fault: bool) {
+fn outdated_proposal(fault: bool) {
     let mut group = Group::with_fleet();
     group.state.faults.pin_any_version = fault;
-    group.accept(fleet_with("v1", VersionState::Withdrawn));
+    group.accept(fleet_with_state("v1", VersionState::Withdrawn));
     let outcome = group.apply(&pin("partes@v1", 0));
     assert_eq!(outcome == Outcome::Denied(Denial::Withdrawn), !fault);
 }
@@ -88,14 +89,14 @@
 }
 
 #[test]
-fn use_keeps() {
+fn use_extends_retention() {
     let mut group = Group::with_fleet();
     let hours = |n| Duration::from_hours(n);
     group.apply(&pin("partes@v1", 0));
     group.clock(hours(20));
     group.apply(&pin("partes@v2", 0));
     group.clock(hours(40));
-    assert_eq!(group.state.pins_kept(), 1);
+    assert_eq!(group.state.pin_count(), 1);
     group.clock(hours(44));
-    assert_eq!(group.state.pins_kept(), 0);
+    assert_eq!(group.state.pin_count(), 0);
 }
