--- a/sesamebeam_core/tests/state/retention.rs
+++ b/sesamebeam_core/tests/state/retention.rs
@@ -1,4 +1,4 @@
-//! Retention: what is kept, for how long, and what happens at the limits.
+//! Tests of the retention limits.
 
 use std::time::Duration;
 
@@ -25,12 +25,12 @@
     },
 };
 
-use crate::make::{
+use crate::fixtures::{
     Group,
     claim,
+    completed_end,
     end,
-    key,
-    whole, //
+    key, //
 };
 
 fn named(name: &str) -> ClaimRequest {
@@ -47,16 +47,16 @@
     }
 }
 
-fn with(group: &mut Group, change: impl FnOnce(&mut Retention)) {
+fn update_retention(group: &mut Group, change: impl FnOnce(&mut Retention)) {
     let mut retention = group.state.retention().clone();
     change(&mut retention);
     group.apply(&Command::Retention(retention));
 }
 
-/// The entry of an open claim died, and nobody asked for the key again. Simply
-/// dropped, a sheet that was filed would never be billed.
+/// The entry of an open claim crashed and the key is not claimed again. If the
+/// claim were simply removed, a request that ran would never be billed.
 #[test]
-fn forgotten_claim() {
+fn open_claim_becomes_unknown() {
     let mut group = Group::with_fleet();
     group.apply(&Command::Claim(claim(1, 0)));
     group.clock(Duration::from_hours(24));
@@ -65,7 +65,7 @@
     assert_eq!(group.state.bills(1, 9)[0].state, BillState::Open);
     group.clock(Duration::from_hours(24 * 30));
     group.restart();
-    assert_eq!(group.state.bills_kept(), 1, "open entries stay");
+    assert_eq!(group.state.bill_count(), 1, "open entries stay");
     let settle = Command::Settle(SettleRequest {
         key: key("sheet"),
         ran: false,
@@ -74,37 +74,37 @@
     assert_eq!(group.apply(&settle), Outcome::Settled(true));
     group.clock(Duration::from_hours(24 * 60));
     assert_eq!(
-        (group.state.claims_kept(), group.state.bills_kept()),
+        (group.state.claim_count(), group.state.bill_count()),
         (0, 0)
     );
 }
 
 #[test]
-fn ended_claim() {
+fn ended_claim_expires() {
     let mut group = Group::with_fleet();
     group.apply(&Command::Claim(claim(1, 0)));
     group.clock(Duration::from_hours(23));
-    group.apply(&Command::Complete(end(1, 1, whole("sheet"))));
+    group.apply(&Command::Complete(end(1, 1, completed_end("sheet"))));
     group.clock(Duration::from_hours(46));
     assert!(body(&group, "sheet").is_some());
     group.clock(Duration::from_hours(47));
-    assert_eq!(group.state.claims_kept(), 0);
+    assert_eq!(group.state.claim_count(), 0);
     assert_eq!(group.state.body_bytes(), 0);
-    assert_eq!(group.state.bills_kept(), 1);
+    assert_eq!(group.state.bill_count(), 1);
     group.clock(Duration::from_hours(24 * 9));
-    assert_eq!(group.state.bills_kept(), 0);
+    assert_eq!(group.state.bill_count(), 0);
 }
 
 #[test]
 fn bodies() {
     let mut group = Group::with_fleet();
-    with(&mut group, |retention| {
+    update_retention(&mut group, |retention| {
         retention.body_cap = 4;
         retention.bodies_cap = 8;
     });
     for (name, text) in [("a", "1234"), ("b", "12345"), ("c", "1234"), ("d", "1")] {
         group.apply(&Command::Claim(named(name)));
-        let mut done = end(1, 1, whole(text));
+        let mut done = end(1, 1, completed_end(text));
         done.key = key(name);
         group.apply(&Command::Complete(done));
     }
@@ -115,9 +115,9 @@
 }
 
 #[test]
-fn full() {
+fn denied_when_full() {
     let mut group = Group::with_fleet();
-    with(&mut group, |retention| retention.max_bills = 2);
+    update_retention(&mut group, |retention| retention.max_bills = 2);
     group.apply(&Command::Claim(named("a")));
     group.apply(&Command::Claim(named("b")));
     let denied = Outcome::Denied(Denial::ClaimsFull);
@@ -128,13 +128,13 @@
     assert_ne!(group.apply(&Command::Claim(named("c"))), denied);
 }
 
-/// The table of claims is full of sheets that ended. The next sheet is denied
-/// while those are young, since their callers may still send again; an hour
-/// later the oldest makes room, though its retention is a day.
+/// The table of claims is full of ended claims. A further claim is denied while
+/// they are recent, because their callers may still resend. After an hour the
+/// oldest is evicted, although its retention is a day.
 #[test]
-fn room_made() {
+fn oldest_ended_claim_evicted() {
     let mut group = Group::with_fleet();
-    with(&mut group, |retention| retention.max_claims = 2);
+    update_retention(&mut group, |retention| retention.max_claims = 2);
     group.apply(&Command::Claim(named("a")));
     let mut abandoned = end(1, 1, ClaimEnd::Abandoned);
     abandoned.key = key("a");
@@ -144,13 +144,13 @@
     assert_eq!(group.apply(&Command::Claim(named("c"))), denied);
     group.clock(Duration::from_secs(3601));
     assert_ne!(group.apply(&Command::Claim(named("c"))), denied);
-    // The open claim and the new one stay, whatever their age.
-    assert_eq!(group.state.claims_kept(), 2);
+    // The open claim and the new one are not evicted, whatever their age.
+    assert_eq!(group.state.claim_count(), 2);
     assert_eq!(group.apply(&Command::Claim(named("d"))), denied);
 }
 
 #[test]
-fn clock_never_back() {
+fn clock_is_monotonic() {
     let mut group = Group::new();
     group.clock(Duration::from_secs(10));
     group.clock(Duration::from_secs(5));
@@ -169,7 +169,7 @@
     }
     assert!(matches!(
         State::restore(&buf[..3]),
-        Err(StateError::Short(3))
+        Err(StateError::TooShort(3))
     ));
     let mut newer = buf;
     newer[0] += 1;
--- a/sesamebeam_core/tests/state/rollouts.rs
+++ b/sesamebeam_core/tests/state/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: gates, holds, and what a leader decided on an old state.
+//! Tests of roll-outs: gates, holds and outdated decisions.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     Group,
     fleet,
-    fleet_with, //
+    fleet_with_state, //
 };
 
 const VERSION: &str = "partes@v3";
@@ -66,13 +66,13 @@
     assert_eq!(group.state.rollout(VERSION), Some(RolloutState::Done));
 }
 
-/// A leader that lost its office decides on evidence that a step has used up
-/// already. Its decision arrives late and must move nothing.
+/// A replaced leader decides based on evidence that an earlier step has already
+/// used. Its decision arrives late and must have no effect.
 #[parameterized(
     safeguard_on = { false },
     safeguard_off = { true },
 )]
-fn late_decision(fault: bool) {
+fn outdated_decision(fault: bool) {
     let mut group = started();
     group.state.faults.step_without_gate = fault;
     group.clock(Duration::from_secs(60));
@@ -82,8 +82,8 @@
 }
 
 #[parameterized(
-    by_an_entry = { 0, 0, true, true },
-    by_the_fleet = { 4, 16, false, true },
+    by_entry_test = { 0, 0, true, true },
+    by_fleet_test = { 4, 16, false, true },
     few_answers = { 0, 5, false, false },
     as_expected = { 90, 10, false, false },
 )]
@@ -116,15 +116,16 @@
 #[test]
 fn withdrawn() {
     let mut group = started();
-    group.accept(fleet_with("v3", VersionState::Withdrawn));
+    group.accept(fleet_with_state("v3", VersionState::Withdrawn));
     assert_eq!(group.state.rollout(VERSION), None);
     assert!(group.state.live().rollouts.is_empty());
 }
 
-/// A version that answered well for weeks turns bad in the middle of a shift.
-/// Weighed against all its past, it would run on for thousands of answers.
+/// A version that was good for a long time turns bad. If all past evidence had
+/// full weight, the version would be held only after thousands of further
+/// answers.
 #[test]
-fn turns_bad() {
+fn good_version_turns_bad() {
     let mut group = started();
     for _ in 0..500 {
         group.apply(&evidence(100, 5, false));
--- a/sesamebeam_core/tests/state/verdicts.rs
+++ b/sesamebeam_core/tests/state/verdicts.rs
@@ -1,4 +1,4 @@
-//! Verdicts on operators' changes: racing, resent, and after a snapshot.
+//! Tests of the verdicts on concurrent and resent changes.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 };
 use yare::parameterized;
 
-use crate::make::{
+use crate::fixtures::{
     Group,
     change,
     fleet,
-    fleet_with, //
+    fleet_with_state, //
 };
 
 fn judge(group: &mut Group, change: &Change) -> Verdict {
@@ -27,14 +27,14 @@
     }
 }
 
-/// Two operators edit the same revision and apply at the same moment. One file
-/// is accepted; the other operator reads who won, and where the files differ.
+/// Two operators change the same revision concurrently. One file is accepted;
+/// the other operator is told who won and where the files differ.
 #[test]
-fn equal_base() {
+fn concurrent_changes() {
     let mut group = Group::with_fleet();
-    let mut first = change(1, 10, fleet_with("v1", VersionState::Withdrawn));
+    let mut first = change(1, 10, fleet_with_state("v1", VersionState::Withdrawn));
     first.operator = "ana".into();
-    let mut second = change(1, 11, fleet_with("v2", VersionState::Withdrawn));
+    let mut second = change(1, 11, fleet_with_state("v2", VersionState::Withdrawn));
     second.operator = "zuzana".into();
     assert_eq!(judge(&mut group, &first), Verdict::Accepted(2));
     let Verdict::Conflict(conflict) = judge(&mut group, &second) else {
@@ -46,8 +46,9 @@
     assert_eq!(*group.state.fleet(), *first.fleet);
 }
 
-/// The answer to `apply` is lost and the file is sent again, after the replica
-/// restarted from a snapshot. Judged anew it would lose against itself.
+/// The reply to `apply` is lost and the file is sent again after the replica
+/// restarted from a snapshot. A second decision would report a conflict of the
+/// file with itself.
 #[parameterized(
     safeguard_on = { false },
     safeguard_off = { true },
@@ -55,7 +56,7 @@
 fn resent_after_snapshot(fault: bool) {
     let mut group = Group::with_fleet();
     group.state.faults.snapshot_without_verdicts = fault;
-    let file = change(1, 10, fleet_with("v1", VersionState::Withdrawn));
+    let file = change(1, 10, fleet_with_state("v1", VersionState::Withdrawn));
     let first = judge(&mut group, &file);
     group.accept(fleet());
     let state = sesamebeam_core::state::State::restore(&group.state.snapshot()).unwrap();
@@ -67,7 +68,7 @@
 #[test]
 fn conflict_resent() {
     let mut group = Group::with_fleet();
-    group.accept(fleet_with("v1", VersionState::Withdrawn));
+    group.accept(fleet_with_state("v1", VersionState::Withdrawn));
     let late = change(1, 99, fleet());
     let first = judge(&mut group, &late);
     group.accept(fleet());
