--- a/sesamebeam/src/cli/args.rs
+++ b/sesamebeam/src/cli/args.rs
@@ -11,7 +11,7 @@
 
 use pico_args::Arguments;
 use sesamebeam_core::{
-    fleet::check::nearest,
+    fleet::check::most_similar,
     ids::{
         BillSeq,
         IdempotencyKey,
@@ -268,7 +268,7 @@
                 return Err(self.fault(UsageFault::NoCommand));
             };
             topic = topic.child(&word).ok_or_else(|| UsageError {
-                suggestion: nearest(&word, topic.children().iter().map(|child| child.word())),
+                suggestion: most_similar(&word, topic.children().iter().map(|child| child.word())),
                 fault: UsageFault::UnknownCommand(word.clone()),
                 topic,
             })?;
@@ -358,7 +358,7 @@
         Ok(Replace {
             incarnation: self.needed("--incarnation", "32 hex digits", hex)?,
             addr,
-            gone: self.argument("GONE", "the number of a replica", number)?,
+            old: self.argument("GONE", "the number of a replica", number)?,
             new: self.argument("NEW", "the number of a replica", number)?,
         })
     }
@@ -467,7 +467,7 @@
     fn unknown_option(&self, text: &str) -> UsageError {
         let option = text.split('=').next().unwrap_or(text);
         UsageError {
-            suggestion: nearest(option, self.topic.options().iter().copied()),
+            suggestion: most_similar(option, self.topic.options().iter().copied()),
             fault: UsageFault::UnknownOption(option.into()),
             topic: self.topic,
         }
--- a/sesamebeam/src/cli/control.rs
+++ b/sesamebeam/src/cli/control.rs
@@ -26,7 +26,7 @@
         ControlReply::Done => {
             out.line(format!(
                 "replica {} joins in place of {}; it votes once it has caught up, see `sesamebeam status`",
-                replace.new, replace.gone
+                replace.new, replace.old
             ))?;
             Ok(Exit::Done)
         }
--- a/sesamebeam/src/cli/explain.rs
+++ b/sesamebeam/src/cli/explain.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use sesamebeam_core::{
     entry::explain::Explanation,
-    fleet::check::nearest,
+    fleet::check::most_similar,
     ids::RequestId,
     message::entry::{
         EntryReply,
@@ -67,7 +67,7 @@
     let mut entries = settings.entries.iter();
     entries.find(|entry| entry.instance == name).ok_or_else(|| {
         let names = settings.entries.iter().map(|entry| entry.instance.as_str());
-        let hint = nearest(name, names).map(|near| format!("; did you mean `{near}`?"));
+        let hint = most_similar(name, names).map(|near| format!("; did you mean `{near}`?"));
         CliError::NotFound(format!(
             "the settings list no entry `{name}`{}",
             hint.unwrap_or_default()
--- a/sesamebeam/src/link/peer.rs
+++ b/sesamebeam/src/link/peer.rs
@@ -153,7 +153,7 @@
     pub async fn send<M: Serialize>(&self, msg: &M) -> Result<(), LinkError> {
         let body = wire::encode(msg)?;
         let mut buf = Vec::with_capacity(LENGTH_BYTES + body.len());
-        // INVARIANT: `encode` refuses what is longer than MAX_MESSAGE, which
+        // INVARIANT: `encode` refuses what is longer than MAX_MESSAGE_BYTES, which
         // fits in 32 bits.
         buf.extend_from_slice(&(body.len() as u32).to_be_bytes());
         buf.extend_from_slice(&body);
--- a/sesamebeam/src/toml_file.rs
+++ b/sesamebeam/src/toml_file.rs
@@ -12,7 +12,7 @@
 use sesamebeam_core::fleet::check::{
     Fault,
     PathSegment,
-    nearest, //
+    most_similar, //
 };
 use smol_str::SmolStr;
 use thiserror::Error;
@@ -179,7 +179,7 @@
     }
     let mut words = message.split('`').skip(1).step_by(2);
     let wrong = words.next()?;
-    nearest(wrong, words)
+    most_similar(wrong, words)
 }
 
 /// Finds where the value at a path starts, or the nearest part round it if the
--- a/sesamebeam/tests/cli_apply.rs
+++ b/sesamebeam/tests/cli_apply.rs
@@ -220,7 +220,7 @@
     let mut fleet = Fleet::new();
     fleet.control(|req| match req {
         ControlRequest::Replace(replace) if replace.new == 4 => {
-            assert_eq!((replace.gone, replace.incarnation), (2, 0xab));
+            assert_eq!((replace.old, replace.incarnation), (2, 0xab));
             Some(ControlReply::Done)
         }
         _ => Some(ControlReply::Refused("replica 2 is in use".into())),
--- a/sesamebeam/tests/real/replicas.rs
+++ b/sesamebeam/tests/real/replicas.rs
@@ -83,7 +83,7 @@
     let printed = processes.printed("control-4");
     let hex = printed.split_whitespace().nth(1).expect("a number");
     let replace = ControlRequest::Replace(Replace {
-        gone: 3,
+        old: 3,
         new: 4,
         addr: new.listen,
         incarnation: u128::from_str_radix(hex, 16).expect("hex"),
--- a/sesamebeam_core/src/control/leader.rs
+++ b/sesamebeam_core/src/control/leader.rs
@@ -156,7 +156,7 @@
             return;
         };
         lead.orders.expire(&self.cfg, self.now);
-        if may_from > self.now && !self.cfg.faults.order_at_once {
+        if may_from > self.now && !self.cfg.faults.order_before_lease_end {
             return;
         }
         // One an event: an order that the log refuses is free to be picked again.
--- a/sesamebeam_core/src/control/orders.rs
+++ b/sesamebeam_core/src/control/orders.rs
@@ -163,7 +163,7 @@
     }
 
     fn next_load(&self, cfg: &ControlConfig, state: &State, now: MonoTime) -> Option<Order> {
-        if self.store_free > now && !cfg.faults.order_unpaced {
+        if self.store_free > now && !cfg.faults.ignore_load_pacing {
             return None;
         }
         let fleet = state.fleet();
@@ -208,7 +208,7 @@
     ) -> Option<ServerAddr> {
         let serving = self.pool(&model.pool).count();
         let busy = self.pool(&model.pool).filter(|a| self.is_busy(a)).count();
-        let spare = busy + 1 < serving || cfg.faults.order_unpaced;
+        let spare = busy + 1 < serving || cfg.faults.ignore_load_pacing;
         let candidates = self.pool(&model.pool).filter(|a| {
             let alone_and_empty = serving == 1 && a.versions.is_empty();
             !self.is_busy(a) && !a.has(&rollout.version) && (spare || alone_and_empty)
--- a/sesamebeam_core/src/control/requests.rs
+++ b/sesamebeam_core/src/control/requests.rs
@@ -137,7 +137,7 @@
 
     fn replace(&mut self, client: ClientTicket, replace: &Replace) {
         let change = MemberChange::Replace {
-            gone: replace.gone,
+            gone: replace.old,
             new: replace.new,
             incarnation: replace.incarnation,
             addr: Some(replace.addr),
--- a/sesamebeam_core/src/entry/membership.rs
+++ b/sesamebeam_core/src/entry/membership.rs
@@ -153,7 +153,7 @@
                     self.handle_announcement(now, announcement, false);
                 }
             }
-            PeerMessage::Alive(list) => self.handle_heartbeats(now, from, &list),
+            PeerMessage::LeaseRefreshes(list) => self.handle_heartbeats(now, from, &list),
             PeerMessage::RequestServers => {
                 let list: Vec<Announcement> = self.servers.reachable().cloned().collect();
                 self.send_to_entries(Recipients::One(from), PeerMessage::Servers(list));
@@ -206,7 +206,7 @@
         if !self.refreshed.is_empty() && now >= self.next_alive {
             self.next_alive = now + self.cfg.alive_every;
             let list = std::mem::take(&mut self.refreshed).into_values().collect();
-            self.send_to_entries(Recipients::All, PeerMessage::Alive(list));
+            self.send_to_entries(Recipients::All, PeerMessage::LeaseRefreshes(list));
         }
     }
 
--- a/sesamebeam_core/src/fleet/check.rs
+++ b/sesamebeam_core/src/fleet/check.rs
@@ -57,8 +57,12 @@
     /// Suggests the name that is most similar to `word`, if one is similar
     /// enough.
     #[must_use]
-    pub fn suggest<'a>(mut self, word: &str, names: impl IntoIterator<Item = &'a str>) -> Self {
-        self.suggestion = nearest(word, names);
+    pub fn with_suggestion<'a>(
+        mut self,
+        word: &str,
+        names: impl IntoIterator<Item = &'a str>,
+    ) -> Self {
+        self.suggestion = most_similar(word, names);
         self
     }
 }
@@ -74,7 +78,7 @@
 }
 
 /// Returns the name that is most similar to `word`, if one is similar enough.
-pub fn nearest<'a>(word: &str, names: impl IntoIterator<Item = &'a str>) -> Option<SmolStr> {
+pub fn most_similar<'a>(word: &str, names: impl IntoIterator<Item = &'a str>) -> Option<SmolStr> {
     names
         .into_iter()
         .map(|name| (strsim::jaro_winkler(word, name), name))
@@ -116,7 +120,7 @@
         names: impl IntoIterator<Item = &'a str>,
     ) {
         self.list
-            .push(Fault::new(path, message).suggest(word, names));
+            .push(Fault::new(path, message).with_suggestion(word, names));
     }
 
     /// Checks that a name can be used in headers, logs and metrics.
--- a/sesamebeam_core/src/message/command.rs
+++ b/sesamebeam_core/src/message/command.rs
@@ -136,7 +136,7 @@
     }
 }
 
-/// Reason why a command was denied and changed nothing.
+/// Reason why a command was denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 pub enum Denial {
     /// The maximum number of claims or billing entries is reached.
@@ -284,6 +284,6 @@
     Quarantined(Vec<Digest>),
     /// Order with its fencing token.
     Ordered(Order),
-    /// The command was denied and changed nothing.
+    /// The command was denied.
     Denied(Denial),
 }
--- a/sesamebeam_core/src/message/control.rs
+++ b/sesamebeam_core/src/message/control.rs
@@ -227,7 +227,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replace {
     /// Replica to remove.
-    pub gone: NodeId,
+    pub old: NodeId,
     /// New replica, which has a node number of its own.
     pub new: NodeId,
     /// Address at which the new replica listens.
--- a/sesamebeam_core/src/message/peer.rs
+++ b/sesamebeam_core/src/message/peer.rs
@@ -38,7 +38,7 @@
     Servers(Vec<Announcement>),
     /// Lease refreshes of backend servers. They do not contain load reports,
     /// which would exceed the control budget at 10,000 backend servers.
-    Alive(Vec<LeaseRefresh>),
+    LeaseRefreshes(Vec<LeaseRefresh>),
     /// Requests all backend servers that the sender should know. Sent after a
     /// start.
     RequestServers,
--- a/sesamebeam_core/src/message/wire.rs
+++ b/sesamebeam_core/src/message/wire.rs
@@ -26,10 +26,10 @@
     #[error("message of {0} bytes is longer than {MAX_MESSAGE_BYTES}")]
     TooLong(usize),
     /// The wire version of the sender is not supported.
-    #[error("wire version {0} is not understood, only {OLDEST_WIRE_VERSION} to {WIRE_VERSION}")]
-    Version(u8),
+    #[error("wire version {0} is not supported, only {OLDEST_WIRE_VERSION} to {WIRE_VERSION}")]
+    UnsupportedVersion(u8),
     /// The message cannot be decoded.
-    #[error("message does not decode: {0}")]
+    #[error("cannot decode message: {0}")]
     Codec(#[from] postcard::Error),
 }
 
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the message is longer than [`MAX_MESSAGE`].
+/// Fails if the message is longer than [`MAX_MESSAGE_BYTES`].
 pub fn encode(message: &impl Serialize) -> Result<Vec<u8>, WireError> {
     let buf = postcard::to_extend(message, vec![WIRE_VERSION])?;
     if buf.len() > MAX_MESSAGE_BYTES {
@@ -58,7 +58,7 @@
     }
     let (&version, body) = buf.split_first().ok_or(WireError::Empty)?;
     if !(OLDEST_WIRE_VERSION..=WIRE_VERSION).contains(&version) {
-        return Err(WireError::Version(version));
+        return Err(WireError::UnsupportedVersion(version));
     }
     Ok(postcard::from_bytes(body)?)
 }
--- a/sesamebeam_core/src/state.rs
+++ b/sesamebeam_core/src/state.rs
@@ -83,10 +83,10 @@
     #[error("snapshot of {0} bytes is shorter than its header")]
     TooShort(usize),
     /// The layout version of the snapshot is not supported.
-    #[error("snapshot layout {0} is not understood, only {SNAPSHOT_VERSION}")]
-    Version(u8),
+    #[error("snapshot layout version {0} is not supported, only {SNAPSHOT_VERSION}")]
+    UnsupportedVersion(u8),
     /// The checksum of the snapshot does not match.
-    #[error("snapshot checksum is {found:08x}, not {expected:08x}")]
+    #[error("snapshot checksum is {found:08x}, expected {expected:08x}")]
     Checksum {
         /// Checksum in the header.
         expected: u32,
@@ -94,7 +94,7 @@
         found: u32,
     },
     /// The snapshot cannot be decoded.
-    #[error("snapshot does not decode: {0}")]
+    #[error("cannot decode snapshot: {0}")]
     Codec(#[from] postcard::Error),
 }
 
@@ -124,10 +124,10 @@
     /// A leader issues orders and answers requests without holding its lease.
     pub act_without_lease: bool,
     /// A leader issues orders before the lease of its predecessor has ended.
-    pub order_at_once: bool,
+    pub order_before_lease_end: bool,
     /// Orders ignore the transfer rate of the weight store and the size of the
     /// pool.
-    pub order_unpaced: bool,
+    pub ignore_load_pacing: bool,
 }
 
 /// The replicated state.
@@ -160,7 +160,10 @@
     ///
     /// Panics in debug builds if the index does not increase.
     pub fn apply(&mut self, index: LogIndex, command: &Command) -> Outcome {
-        debug_assert!(index > self.applied, "position {index} was applied before");
+        debug_assert!(
+            index > self.applied,
+            "log index {index} was already applied"
+        );
         self.applied = index;
         let outcome = self.execute(index, command);
         if affects_live_state(command) {
@@ -202,15 +205,12 @@
             .ok_or(StateError::TooShort(buf.len()))?;
         let [version, checksum @ ..] = *header;
         if version != SNAPSHOT_VERSION {
-            return Err(StateError::Version(version));
+            return Err(StateError::UnsupportedVersion(version));
         }
-        let wanted = u32::from_le_bytes(checksum);
+        let expected = u32::from_le_bytes(checksum);
         let found = crc32fast::hash(body);
-        if wanted != found {
-            return Err(StateError::Checksum {
-                expected: wanted,
-                found,
-            });
+        if expected != found {
+            return Err(StateError::Checksum { expected, found });
         }
         Ok(postcard::from_bytes(body)?)
     }
--- a/sesamebeam_core/src/state/delta.rs
+++ b/sesamebeam_core/src/state/delta.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DeltaError {
     /// The difference was computed from another revision.
-    #[error("the difference applies to revision {expected}, not to {found}")]
+    #[error("difference was computed from revision {expected}, but revision {found} is in force")]
     Base {
         /// Revision that the difference was computed from.
         expected: Revision,
@@ -54,7 +54,7 @@
     },
     /// The order of a list names an item that the file does not contain, or
     /// omits one.
-    #[error("the difference orders items that the file does not have")]
+    #[error("list order in the difference does not match the items of the file")]
     Order,
 }
 
@@ -101,7 +101,7 @@
         classes: classes.changed,
         organisations: organisations.changed,
         rollouts: rollouts.changed,
-        removed: removed,
+        removed,
         orders,
     }
 }
--- a/sesamebeam_core/tests/control/orders.rs
+++ b/sesamebeam_core/tests/control/orders.rs
@@ -56,7 +56,7 @@
 )]
 fn paced(fault: bool, apart: u64) {
     let faults = Faults {
-        order_unpaced: fault,
+        ignore_load_pacing: fault,
         ..Faults::default()
     };
     let mut group = Group::new(faults);
@@ -78,7 +78,7 @@
 )]
 fn never_empty(servers: u8, fault: bool, most: usize) {
     let faults = Faults {
-        order_unpaced: fault,
+        ignore_load_pacing: fault,
         ..Faults::default()
     };
     let mut group = Group::new(faults);
@@ -149,7 +149,7 @@
 )]
 fn cut_for_an_hour(fault: bool) {
     let faults = Faults {
-        order_at_once: fault,
+        order_before_lease_end: fault,
         ..Faults::default()
     };
     let mut group = Group::new(faults);
--- a/sesamebeam_core/tests/state/claims.rs
+++ b/sesamebeam_core/tests/state/claims.rs
@@ -105,11 +105,11 @@
 fn concurrent_retakes() {
     let mut group = Group::with_fleet();
     group.apply(&Command::Claim(claim(1, 0)));
-    let opened = group.state.grant(&key("sheet")).unwrap().granted_at;
+    let granted_at = group.state.grant(&key("sheet")).unwrap().granted_at;
     let retake = |entry| {
         Command::Retake(Retake {
             claim: claim(entry, 1),
-            granted_at: opened,
+            granted_at,
         })
     };
     assert_eq!(group.apply(&retake(2)), granted(2));
@@ -128,11 +128,11 @@
     let mut group = Group::with_fleet();
     group.state.faults.retake_any_grant = fault;
     group.apply(&Command::Claim(claim(1, 0)));
-    let opened = group.state.grant(&key("sheet")).unwrap().granted_at;
+    let granted_at = group.state.grant(&key("sheet")).unwrap().granted_at;
     assert_eq!(group.apply(&Command::Claim(claim(1, 0))), granted(1));
     let retake = Retake {
         claim: claim(2, 1),
-        granted_at: opened,
+        granted_at,
     };
     let both_granted = group.apply(&Command::Retake(retake)) == granted(2);
     assert_eq!(both_granted, fault);
--- a/sesamebeam_core/tests/state/retention.rs
+++ b/sesamebeam_core/tests/state/retention.rs
@@ -175,6 +175,6 @@
     newer[0] += 1;
     assert!(matches!(
         State::restore(&newer),
-        Err(StateError::Version(2))
+        Err(StateError::UnsupportedVersion(2))
     ));
 }
