--- a/sesamebeam_core/src/message/command.rs
+++ b/sesamebeam_core/src/message/command.rs
@@ -110,9 +110,9 @@
     pub max_bills: u32,
     /// Maximum number of verdicts; the oldest is removed first.
     pub max_verdicts: u32,
-    /// Maximum size of a kept response body in bytes.
+    /// Maximum size of a kept answer body in bytes.
     pub body_cap: u32,
-    /// Maximum total size of the kept response bodies in bytes; the oldest is
+    /// Maximum total size of the kept answer bodies in bytes; the oldest is
     /// removed first.
     pub bodies_cap: u64,
 }
--- a/sesamebeam_core/src/message/record.rs
+++ b/sesamebeam_core/src/message/record.rs
@@ -197,7 +197,7 @@
 /// State of a billing entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BillState {
-    /// The usage is charged.
+    /// The request ran; its usage is charged.
     Charged,
     /// It is not known yet whether the request ran.
     Open,
--- a/sesamebeam_core/src/state.rs
+++ b/sesamebeam_core/src/state.rs
@@ -309,7 +309,7 @@
         self.bills.len()
     }
 
-    /// Returns the total size of the kept response bodies in bytes.
+    /// Returns the total size of the kept answer bodies in bytes.
     pub fn body_bytes(&self) -> u64 {
         self.claims.body_bytes()
     }
--- a/sesamebeam_core/src/state/claim.rs
+++ b/sesamebeam_core/src/state/claim.rs
@@ -59,9 +59,9 @@
     records: BTreeMap<ClaimKey, Record>,
     /// Keys by the time at which their retention starts, oldest first.
     due: BTreeSet<(Duration, ClaimKey)>,
-    /// Keys of the kept response bodies, by the log index of the completion.
+    /// Keys of the kept answer bodies, by the log index of the completion.
     bodies: BTreeMap<LogIndex, ClaimKey>,
-    /// Total size of the kept response bodies in bytes.
+    /// Total size of the kept answer bodies in bytes.
     body_bytes: u64,
     /// Number of open claims.
     open: u32,
@@ -88,7 +88,7 @@
     /// Whether an operator declared that the request ran, if the billing entry
     /// was settled.
     settled: Option<bool>,
-    /// Log index of the completion, if its response body is kept.
+    /// Log index of the completion, if its answer body is kept.
     body_index: Option<LogIndex>,
 }
 
@@ -248,7 +248,7 @@
         self.records.len()
     }
 
-    /// Returns the total size of the kept response bodies in bytes.
+    /// Returns the total size of the kept answer bodies in bytes.
     pub(super) fn body_bytes(&self) -> u64 {
         self.body_bytes
     }
@@ -273,7 +273,7 @@
     /// Evicts the oldest ended claim, if it ended long enough ago.
     ///
     /// Otherwise a busy day would fill the table, and new claims would be
-    /// denied in order to keep responses that nobody requests any more. Callers
+    /// denied in order to keep answers that nobody requests any more. Callers
     /// resend within minutes, so no resend finds its claim evicted.
     fn evict_oldest_ended(&mut self, cx: &ApplyContext<'_>) {
         let ended = |key: &ClaimKey| {
@@ -411,7 +411,7 @@
         self.keep_body(cx, &req.key);
     }
 
-    /// Accounts for the response body of a completion, or drops it if it
+    /// Accounts for the answer body of a completion, or drops it if it
     /// exceeds the size limit. The oldest bodies are dropped if the total size
     /// exceeds its limit.
     fn keep_body(&mut self, cx: &ApplyContext<'_>, key: &ClaimKey) {
