--- a/sesamebeam/src/control.rs
+++ b/sesamebeam/src/control.rs
@@ -361,12 +361,12 @@
         loop {
             let wake = self.start + self.core.next_wake();
             tokio::select! {
-            () = cancel.cancelled() => return Ok(()),
-            input = rx.recv() => match input {
-            Some(input) => self.take(input)?,
-            None => return Ok(()),
-            },
-            () = sleep_until(wake.into()) => self.event(ControlEvent::Tick)?,
+                () = cancel.cancelled() => return Ok(()),
+                input = rx.recv() => match input {
+                    Some(input) => self.take(input)?,
+                    None => return Ok(()),
+                },
+                () = sleep_until(wake.into()) => self.event(ControlEvent::Tick)?,
             }
         }
     }
@@ -465,8 +465,8 @@
 ) {
     loop {
         let message = tokio::select! {
-        () = cancel.cancelled() => return,
-        message = rx.recv() => message,
+            () = cancel.cancelled() => return,
+            message = rx.recv() => message,
         };
         let Some(message) = message else {
             return;
--- a/sesamebeam/src/entry.rs
+++ b/sesamebeam/src/entry.rs
@@ -21,7 +21,7 @@
     io,
     net::SocketAddr,
     sync::Arc,
-    thread,
+    thread, //
     time::{
         Duration,
         Instant, //
--- a/sesamebeam/src/gateway/attempt.rs
+++ b/sesamebeam/src/gateway/attempt.rs
@@ -187,9 +187,9 @@
             .router()
             .utilization(self.gateway.now(), &self.plan);
         log::info!(
-        id:% = self.req.head.id, status = status.as_u16(), sends = self.sends,
-        unsent = self.unsent, refused = self.refused, taken = taken, tried:? = self.tried;
-        "request given up"
+            id:% = self.req.head.id, status = status.as_u16(), sends = self.sends,
+            unsent = self.unsent, refused = self.refused, taken = taken, tried:? = self.tried;
+            "request given up"
         );
         if self.may_have_run {
             self.count(RequestEnd::Unknown);
@@ -212,9 +212,9 @@
         let mut router = self.gateway.router();
         let after = router.retry_after(now, &self.plan, patience)?;
         log::info!(
-        id:% = self.req.head.id, after_ms = after.as_millis() as u64,
-        limited = router.limited_count(), backed_off = router.backed_off_count(now);
-        "told when to come back"
+            id:% = self.req.head.id, after_ms = after.as_millis() as u64,
+            limited = router.limited_count(), backed_off = router.backed_off_count(now);
+            "told when to come back"
         );
         Some(after)
     }
@@ -313,8 +313,8 @@
             }
             Sent::Broken(why) => {
                 log::info!(
-                id:% = self.req.head.id, server:% = choice.id, why = why;
-                "send broke off"
+                    id:% = self.req.head.id, server:% = choice.id, why = why;
+                    "send broke off"
                 );
                 self.gateway.suspect_crash(&self.req, &choice);
                 Outcome::Failed
@@ -375,9 +375,9 @@
             ..
         } = arrived;
         log::info!(
-        id:% = self.req.head.id, server:% = choice.id, status = head.status,
-        limit:? = head.limit, retry_after:? = head.retry_after, leaving = head.leaving;
-        "backend server refused"
+            id:% = self.req.head.id, server:% = choice.id, status = head.status,
+            limit:? = head.limit, retry_after:? = head.retry_after, leaving = head.leaving;
+            "backend server refused"
         );
         if head.misdirected {
             let now = self.gateway.now();
@@ -410,16 +410,16 @@
             (step, router.confidence_threshold(now, &self.plan))
         };
         log::info!(
-        id:% = self.req.head.id, server:% = choice.id, model:% = model,
-        confidence:? = head.confidence, step:? = step, load:? = head.load,
-        limit:? = head.limit, leaving = head.leaving, keep_from = keep_from,
-        waited_ms = waited.as_millis() as u64,
-        since_ms = self.req.came.elapsed().as_millis() as u64, sends = self.sends, tokens = self.req.head.prompt_tokens,
-        prompt:? = self.req.head.prompt, session:? = self.req.head.session,
-        route:% = self.plan.route.name, rank = self.plan.engine_rank,
-        org:? = self.plan.organisation,
-        config = self.plan.table.config().version;
-        "stream began"
+            id:% = self.req.head.id, server:% = choice.id, model:% = model,
+            confidence:? = head.confidence, step:? = step, load:? = head.load,
+            limit:? = head.limit, leaving = head.leaving, keep_from = keep_from,
+            waited_ms = waited.as_millis() as u64,
+            since_ms = self.req.came.elapsed().as_millis() as u64, sends = self.sends, tokens = self.req.head.prompt_tokens,
+            prompt:? = self.req.head.prompt, session:? = self.req.head.session,
+            route:% = self.plan.route.name, rank = self.plan.engine_rank,
+            org:? = self.plan.organisation,
+            config = self.plan.table.config().version;
+            "stream began"
         );
         if let Decision::Ask(larger) = step {
             choice.end(Outcome::Dropped);
@@ -473,11 +473,11 @@
         }
         choice.end(outcome);
         log::info!(
-        id:% = self.req.head.id, server:% = choice.id, candidates = choice.candidates,
-        status = head.status, sends = self.sends, limit:? = head.limit,
-        retry_after:? = head.retry_after, leaving = head.leaving,
-        config = self.plan.table.config().version;
-        "answered"
+            id:% = self.req.head.id, server:% = choice.id, candidates = choice.candidates,
+            status = head.status, sends = self.sends, limit:? = head.limit,
+            retry_after:? = head.retry_after, leaving = head.leaving,
+            config = self.plan.table.config().version;
+            "answered"
         );
         self.count(RequestEnd::Answered);
         strip_hop_by_hop(&mut parts.headers);
--- a/sesamebeam/src/gateway/feed.rs
+++ b/sesamebeam/src/gateway/feed.rs
@@ -138,14 +138,14 @@
     loop {
         feed.keep_links(&seeds.borrow_and_update());
         tokio::select! {
-        () = halt.cancelled() => return,
-        Some((addr, heard)) = heard.recv() => feed.take(addr, heard),
-        changed = seeds.changed(), if !seeds_end => seeds_end = changed.is_err(),
-        _ = reports.tick() => feed.report(),
-        _ = looks.tick() => {
-        feed.look();
-        feed.report_failures();
-        }
+            () = halt.cancelled() => return,
+            Some((addr, heard)) = heard.recv() => feed.take(addr, heard),
+            changed = seeds.changed(), if !seeds_end => seeds_end = changed.is_err(),
+            _ = reports.tick() => feed.report(),
+            _ = looks.tick() => {
+                feed.look();
+                feed.report_failures();
+            }
         }
     }
 }
@@ -206,8 +206,8 @@
             let cancel = token.clone();
             tokio::spawn(async move {
                 tokio::select! {
-                () = cancel.cancelled() => return,
-                () = turn => {}
+                    () = cancel.cancelled() => return,
+                    () = turn => {}
                 }
                 keep(link, cancel).await;
             });
@@ -253,9 +253,9 @@
         let holding = self.gateway.router().holding();
         for order in self.subscription.poll(now, &holding) {
             log::info!(
-            order:? = order, config:? = holding.config, index = holding.index,
-            servers = holding.servers;
-            "control replica asked"
+                order:? = order, config:? = holding.config, index = holding.index,
+                servers = holding.servers;
+                "control replica asked"
             );
             let held = self.gateway.router().held();
             match order {
@@ -350,8 +350,8 @@
                 let taken = gateway.router().set_orders(now, index, orders);
                 if taken {
                     log::info!(
-                    index = index, replica:% = addr, evacuated:? = evacuated;
-                    "orders learned"
+                        index = index, replica:% = addr, evacuated:? = evacuated;
+                        "orders learned"
                     );
                     gateway.meters.set(Level::Evacuated, evacuated.len() as u64);
                 }
@@ -414,8 +414,8 @@
         if !news.is_empty() {
             let limited = router.limited_count();
             log::info!(
-            replica:% = from, limited = limited, news:? = news[..news.len().min(MAX_LOGGED)];
-            "limits learned"
+                replica:% = from, limited = limited, news:? = news[..news.len().min(MAX_LOGGED)];
+                "limits learned"
             );
         }
     }
@@ -450,8 +450,8 @@
                     self.learned.notify_waiters();
                     self.meters.set(Level::Config, version);
                     log::info!(
-                    config = version, before:? = held, replica:% = from;
-                    "configuration in force"
+                        config = version, before:? = held, replica:% = from;
+                        "configuration in force"
                     );
                 }
             }
@@ -476,8 +476,8 @@
     loop {
         let mut reached = false;
         let ended = tokio::select! {
-        () = cancel.cancelled() => None,
-        ended = link.follow(&mut reached) => Some(ended),
+            () = cancel.cancelled() => None,
+            ended = link.follow(&mut reached) => Some(ended),
         };
         if reached {
             link.tell(Heard::Lost);
@@ -507,8 +507,8 @@
         let (queue, messages) = mpsc::channel(MAX_WAITING);
         self.tell(Heard::Connected(queue));
         tokio::select! {
-        ended = self.read(&mut rx) => ended,
-        ended = write(&mut tx, messages, &self.meters) => ended,
+            ended = self.read(&mut rx) => ended,
+            ended = write(&mut tx, messages, &self.meters) => ended,
         }
     }
 
@@ -533,8 +533,8 @@
     let mut ticks = ticks(ALIVE_EVERY);
     loop {
         let message = tokio::select! {
-        message = messages.recv() => message.ok_or(FrameError::Closed)?,
-        _ = ticks.tick() => FromEntry::Heartbeat,
+            message = messages.recv() => message.ok_or(FrameError::Closed)?,
+            _ = ticks.tick() => FromEntry::Heartbeat,
         };
         let frame = frames::encode(&message)?;
         meters.message(Way::ToControl, message.kind(), frame.len(), 1);
--- a/sesamebeam/src/gateway/stream.rs
+++ b/sesamebeam/src/gateway/stream.rs
@@ -267,9 +267,9 @@
                 self.attempt.sends += 1;
                 choice.begin(model.as_deref());
                 log::info!(
-                id:% = self.attempt.req.head.id, server:% = choice.id, after:? = last,
-                limit:? = head.limit, leaving = head.leaving;
-                "stream goes on"
+                    id:% = self.attempt.req.head.id, server:% = choice.id, after:? = last,
+                    limit:? = head.limit, leaving = head.leaving;
+                    "stream goes on"
                 );
                 self.source = Some(Source {
                     choice,
@@ -294,9 +294,9 @@
     fn log(&self, what: &str) {
         let took: Duration = self.attempt.req.came.elapsed();
         log::info!(
-        id:% = self.attempt.req.head.id, events = self.events.count(),
-        sends = self.attempt.sends, ms = took.as_millis() as u64;
-        "{what}"
+            id:% = self.attempt.req.head.id, events = self.events.count(),
+            sends = self.attempt.sends, ms = took.as_millis() as u64;
+            "{what}"
         );
     }
 }
--- a/sesamebeam_bench/benches/decision.rs
+++ b/sesamebeam_bench/benches/decision.rs
@@ -47,7 +47,7 @@
             PlanInput,
             Planner, //
         },
-        quality::Quality,
+        quality::Quality, //
     },
 };
 
--- a/sesamebeam_core/src/control/applied_times.rs
+++ b/sesamebeam_core/src/control/applied_times.rs
@@ -11,8 +11,8 @@
         MonoTime, //
     },
     state::{
-        MAX_WINDOW,
-        Opening, //
+        ClaimGrant,
+        MAX_DISPATCH_WINDOW, //
     },
 };
 
@@ -45,7 +45,7 @@
 impl AppliedTimes {
     /// Records that a position was applied.
     pub(super) fn record(&mut self, index: LogIndex, now: MonoTime) {
-        let retention = MAX_WINDOW * 4;
+        let retention = MAX_DISPATCH_WINDOW * 4;
         while let Some(batch) = self.batches.front()
             && self.batches.len() > 1
             && batch.last_at + retention < now
@@ -68,13 +68,13 @@
     /// Returns whether a dispatch window and the network bound after it are over.
     pub(super) fn is_window_over(
         &self,
-        opening: &Opening,
+        opening: &ClaimGrant,
         network_bound: Duration,
         now: MonoTime,
     ) -> bool {
         let pos = self
             .batches
-            .partition_point(|batch| batch.last_index < opening.opened);
+            .partition_point(|batch| batch.last_index < opening.granted_at);
         let batch = self.batches.get(pos);
         batch.is_some_and(|batch| now >= batch.last_at + opening.window + network_bound)
     }
--- a/sesamebeam_core/src/control/leader.rs
+++ b/sesamebeam_core/src/control/leader.rs
@@ -157,7 +157,7 @@
             return;
         };
         lead.orders.remove_expired(&self.cfg, self.now);
-        if allowed_from > self.now && !self.cfg.faults.order_at_once {
+        if allowed_from > self.now && !self.cfg.faults.order_before_lease_end {
             return;
         }
         // One order per event, so that an order rejected by the log can be selected
--- a/sesamebeam_core/src/control/notices.rs
+++ b/sesamebeam_core/src/control/notices.rs
@@ -9,7 +9,7 @@
         },
     },
     ids::Revision,
-    message::control::Live,
+    message::control::LiveState,
 };
 
 /// State at the last notification.
@@ -17,7 +17,7 @@
 pub(super) struct LastNotified {
     revision: Revision,
     in_force: Revision,
-    live: Live,
+    live: LiveState,
 }
 
 impl ControlCore {
@@ -37,7 +37,7 @@
         }
     }
 
-    fn notify_live(&mut self, before: &Live, after: &Live) {
+    fn notify_live(&mut self, before: &LiveState, after: &LiveState) {
         for version in &after.held {
             if !before.held.contains(version) {
                 self.notify(ControlNotice::Held(version.clone()));
--- a/sesamebeam_core/src/control/orders.rs
+++ b/sesamebeam_core/src/control/orders.rs
@@ -165,7 +165,7 @@
     }
 
     fn next_load(&self, cfg: &ControlConfig, state: &State, now: MonoTime) -> Option<Order> {
-        if self.store_busy_until > now && !cfg.faults.order_unpaced {
+        if self.store_busy_until > now && !cfg.faults.ignore_load_pacing {
             return None;
         }
         let fleet = state.fleet();
@@ -216,7 +216,7 @@
             .pool_servers(&model.pool)
             .filter(|a| self.is_busy(a))
             .count();
-        let spare = busy + 1 < serving || cfg.faults.order_unpaced;
+        let spare = busy + 1 < serving || cfg.faults.ignore_load_pacing;
         let candidates = self.pool_servers(&model.pool).filter(|a| {
             let alone_and_empty = serving == 1 && a.versions.is_empty();
             !self.is_busy(a) && !a.has_loaded(&rollout.version) && (spare || alone_and_empty)
--- a/sesamebeam_core/src/control/requests.rs
+++ b/sesamebeam_core/src/control/requests.rs
@@ -74,7 +74,7 @@
                 }
                 self.reply(ticket, ControlReply::Done);
             }
-            ControlRequest::Look(key) => self.query(ticket, Query::Claim(key)),
+            ControlRequest::GetClaim(key) => self.query(ticket, Query::Claim(key)),
             ControlRequest::Current => self.query(ticket, Query::Fleet),
             ControlRequest::Bills { from, limit } => {
                 let limit = limit.min(MAX_BILLS_PER_REPLY) as usize;
@@ -139,7 +139,7 @@
 
     fn replace(&mut self, client: ClientTicket, replace: &Replace) {
         let change = MemberChange::Replace {
-            old: replace.gone,
+            old: replace.old,
             new: replace.new,
             incarnation: replace.incarnation,
             addr: Some(replace.addr),
--- a/sesamebeam_core/src/gateway/balance.rs
+++ b/sesamebeam_core/src/gateway/balance.rs
@@ -16,18 +16,18 @@
         ServerRecord, //
     },
     loads::{
-        self, //
+        self,
         Loads,
         ServerKey,
-        ServerLoad,
+        ServerLoad, //
     },
     outliers::{
         AnswerCounts,
         Doubt, //
     },
     prefill::{
-        self, //
-        PrefillQueue,
+        self,
+        PrefillQueue, //
     },
     reachability::Reachability,
     request::Load,
@@ -38,7 +38,7 @@
         DomainId,
         MonoTime, //
     },
-    policy::hash,
+    policy::hash, //
 };
 
 /// How far the load of a backend server may exceed the mean, as a share of the mean,
--- a/sesamebeam_core/src/gateway/coordinator.rs
+++ b/sesamebeam_core/src/gateway/coordinator.rs
@@ -18,7 +18,7 @@
         BTreeSet, //
     },
     net::SocketAddr,
-    time::Duration, //
+    time::Duration,
 };
 
 pub use group::Peers;
@@ -72,7 +72,7 @@
         Command,
         Store, //
     },
-    waits::FleetWaits, //
+    waits::FleetWaits,
 };
 use crate::{
     ids::{
--- a/sesamebeam_core/src/gateway/coordinator/announce.rs
+++ b/sesamebeam_core/src/gateway/coordinator/announce.rs
@@ -16,14 +16,14 @@
     gateway::{
         config::ServiceId,
         digests::{
-            BucketSet, //
-            Digests,
+            BucketSet,
+            Digests, //
         },
         directory::{
             Announcement,
             START_TIME_UNKNOWN,
-            ServerState, //
-            StartTime,
+            ServerState,
+            StartTime, //
         },
         messages::CoordinatorMessage,
     },
--- a/sesamebeam_core/src/gateway/directory.rs
+++ b/sesamebeam_core/src/gateway/directory.rs
@@ -30,8 +30,8 @@
         self,
         BucketSet,
         Digests,
-        Section, //
-        SectionDigests,
+        Section,
+        SectionDigests, //
     },
     loads::ServerKey, //
 };
--- a/sesamebeam_core/tests/control/group.rs
+++ b/sesamebeam_core/tests/control/group.rs
@@ -54,7 +54,7 @@
             Claimant,
             CompleteRequest,
             Completed,
-            ServerLife,
+            ServerIncarnation,
             Usage, //
         },
         server::Announcement,
@@ -286,7 +286,7 @@
     }
 
     pub(crate) fn claim_view(&mut self) -> ClaimView {
-        match self.request_leader(ControlRequest::Look(key())) {
+        match self.request_leader(ControlRequest::GetClaim(key())) {
             ControlReply::Claimed(Some(view)) => view,
             other => panic!("expected a claim, got {other:?}"),
         }
@@ -522,7 +522,7 @@
         digest: 7,
         request: u128::from(n),
         claimant: claimant(n),
-        target: ServerLife {
+        target: ServerIncarnation {
             addr: ([10, 0, 0, 1], 80).into(),
             incarnation: 1,
         },
--- a/sesamebeam_core/tests/control/requests.rs
+++ b/sesamebeam_core/tests/control/requests.rs
@@ -77,7 +77,7 @@
         version: "beam@v1".into(),
     });
     assert_eq!(group.request_leader(pin), pinned);
-    let other = ControlRequest::Look(ClaimKey {
+    let other = ControlRequest::GetClaim(ClaimKey {
         key: "none".into(),
         ..key()
     });
@@ -94,7 +94,7 @@
     group.isolate(old);
     let pending = group.send(old, ControlRequest::Apply(change(1, 2, fleet())));
     group.wait_other_leader(old);
-    for req in [ControlRequest::Current, ControlRequest::Look(key())] {
+    for req in [ControlRequest::Current, ControlRequest::GetClaim(key())] {
         let reply = group.request(old, req);
         let honest = matches!(
             reply,
--- a/sesamebeam_core/tests/proofs/allowed_version.rs
+++ b/sesamebeam_core/tests/proofs/allowed_version.rs
@@ -23,7 +23,8 @@
 use yare::parameterized;
 
 use crate::world::{
-    World, files,
+    World,
+    files, //
     history::{
         CallResult,
         MAX_TRANSIT,
--- a/sesamebeam_core/tests/proofs/cut_pins.rs
+++ b/sesamebeam_core/tests/proofs/cut_pins.rs
@@ -17,7 +17,9 @@
 use yare::parameterized;
 
 use crate::world::{
-    Fault, World, files,
+    Fault,
+    World,
+    files, //
     history::{
         CallResult,
         Spec, //
--- a/sesamebeam_core/tests/proofs/entry_harness.rs
+++ b/sesamebeam_core/tests/proofs/entry_harness.rs
@@ -5,14 +5,12 @@
 
 use sesamebeam_core::{
     entry::{
-        EntryConfig,
-        EntryCore,
-        Faults,
+        EntryConfig, EntryCore, Faults,
         event::{
             ControlRequestId,
             EntryAction,
             EntryEvent, //
-        }, //
+        },
     },
     fleet::Fleet,
     ids::{
@@ -24,7 +22,7 @@
             ControlReply,
             ControlRequest,
             FleetChange,
-            Live,
+            LiveState,
             Renewed,
             Update, //
         },
@@ -101,7 +99,7 @@
         let message = PeerMessage::Config {
             revision,
             fleet: full_change(fleet),
-            live: Live::default(),
+            live: LiveState::default(),
         };
         let from = "entry-3".into();
         self.handle(EntryEvent::Peer { from, message });
--- a/sesamebeam_core/tests/proofs/impatient_resend.rs
+++ b/sesamebeam_core/tests/proofs/impatient_resend.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::world::{
-    World,
+    World, //
     history::{
         CallResult,
         Spec, //
--- a/sesamebeam_core/tests/proofs/schedules.rs
+++ b/sesamebeam_core/tests/proofs/schedules.rs
@@ -25,7 +25,11 @@
 };
 
 use crate::world::{
-    Event, Fault, Net, World, files,
+    Event,
+    Fault,
+    Net,
+    World,
+    files, //
     history::{
         CallResult,
         Spec, //
--- a/sesamebeam_core/tests/proofs/silent_connection.rs
+++ b/sesamebeam_core/tests/proofs/silent_connection.rs
@@ -7,7 +7,8 @@
 use yare::parameterized;
 
 use crate::world::{
-    Fault, World,
+    Fault,
+    World, //
     history::{
         CallResult,
         Spec, //
--- a/sesamebeam_core/tests/proofs/world/server.rs
+++ b/sesamebeam_core/tests/proofs/world/server.rs
@@ -28,7 +28,7 @@
     message::{
         record::{
             Completed,
-            ServerLife,
+            ServerIncarnation,
             Usage, //
         },
         server::Announcement, //
@@ -41,7 +41,7 @@
     Epoch,
     Event,
     ServerNo,
-    World, //
+    World,
     entry_process::{
         ConnId,
         ProcessEvent,
@@ -133,8 +133,8 @@
         }
     }
 
-    fn server_life(&self) -> ServerLife {
-        ServerLife {
+    fn server_life(&self) -> ServerIncarnation {
+        ServerIncarnation {
             addr: self.addr,
             incarnation: self.incarnation,
         }
