--- a/sesamebeam_soak/src/callers.rs
+++ b/sesamebeam_soak/src/callers.rs
@@ -25,7 +25,7 @@
 use sesamebeam::http::client::{
     Client,
     Reuse,
-    Terms, //
+    SendOptions, //
 };
 use tokio::time::{
     sleep,
@@ -103,9 +103,9 @@
     let Some(req) = request(kind, id, books.now_ms()) else {
         return;
     };
-    let terms = Terms {
+    let terms = SendOptions {
         reuse: Reuse::Any,
-        patience: PATIENCE,
+        header_timeout: PATIENCE,
         send_by: None,
     };
     let (response, lease) = match client.send(front, req, terms).await {
@@ -126,7 +126,7 @@
             .await
             .is_ok()
         {
-            lease.give_back();
+            lease.release();
         }
         return;
     }
@@ -135,7 +135,7 @@
     }
     if check_body(kind, id, response, books).await {
         books.answered();
-        lease.give_back();
+        lease.release();
     } else {
         books.failed();
     }
--- a/sesamebeam_soak/src/operator.rs
+++ b/sesamebeam_soak/src/operator.rs
@@ -25,7 +25,7 @@
 use sesamebeam::http::client::{
     Client,
     Reuse,
-    Terms, //
+    SendOptions, //
 };
 use tokio::time::{
     sleep,
@@ -81,9 +81,9 @@
             .header("Host", "control")
             .body(Full::new(Bytes::from(body.to_owned())))
             .ok()?;
-        let terms = Terms {
+        let terms = SendOptions {
             reuse: Reuse::Never,
-            patience: PATIENCE,
+            header_timeout: PATIENCE,
             send_by: None,
         };
         let (response, _lease) = client.send(addr, req, terms).await.ok()?;
--- a/sesamebeam_soak/src/server.rs
+++ b/sesamebeam_soak/src/server.rs
@@ -147,7 +147,7 @@
                 });
                 // A caller that goes away is no fault.
                 let _ = http1::Builder::new()
-                    .serve_connection(sesamebeam::http::io(stream), service)
+                    .serve_connection(sesamebeam::http::hyper_io(stream), service)
                     .await;
             });
         }
