--- a/sesamebeam/src/entry/callers.rs
+++ b/sesamebeam/src/entry/callers.rs
@@ -69,9 +69,9 @@
 use super::{
     driver::{
         Driver,
-        DriverContext, //
+        DriverContext,
         EVENT_STREAM,
-        ResponsePart,
+        ResponsePart, //
     },
     parse::{
         self,
@@ -81,7 +81,7 @@
         TOKEN_PREFIX,
         TokenSigner, //
     },
-    upstream::UpstreamRequest,
+    upstream::UpstreamRequest, //
 };
 use crate::{
     http::{
--- a/sesamebeam/src/entry/driver.rs
+++ b/sesamebeam/src/entry/driver.rs
@@ -24,10 +24,10 @@
             AttemptReport,
             Dispatch,
             EntryEvent,
-            Finished, //
-            ResponseHeaders,
+            Finished,
+            ResponseHeaders, //
         },
-        refusal::Refusal,
+        refusal::Refusal, //
     },
     ids::{
         ClassId,
@@ -59,10 +59,10 @@
     rating::RatingClient,
     upstream::{
         AttemptLimits,
-        ServiceResponse, //
+        ServiceResponse,
         Upstream,
         UpstreamEvent,
-        UpstreamRequest,
+        UpstreamRequest, //
     },
 };
 use crate::http::{
--- a/sesamebeam/src/entry/hub.rs
+++ b/sesamebeam/src/entry/hub.rs
@@ -24,9 +24,9 @@
             Dispatch,
             EntryAction,
             EntryEvent,
-            Notice, //
+            Notice,
             Recipients,
-            ResponseHeaders,
+            ResponseHeaders, //
         },
         refusal::Refusal, //
     },
--- a/sesamebeam/src/entry/peers.rs
+++ b/sesamebeam/src/entry/peers.rs
@@ -7,8 +7,8 @@
 
 use sesamebeam_core::{
     entry::event::{
-        EntryEvent, //
-        Recipients,
+        EntryEvent,
+        Recipients, //
     },
     ids::{
         DomainId,
--- a/sesamebeam/src/entry/upstream.rs
+++ b/sesamebeam/src/entry/upstream.rs
@@ -68,8 +68,8 @@
         SendOptions, //
     },
     sse::{
-        EventSplitter, //
-        SplitResult,
+        EventSplitter,
+        SplitResult, //
     },
 };
 
--- a/sesamebeam/tests/edge/bad_input.rs
+++ b/sesamebeam/tests/edge/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear error, nothing runs, and the entry serves on.
+//! Invalid input gets a clear error, nothing runs, and the entry keeps serving.
 
 use std::{
     net::SocketAddr,
@@ -20,15 +20,15 @@
 
 use super::serving::{
     ORG_KEY,
-    Serving, //
+    RunningFleet, //
 };
 
 const FLEET: &str = include_str!("fleet.toml");
 
-/// Sends raw bytes and reads what comes until the entry closes.
-async fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
+/// Sends raw bytes and reads the response until the entry closes the connection.
+async fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).await.expect("a connection");
-    // The entry may close before it has read everything.
+    // The entry may close the connection before it has read everything.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer).await;
@@ -50,14 +50,14 @@
     answer.split(' ').nth(1).unwrap_or("")
 }
 
-/// Every kind of bad input is answered by its own status, with `not_run`; a
-/// good request after all of them is served, and the engines saw nothing else.
+/// Each kind of invalid request gets its own status with `not_run`. A valid
+/// request after them is served, and it is the only one that reaches an engine.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_requests() {
     let mut plan = LocalPlan::small(&["lima-ate"]);
     plan.limits.body_bytes = 64 << 10;
     plan.limits.header_timeout = Duration::from_millis(300);
-    let serving = Serving::start(FLEET, plan, RunnerConfig::default()).await;
+    let serving = RunningFleet::start(FLEET, plan, RunnerConfig::default()).await;
     let addr = serving.local.entries()[0].addrs().callers;
     let auth = format!("authorization: Bearer {ORG_KEY}\r\n");
     let good = br#"{"messages":[{"role":"user","content":"hola"}]}"#;
@@ -106,7 +106,7 @@
         ),
     ];
     for (what, bytes, wanted) in cases {
-        let answer = raw(addr, &bytes).await;
+        let answer = send_raw(addr, &bytes).await;
         assert_eq!(status(&answer), wanted, "{what}: {answer}");
         if !matches!(wanted, "431") && what != "no HTTP" {
             assert!(
@@ -116,7 +116,7 @@
         }
     }
     let model = br#"{"model":"otro","messages":[{"content":"a"}]}"#;
-    assert_eq!(status(&raw(addr, &post(&auth, model)).await), "403");
+    assert_eq!(status(&send_raw(addr, &post(&auth, model)).await), "403");
     let answer = serving.caller().chat("question", "sigue", &[]).await;
     assert_eq!(answer.status, 200);
     let runs: u32 = serving
@@ -128,13 +128,13 @@
     assert_eq!(runs, 1, "only the good request ran");
 }
 
-/// A caller that sends its head a byte at a time is cut off after the header
-/// timeout instead of holding a connection for ever.
+/// A caller that does not complete the request head is disconnected after the
+/// header timeout, so that it cannot occupy a connection forever.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_head() {
     let mut plan = LocalPlan::small(&["lima-ate"]);
     plan.limits.header_timeout = Duration::from_millis(300);
-    let serving = Serving::start(FLEET, plan, RunnerConfig::default()).await;
+    let serving = RunningFleet::start(FLEET, plan, RunnerConfig::default()).await;
     let addr = serving.local.entries()[0].addrs().callers;
     let mut stream = TcpStream::connect(addr).await.expect("a connection");
     stream.write_all(b"POST /v1/ch").await.expect("sent");
@@ -147,11 +147,12 @@
     );
 }
 
-/// Garbage on the link's port and on the announcement port changes nothing.
+/// Random bytes and invalid announcements on the other ports do not affect the
+/// service.
 #[tokio::test(flavor = "multi_thread")]
 async fn garbage_ports() {
     let plan = LocalPlan::small(&["lima-ate"]);
-    let serving = Serving::start(FLEET, plan, RunnerConfig::default()).await;
+    let serving = RunningFleet::start(FLEET, plan, RunnerConfig::default()).await;
     let addrs = serving.local.entries()[0].addrs();
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     for n in 0..200_u32 {
@@ -179,7 +180,7 @@
         (announce(key, absurd), "409"),
     ];
     for (bytes, wanted) in cases {
-        let answer = raw(addrs.announcements, bytes.as_bytes()).await;
+        let answer = send_raw(addrs.announcements, bytes.as_bytes()).await;
         assert_eq!(status(&answer), wanted, "{answer}");
     }
     assert_eq!(
--- a/sesamebeam/tests/edge/cascades.rs
+++ b/sesamebeam/tests/edge/cascades.rs
@@ -1,4 +1,4 @@
-//! Cascades through a real rating service.
+//! Cascades with a rating service over HTTP.
 
 use sesamebeam::local::LocalPlan;
 use sesamebeam_fakes::{
@@ -10,19 +10,19 @@
 };
 use tokio_util::sync::CancellationToken;
 
-use super::serving::Serving;
+use super::serving::RunningFleet;
 
 const FLEET: &str = include_str!("fleet.toml");
 
-/// Version whose answers need no score.
+/// Version whose answers are forwarded without a score.
 const STRONG: &str = "fuerte@v1";
 
-/// Questions asked; enough to see both ends of a cascade.
+/// Number of requests; enough for answers of both versions.
 const QUESTIONS: usize = 40;
 
-/// The caller sees whole answers only. Most come from the cheap version, whose
-/// answers are rated before they are passed on; those found poor are answered
-/// by the stronger version instead.
+/// Answers of the cheap version are rated before they are forwarded, and replaced
+/// by an answer of the stronger version if the rating is bad. The caller must
+/// receive only complete answers of one version.
 #[tokio::test(flavor = "multi_thread")]
 async fn cheap_first() {
     let cancel = CancellationToken::new();
@@ -31,7 +31,7 @@
         .expect("a rating service");
     let mut plan = LocalPlan::small(&["lima-ate"]);
     plan.rating = Some(rating.addr());
-    let serving = Serving::start(FLEET, plan, RunnerConfig::default()).await;
+    let serving = RunningFleet::start(FLEET, plan, RunnerConfig::default()).await;
     let caller = serving.caller();
     let mut cheap = 0;
     for n in 0..QUESTIONS {
@@ -45,9 +45,9 @@
     cancel.cancel();
 }
 
-/// The rating service goes silent. The first question that needs a score waits
-/// for it in vain and is answered by the stronger version; from then on nothing
-/// waits, and nothing of the cheap version is let through without a score.
+/// The rating service stops answering. The first request that needs a score waits
+/// until its timeout and is answered by the stronger version. From then on, no
+/// request waits, and no answer of the cheap version is forwarded without a score.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_rater() {
     let cancel = CancellationToken::new();
@@ -57,9 +57,9 @@
     rating.set_mode(Mode::Silent);
     let mut plan = LocalPlan::small(&["lima-ate"]);
     plan.rating = Some(rating.addr());
-    let serving = Serving::start(FLEET, plan, RunnerConfig::default()).await;
+    let serving = RunningFleet::start(FLEET, plan, RunnerConfig::default()).await;
     let caller = serving.caller();
-    // A trial of the cheap version is possible until the silence is known.
+    // The cheap version may be tried until the failure has been detected.
     while caller
         .chat("question", "hay alguien", &[])
         .await
--- a/sesamebeam/tests/edge/deployments.rs
+++ b/sesamebeam/tests/edge/deployments.rs
@@ -1,4 +1,4 @@
-//! Both users' deployments at today's size, with the example files.
+//! The deployments of the example files at their current size.
 
 use sesamebeam::{
     client::Client,
@@ -28,10 +28,10 @@
 
 use super::{
     caller::Caller,
-    serving::until, //
+    serving::wait_until, //
 };
 
-/// Entries in each failure domain.
+/// Number of entries in each failure domain.
 const ENTRIES: usize = 3;
 
 #[parameterized(
@@ -68,7 +68,7 @@
     let verdict = client.ask(&ControlRequest::Apply(change)).await;
     let accepted = ControlReply::Verdict(Verdict::Accepted(1));
     assert_eq!(verdict.expect("a verdict"), accepted);
-    until(&local, |entry| entry.revision() == 1).await;
+    wait_until(&local, |entry| entry.revision() == 1).await;
     let servers = LocalServers::start(
         &fleet,
         |pool| if pool == engines { count } else { 3 },
@@ -80,15 +80,15 @@
     .expect("fakes");
     let wanted = servers.runners.len() + servers.services.len();
     assert_eq!(wanted, count + 3);
-    until(&local, |entry| entry.servers() == wanted).await;
+    wait_until(&local, |entry| entry.servers() == wanted).await;
     for (n, entry) in local.entries().iter().enumerate() {
-        every_class(&fleet, entry.addrs().callers, n).await;
+        send_every_class(&fleet, entry.addrs().callers, n).await;
     }
     cancel.cancel();
 }
 
 /// Sends a request of each class for the first organisation.
-async fn every_class(fleet: &Fleet, entry: std::net::SocketAddr, n: usize) {
+async fn send_every_class(fleet: &Fleet, entry: std::net::SocketAddr, n: usize) {
     let org = &fleet.organisations[0].name;
     let caller = Caller::new(entry, &format!("example-{org}"));
     for class in &fleet.classes {
--- a/sesamebeam/tests/edge/killers.rs
+++ b/sesamebeam/tests/edge/killers.rs
@@ -5,21 +5,20 @@
 use sesamebeam::local::LocalPlan;
 use sesamebeam_fakes::RunnerConfig;
 
-use super::serving::Serving;
+use super::serving::RunningFleet;
 
 const FLEET: &str = include_str!("fleet.toml");
 
-/// A prompt that takes every engine down that runs it.
+/// Prompt that crashes every engine that runs it.
 const KILLER: &str = "divide por cero";
 
-/// Both backend servers are down when a question comes: its connections are
-/// refused, one after the other, so that it never ran on either. It is told that
-/// there is no backend server, not that it crashes them, and is served when they
-/// are back.
+/// Guards against quarantining a request that arrives while all backend servers
+/// are down. Its connections are refused, so it never ran. It must get the status
+/// for a missing backend server and be served once they are back.
 #[tokio::test(flavor = "multi_thread")]
-async fn innocent_request() {
+async fn request_while_servers_down() {
     let plan = LocalPlan::small(&["lima-ate"]);
-    let serving = Serving::start(FLEET, plan, RunnerConfig::default()).await;
+    let serving = RunningFleet::start(FLEET, plan, RunnerConfig::default()).await;
     for runner in &serving.servers.runners {
         runner.die().await;
     }
@@ -41,17 +40,17 @@
     }
 }
 
-/// One question crashes each backend server that runs it. The caller's first
-/// try may end in an error, the second crash singles the question out, and from
-/// then on its caller gets the final answer at once, whatever its class and key;
-/// the engines come back and other questions are served.
+/// A request crashes every backend server that runs it. The first attempts may
+/// end in an error. After the second crash the request must be quarantined and
+/// refused immediately, whatever its class and key, and other requests must be
+/// served once the engines are back.
 #[tokio::test(flavor = "multi_thread")]
 async fn killer_request() {
     let base = RunnerConfig {
         restart_after: Some(Duration::from_millis(200)),
         ..RunnerConfig::default()
     };
-    let serving = Serving::start(FLEET, LocalPlan::small(&["lima-ate"]), base).await;
+    let serving = RunningFleet::start(FLEET, LocalPlan::small(&["lima-ate"]), base).await;
     for runner in &serving.servers.runners {
         runner.add_killer(KILLER);
     }
@@ -69,7 +68,7 @@
     let text = String::from_utf8_lossy(&refused.body).into_owned();
     assert!(text.contains("quarantined"), "{text}");
     assert!(!text.contains("retry_after_ms"), "{text}");
-    let crashes = |serving: &Serving| -> u32 {
+    let crashes = |serving: &RunningFleet| -> u32 {
         let runners = &serving.servers.runners;
         runners.iter().map(|runner| runner.books().crashes()).sum()
     };
@@ -78,7 +77,7 @@
     let again = caller.chat("question", KILLER, &[]).await;
     assert_eq!(again.status, 422);
     assert_eq!(crashes(&serving), before, "it runs no more");
-    serving.until(|entry| entry.servers() >= 2).await;
+    serving.wait_until(|entry| entry.servers() >= 2).await;
     let mut served = caller.chat("question", "y esto?", &[]).await;
     while served.status != 200 {
         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/sesamebeam/tests/edge/main.rs
+++ b/sesamebeam/tests/edge/main.rs
@@ -1,4 +1,4 @@
-//! The edges in this process: a whole fleet on loopback without the processes.
+//! Tests of a complete fleet on loopback within the test process.
 
 mod bad_input;
 #[path = "../real/caller.rs"]
--- a/sesamebeam/tests/edge/pauses.rs
+++ b/sesamebeam/tests/edge/pauses.rs
@@ -1,4 +1,4 @@
-//! Engines that turn requests away and ask for a pause.
+//! Engines that reject requests and ask for a pause.
 
 use std::time::{
     Duration,
@@ -8,29 +8,29 @@
 use sesamebeam::local::LocalPlan;
 use sesamebeam_fakes::RunnerConfig;
 
-use super::serving::Serving;
+use super::serving::RunningFleet;
 
 const FLEET: &str = include_str!("fleet.toml");
 
-/// Pause that an engine asks for.
+/// Pause requested by an engine.
 const PAUSE: Duration = Duration::from_secs(2);
 
-/// Time for which callers come, and their pause.
-const CALLERS_FOR: Duration = Duration::from_millis(1500);
-const CALLER_EVERY: Duration = Duration::from_millis(5);
+/// Time for which requests are sent, and the pause between two of them.
+const SENDING_TIME: Duration = Duration::from_millis(1500);
+const SEND_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Guards against an entry that sends on to an engine which asked it for a pause, and
-/// against callers who are told another time than the end of it.
+/// Guards against requests being sent to an engine during the pause it asked for, and
+/// against a `Retry-After` for callers that does not match the end of the pause.
 #[tokio::test(flavor = "multi_thread")]
 async fn asked_for_a_pause() {
     let plan = LocalPlan::small(&["lima-ate"]);
-    let serving = Serving::start(FLEET, plan, RunnerConfig::default()).await;
+    let serving = RunningFleet::start(FLEET, plan, RunnerConfig::default()).await;
     let caller = serving.caller();
     let [one, other] = &serving.servers.runners[..] else {
         panic!("two engines");
     };
-    // Two idle engines are compared on expected wait and equal ones are not drawn at random,
-    // so only the engine that served last is sure to be tried next.
+    // Idle engines are compared by expected wait and ties are not broken at random, so it is
+    // certain only that the engine that served last is tried next.
     caller.chat("question", "before", &[]).await;
     let (first, second) = match one.books().runs().is_empty() {
         true => (other, one),
@@ -39,11 +39,11 @@
     first.refuse(Some(PAUSE));
     let began = Instant::now();
     let mut asked = 0;
-    while began.elapsed() < CALLERS_FOR {
+    while began.elapsed() < SENDING_TIME {
         let answer = caller.chat("question", &format!("n {asked}"), &[]).await;
         assert_eq!(answer.status, 200, "the other one has room: {answer:?}");
         asked += 1;
-        tokio::time::sleep(CALLER_EVERY).await;
+        tokio::time::sleep(SEND_INTERVAL).await;
     }
     let refused = first.books().refusals().len();
     assert!(
--- a/sesamebeam/tests/edge/rollouts.rs
+++ b/sesamebeam/tests/edge/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs through the whole system: orders, shares, ratings, holds.
+//! Rollouts through the complete system: loading, traffic shares, ratings, holds.
 
 use std::time::{
     Duration,
@@ -15,14 +15,14 @@
 use tokio_util::sync::CancellationToken;
 
 use super::serving::{
-    PATIENCE,
-    Serving, //
+    RunningFleet,
+    TIMEOUT, //
 };
 
-/// Version that rolls out.
+/// Version that is being rolled out.
 const NEW: &str = "parte@v8";
 
-/// A fleet with one settled version and a cheaper one that rolls out in two
+/// A fleet with a settled version and a cheaper one that is rolled out in two
 /// steps.
 const FLEET: &str = r#"
 name = "prueba"
@@ -69,8 +69,9 @@
 copies = 2
 "#;
 
-/// Starts a fleet whose rating service finds this share of v8's answers good.
-async fn start(good: f64, cancel: &CancellationToken) -> (Serving, RatingService) {
+/// Starts a fleet whose rating service rates a share `good` of v8's answers as
+/// good.
+async fn start(good: f64, cancel: &CancellationToken) -> (RunningFleet, RatingService) {
     let mut cfg = RatingConfig {
         lag: Duration::ZERO,
         jitter: Duration::ZERO,
@@ -83,22 +84,22 @@
         .expect("a rating service");
     let mut plan = LocalPlan::small(&["lima-ate"]);
     plan.rating = Some(rating.addr());
-    let serving = Serving::start(FLEET, plan, RunnerConfig::default()).await;
+    let serving = RunningFleet::start(FLEET, plan, RunnerConfig::default()).await;
     (serving, rating)
 }
 
-/// State of the roll-out, as the leader tells it.
-async fn state(serving: &Serving) -> Option<RolloutState> {
-    let status = serving.status(|_| true).await;
+/// Returns the state of the rollout according to the leader.
+async fn state(serving: &RunningFleet) -> Option<RolloutState> {
+    let status = serving.wait_for_status(|_| true).await;
     let view = status.live.rollouts.iter().find(|r| r.version == NEW);
     view.map(|view| view.state)
 }
 
-/// Asks questions until the roll-out is in a state; returns how many v8 answered.
-async fn ask_until(serving: &Serving, wanted: RolloutState) -> usize {
+/// Sends requests until the rollout reaches a state; returns how many v8 answered.
+async fn ask_until(serving: &RunningFleet, wanted: RolloutState) -> usize {
     let caller = serving.caller();
     let mut by_new = 0;
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     for n in 0.. {
         let answer = caller.chat("question", &format!("pregunta {n}"), &[]).await;
         assert_eq!(answer.status, 200, "{answer:?}");
@@ -106,15 +107,18 @@
         if n % 10 == 0 && state(serving).await == Some(wanted) {
             break;
         }
-        let late = Instant::now() >= until;
-        assert!(!late, "the roll-out is at {:?}", state(serving).await);
+        let late = Instant::now() >= deadline;
+        assert!(
+            !late,
+            "timed out; the rollout is in state {:?}",
+            state(serving).await
+        );
     }
     by_new
 }
 
-/// The engines are ordered to load the new version, it takes its share of the
-/// questions, its good ratings open step after step, and in the end it is in
-/// full use.
+/// The engines load the new version and it receives its share of the requests.
+/// Good ratings advance the rollout step by step until it is done.
 #[tokio::test(flavor = "multi_thread")]
 async fn good_version() {
     let cancel = CancellationToken::new();
@@ -132,16 +136,16 @@
     cancel.cancel();
 }
 
-/// Half of the new version's answers are poor. The entry's own test holds it
-/// after few of them and the control group holds it everywhere: the callers get
-/// the settled version from then on.
+/// Most answers of the new version are bad. The entry must hold the version after
+/// a few of them and the control group must hold it everywhere, so that callers
+/// get the settled version from then on.
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_version() {
     let cancel = CancellationToken::new();
     let (serving, _rating) = start(0.3, &cancel).await;
     ask_until(&serving, RolloutState::Held).await;
     serving
-        .status(|s| s.live.held.iter().any(|v| v == NEW))
+        .wait_for_status(|s| s.live.held.iter().any(|v| v == NEW))
         .await;
     let caller = serving.caller();
     for n in 0..20 {
--- a/sesamebeam/tests/edge/serving.rs
+++ b/sesamebeam/tests/edge/serving.rs
@@ -1,4 +1,4 @@
-//! A small fleet that serves, for the tests of the edges.
+//! A small running fleet for the tests.
 
 use std::time::{
     Duration,
@@ -35,17 +35,17 @@
 
 use super::caller::Caller;
 
-/// Longest wait for anything that must happen.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout for events that must occur.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Pause between two looks at something that is waited for.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Key of the organisation.
+/// API key of the organisation.
 pub(crate) const ORG_KEY: &str = "obra-key";
 
-/// One failure domain with one entry, its fakes, and an operator.
-pub(crate) struct Serving {
+/// A running local fleet with its fake backend servers and an operator client.
+pub(crate) struct RunningFleet {
     pub(crate) local: LocalFleet,
     pub(crate) servers: LocalServers,
     pub(crate) fleet: Fleet,
@@ -54,8 +54,9 @@
     _root: TempDir,
 }
 
-impl Serving {
-    /// Starts a fleet with this file, in which `KEY_HASH` stands for the key.
+impl RunningFleet {
+    /// Starts a fleet with the fleet file `file`, in which `KEY_HASH` is replaced by
+    /// the hash of [`ORG_KEY`].
     pub(crate) async fn start(file: &str, plan: LocalPlan, base: RunnerConfig) -> Self {
         let fleet: Fleet =
             toml::from_str(&file.replace("KEY_HASH", &hash_of(ORG_KEY))).expect("a fleet file");
@@ -79,11 +80,11 @@
         };
         serving.apply(0, &fleet).await;
         let wanted = serving.servers.runners.len() + serving.servers.services.len();
-        serving.until(|entry| entry.servers() >= wanted).await;
+        serving.wait_until(|entry| entry.servers() >= wanted).await;
         serving
     }
 
-    /// Applies a fleet file and waits until it is in force at the entries.
+    /// Applies a fleet configuration and waits until it is in force at every entry.
     pub(crate) async fn apply(&self, base: u64, fleet: &Fleet) -> u64 {
         let change = Change {
             base,
@@ -96,18 +97,18 @@
         let Ok(ControlReply::Verdict(Verdict::Accepted(revision))) = reply else {
             panic!("not accepted: {reply:?}");
         };
-        self.until(|entry| entry.revision() >= revision).await;
+        self.wait_until(|entry| entry.revision() >= revision).await;
         revision
     }
 
-    /// Waits until it is so at every entry.
-    pub(crate) async fn until(&self, so: impl Fn(&Entry) -> bool) {
-        until(&self.local, so).await;
+    /// Waits until a condition holds at every entry.
+    pub(crate) async fn wait_until(&self, condition: impl Fn(&Entry) -> bool) {
+        wait_until(&self.local, condition).await;
     }
 
-    /// Waits until the leader tells the state that is wanted.
-    pub(crate) async fn status(&self, wanted: impl Fn(&Status) -> bool) -> Status {
-        let until = Instant::now() + PATIENCE;
+    /// Waits until the status of the leader satisfies a condition.
+    pub(crate) async fn wait_for_status(&self, wanted: impl Fn(&Status) -> bool) -> Status {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let asked = self.client.status().await;
             if let Ok(Ok(status)) = &asked
@@ -115,22 +116,25 @@
             {
                 return (**status).clone();
             }
-            assert!(Instant::now() < until, "it does not come: {asked:#?}");
-            tokio::time::sleep(LOOK_EVERY).await;
+            assert!(
+                Instant::now() < deadline,
+                "timed out; last status: {asked:#?}"
+            );
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Makes a caller of the organisation.
+    /// Creates a caller with the organisation's API key.
     pub(crate) fn caller(&self) -> Caller {
         Caller::new(self.local.entries()[0].addrs().callers, ORG_KEY)
     }
 }
 
-/// Waits until it is so at every entry of a fleet.
-pub(crate) async fn until(local: &LocalFleet, so: impl Fn(&Entry) -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !local.entries().iter().all(&so) {
-        assert!(Instant::now() < until, "it does not come");
-        tokio::time::sleep(LOOK_EVERY).await;
+/// Waits until a condition holds at every entry of a fleet.
+pub(crate) async fn wait_until(local: &LocalFleet, condition: impl Fn(&Entry) -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !local.entries().iter().all(&condition) {
+        assert!(Instant::now() < deadline, "timed out");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/sesamebeam/tests/edge/sessions.rs
+++ b/sesamebeam/tests/edge/sessions.rs
@@ -1,20 +1,20 @@
-//! Sessions keep their version, by token and by name.
+//! Sessions, identified by token or by name, keep their version.
 
 use sesamebeam::local::LocalPlan;
 use sesamebeam_core::fleet::VersionState;
 use sesamebeam_fakes::RunnerConfig;
 
-use super::serving::Serving;
+use super::serving::RunningFleet;
 
 const FLEET: &str = include_str!("fleet.toml");
 
-/// The caller starts a session and shows its token with each further request.
-/// Then the operator withdraws the session's version: the next answer comes from
-/// another version, says so, and the session stays on that one.
+/// The caller starts a session and sends its token with each request. After the
+/// operator has withdrawn the session's version, the next answer must come from
+/// another version and say so in a header, and the session must keep that version.
 #[tokio::test(flavor = "multi_thread")]
 async fn token_session() {
     let plan = LocalPlan::small(&["lima-ate"]);
-    let serving = Serving::start(FLEET, plan, RunnerConfig::default()).await;
+    let serving = RunningFleet::start(FLEET, plan, RunnerConfig::default()).await;
     let caller = serving.caller();
     let first = caller
         .chat("question", "uno", &[("x-session", "new")])
@@ -41,17 +41,17 @@
     let next = moved.header("x-version").to_owned();
     assert_ne!(next, version);
     assert_eq!(moved.header("x-pin-renewed"), "withdrawn");
-    // Also with the old token: the record of the session decides.
+    // The record of the session takes precedence over the old token.
     let again = caller.chat("question", "otra vez", &session).await;
     assert_eq!(again.header("x-version"), next);
 }
 
-/// Two callers use one session name at the same time; both get the version that
-/// was pinned first.
+/// Two callers use the same session name concurrently; both must get the version
+/// that was pinned first.
 #[tokio::test(flavor = "multi_thread")]
 async fn named_session() {
     let plan = LocalPlan::small(&["lima-ate"]);
-    let serving = Serving::start(FLEET, plan, RunnerConfig::default()).await;
+    let serving = RunningFleet::start(FLEET, plan, RunnerConfig::default()).await;
     let (one, two) = (serving.caller(), serving.caller());
     let session = [("x-session", "obra-17")];
     let (a, b) = tokio::join!(
@@ -62,11 +62,11 @@
     assert_eq!(a.header("x-version"), b.header("x-version"));
 }
 
-/// A token that was changed, or made elsewhere, is refused and nothing runs.
+/// A request with a modified token must be refused without being run.
 #[tokio::test(flavor = "multi_thread")]
 async fn forged_token() {
     let plan = LocalPlan::small(&["lima-ate"]);
-    let serving = Serving::start(FLEET, plan, RunnerConfig::default()).await;
+    let serving = RunningFleet::start(FLEET, plan, RunnerConfig::default()).await;
     let caller = serving.caller();
     let first = caller
         .chat("question", "uno", &[("x-session", "new")])
--- a/sesamebeam/tests/link.rs
+++ b/sesamebeam/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links between our own processes.
+//! Connections between the processes of a fleet.
 
 use std::{
     net::{
@@ -37,8 +37,8 @@
     time::timeout, //
 };
 
-/// Bound on waits for events that are certain to come.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout for events that must occur.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn fleet() -> sesamebeam::keys::FleetCa {
     sesamebeam::keys::FleetCa::make("test").unwrap()
@@ -57,11 +57,13 @@
     Role::Entry(name.into())
 }
 
-async fn soon<T>(event: impl Future<Output = T>) -> T {
-    timeout(PATIENCE, event).await.expect("the event comes")
+async fn in_time<T>(event: impl Future<Output = T>) -> T {
+    timeout(TIMEOUT, event)
+        .await
+        .expect("the event occurs in time")
 }
 
-/// Answers every call with the number plus one, on every connection.
+/// Answers each call on every connection with the received number plus one.
 fn serve(link: Arc<Link>) {
     tokio::spawn(async move {
         while let Some(peer) = link.accept().await {
@@ -87,14 +89,14 @@
     let client = link(&ca, entry("lima-ate-1"));
     let addr = server.local_addr().unwrap();
     let (peer, accepted) =
-        soon(async { tokio::join!(client.connect(addr, None), server.accept()) }).await;
+        in_time(async { tokio::join!(client.connect(addr, None), server.accept()) }).await;
     let peer = peer.unwrap();
     let accepted = accepted.unwrap();
     assert_eq!(*peer.role(), Role::Control(1));
     assert_eq!(*accepted.role(), entry("lima-ate-1"));
 
     tokio::spawn(answer_all(accepted));
-    assert_eq!(soon(peer.call::<u64, u64>(&41)).await.unwrap(), 42);
+    assert_eq!(in_time(peer.call::<u64, u64>(&41)).await.unwrap(), 42);
 }
 
 #[tokio::test]
@@ -104,7 +106,7 @@
     let client = link(&ca, Role::Control(2));
     let addr = server.local_addr().unwrap();
     let (peer, accepted) =
-        soon(async { tokio::join!(client.connect(addr, None), server.accept()) }).await;
+        in_time(async { tokio::join!(client.connect(addr, None), server.accept()) }).await;
     let (peer, accepted) = (peer.unwrap(), accepted.unwrap());
     let count = 1000_u64;
     let sender = async {
@@ -120,25 +122,28 @@
             assert_eq!(wire::decode::<u64>(&bytes).unwrap(), expected);
         }
     };
-    soon(async { tokio::join!(sender, receiver) }).await;
+    in_time(async { tokio::join!(sender, receiver) }).await;
 }
 
 #[tokio::test]
 async fn dropped_send() {
-    // The caller sends a message that is larger than the connection's window
-    // and gives up halfway. What arrives next must be the following message,
-    // not the torn rest of the first: a receiver that took the rest as a
-    // length would lose every later message of the peer.
+    // Guards against corrupt framing after a cancelled send. The sender starts a
+    // message larger than the flow control window and drops the future. If the
+    // next message reused the stream, the receiver would read it as the rest of
+    // the first one and lose every later message of the peer.
     let ca = fleet();
     let server = link(&ca, Role::Control(1));
     let client = link(&ca, Role::Control(2));
     let addr = server.local_addr().unwrap();
     let (peer, accepted) =
-        soon(async { tokio::join!(client.connect(addr, None), server.accept()) }).await;
+        in_time(async { tokio::join!(client.connect(addr, None), server.accept()) }).await;
     let (peer, accepted) = (peer.unwrap(), accepted.unwrap());
     let large = vec![7_u8; MAX_MESSAGE - 16];
-    let torn = futures::poll!(Box::pin(peer.send(&large)));
-    assert!(torn.is_pending(), "the message is larger than one write");
+    let partial_send = futures::poll!(Box::pin(peer.send(&large)));
+    assert!(
+        partial_send.is_pending(),
+        "the message is larger than one write"
+    );
 
     let receive = async {
         let Incoming::Message(bytes) = accepted.next().await.unwrap() else {
@@ -146,37 +151,37 @@
         };
         wire::decode::<u64>(&bytes).unwrap()
     };
-    let (sent, received) = soon(async { tokio::join!(peer.send(&5_u64), receive) }).await;
+    let (sent, received) = in_time(async { tokio::join!(peer.send(&5_u64), receive) }).await;
     sent.unwrap();
     assert_eq!(received, 5);
 }
 
 #[tokio::test]
 async fn other_fleet_refused() {
-    // An instance of another fleet reaches the port. Each side refuses the
-    // other's certificate, the refusal is counted on both, and peers of the
-    // fleet go on being served.
+    // An instance of another fleet connects. Each side rejects the other's
+    // certificate, both count the rejection, and peers of the fleet are still
+    // served.
     let ca = fleet();
     let server = link(&ca, Role::Control(1));
     serve(Arc::clone(&server));
     let addr = server.local_addr().unwrap();
 
-    let stranger = link(&fleet(), entry("lima-ate-1"));
-    let refused = soon(stranger.connect(addr, None)).await;
+    let foreign = link(&fleet(), entry("lima-ate-1"));
+    let refused = in_time(foreign.connect(addr, None)).await;
     assert!(matches!(refused, Err(LinkError::Connection(_))));
-    assert_eq!(stranger.counts().certificates_refused, 1);
-    soon(refusals(&server, 1)).await;
+    assert_eq!(foreign.counts().certificates_refused, 1);
+    in_time(refusals(&server, 1)).await;
 
     let own = link(&ca, entry("lima-ate-1"));
-    let peer = soon(own.connect(addr, None)).await.unwrap();
-    assert_eq!(soon(peer.call::<u64, u64>(&1)).await.unwrap(), 2);
+    let peer = in_time(own.connect(addr, None)).await.unwrap();
+    assert_eq!(in_time(peer.call::<u64, u64>(&1)).await.unwrap(), 2);
 }
 
 #[tokio::test]
 async fn forged_certificate() {
-    // An intruder knows the fleet's public CA certificate and so accepts the
-    // server, but its own certificate is signed by somebody else. The server
-    // refuses it; no request of the intruder is ever seen.
+    // An attacker has the fleet's public CA certificate, so it accepts the
+    // server, but its own certificate is signed by another CA. The server must
+    // reject it and never receive a request from it.
     let ca = fleet();
     let server = link(&ca, Role::Control(1));
     let addr = server.local_addr().unwrap();
@@ -190,24 +195,24 @@
     let intruder = Link::bind(loopback(), &creds).unwrap();
 
     // The client's side of the handshake may end before the server's refusal.
-    let refused = match soon(intruder.connect(addr, None)).await {
-        Ok(peer) => soon(peer.call::<u64, u64>(&1)).await.err(),
+    let refused = match in_time(intruder.connect(addr, None)).await {
+        Ok(peer) => in_time(peer.call::<u64, u64>(&1)).await.err(),
         Err(e) => Some(e),
     };
     assert!(refused.is_some());
-    soon(refusals(&server, 1)).await;
+    in_time(refusals(&server, 1)).await;
     assert!(futures::poll!(Box::pin(server.accept())).is_pending());
 }
 
 #[tokio::test]
 async fn operator_cannot_serve() {
-    // Somebody with an operator's certificate listens where a replica should.
-    // The certificate is of the fleet but serves for clients only, so nobody
-    // hands it requests.
+    // A process with an operator's certificate listens on the address of a
+    // replica. The certificate is of the fleet but valid for clients only, so
+    // connections to the process must fail.
     let ca = fleet();
     let impostor = link(&ca, Role::Operator("rosa".into()));
     let client = link(&ca, entry("lima-ate-1"));
-    let refused = soon(client.connect(impostor.local_addr().unwrap(), None)).await;
+    let refused = in_time(client.connect(impostor.local_addr().unwrap(), None)).await;
     assert!(matches!(refused, Err(LinkError::Connection(_))));
     assert_eq!(client.counts().certificates_refused, 1);
 }
@@ -218,7 +223,8 @@
     let server = link(&ca, Role::Control(2));
     serve(Arc::clone(&server));
     let client = link(&ca, entry("lima-ate-1"));
-    let refused = soon(client.connect(server.local_addr().unwrap(), Some(Role::Control(1)))).await;
+    let refused =
+        in_time(client.connect(server.local_addr().unwrap(), Some(Role::Control(1)))).await;
     assert!(matches!(
         refused,
         Err(LinkError::WrongRole {
@@ -229,20 +235,20 @@
 }
 
 #[tokio::test]
-async fn garbage_harmless() {
+async fn garbage_ignored() {
     let ca = fleet();
     let server = link(&ca, Role::Control(1));
     serve(Arc::clone(&server));
     let addr = server.local_addr().unwrap();
     let socket = UdpSocket::bind(loopback()).await.unwrap();
     for n in 0..2000_usize {
-        // The first byte runs through every kind of packet header.
+        // The first byte covers every kind of packet header.
         let garbage: Vec<u8> = (0..n % 1400).map(|i| (i * 31 + n) as u8).collect();
         socket.send_to(&garbage, addr).await.unwrap();
     }
     let client = link(&ca, entry("lima-ate-1"));
-    let peer = soon(client.connect(addr, None)).await.unwrap();
-    assert_eq!(soon(peer.call::<u64, u64>(&1)).await.unwrap(), 2);
+    let peer = in_time(client.connect(addr, None)).await.unwrap();
+    assert_eq!(in_time(peer.call::<u64, u64>(&1)).await.unwrap(), 2);
 }
 
 #[tokio::test]
@@ -251,10 +257,10 @@
     let server = link(&ca, Role::Control(1));
     serve(Arc::clone(&server));
     let client = link(&ca, entry("lima-ate-1"));
-    let peer = soon(client.connect(server.local_addr().unwrap(), None))
+    let peer = in_time(client.connect(server.local_addr().unwrap(), None))
         .await
         .unwrap();
-    let refused = soon(peer.call::<Vec<u8>, u64>(&vec![0; MAX_MESSAGE])).await;
+    let refused = in_time(peer.call::<Vec<u8>, u64>(&vec![0; MAX_MESSAGE])).await;
     assert!(matches!(
         refused,
         Err(LinkError::Wire(WireError::TooLong(_)))
@@ -268,33 +274,32 @@
     let client = link(&ca, entry("lima-ate-1"));
     let addr = server.local_addr().unwrap();
     let (peer, accepted) =
-        soon(async { tokio::join!(client.connect(addr, None), server.accept()) }).await;
+        in_time(async { tokio::join!(client.connect(addr, None), server.accept()) }).await;
     let (peer, accepted) = (peer.unwrap(), accepted.unwrap());
     let refuse = async { drop(accepted.next().await.unwrap()) };
-    let (answer, ()) = soon(async { tokio::join!(peer.call::<u64, u64>(&1), refuse) }).await;
+    let (answer, ()) = in_time(async { tokio::join!(peer.call::<u64, u64>(&1), refuse) }).await;
     assert!(matches!(answer, Err(LinkError::NoAnswer)), "{answer:?}");
 }
 
 #[tokio::test]
 async fn restart_reconnected() {
-    // A replica restarts under the same address. The caller's connection is
-    // gone; calls fail until the replica is back, then succeed on a new
-    // connection without anything being set up anew.
+    // A replica restarts on the same address. Calls fail until it is back, then
+    // the same client must succeed on a new connection.
     let ca = fleet();
     let first = link(&ca, Role::Control(1));
     serve(Arc::clone(&first));
     let addr = first.local_addr().unwrap();
-    let caller = PeerClient::new(link(&ca, entry("a")), addr, Some(Role::Control(1)), 7);
-    assert_eq!(caller.call::<u64, u64>(&1, PATIENCE).await.unwrap(), 2);
+    let peer_client = PeerClient::new(link(&ca, entry("a")), addr, Some(Role::Control(1)), 7);
+    assert_eq!(peer_client.call::<u64, u64>(&1, TIMEOUT).await.unwrap(), 2);
 
     first.close();
-    soon(first.wait_closed()).await;
-    let failed = caller.call::<u64, u64>(&2, PATIENCE).await;
+    in_time(first.wait_closed()).await;
+    let failed = peer_client.call::<u64, u64>(&2, TIMEOUT).await;
     assert!(failed.is_err());
     drop(first);
 
     let creds = Credentials::from_fleet(&ca, &Role::Control(1)).unwrap();
-    let second = soon(async {
+    let second = in_time(async {
         loop {
             match Link::bind(addr, &creds) {
                 Ok(link) => break Arc::new(link),
@@ -304,9 +309,9 @@
     })
     .await;
     serve(second);
-    let answer = soon(async {
+    let answer = in_time(async {
         loop {
-            match caller.call::<u64, u64>(&3, PATIENCE).await {
+            match peer_client.call::<u64, u64>(&3, TIMEOUT).await {
                 Ok(answer) => break answer,
                 Err(LinkError::BackOff(left)) => tokio::time::sleep(left).await,
                 Err(_) => {}
@@ -318,11 +323,11 @@
 }
 
 #[tokio::test]
-async fn silent_path_left() {
-    // A device between the two ends loses track of a flow: datagrams vanish
-    // without a word while the connection looks open. The call in progress
-    // misses its deadline; the next one goes out from a new port and is
-    // answered, without waiting for the idle timeout.
+async fn new_port_after_silence() {
+    // Guards against calls that fail until the idle timeout after a middlebox has
+    // lost the state of a flow, so that datagrams are dropped silently while the
+    // connection looks open. The call in progress misses its deadline; the next
+    // one must be sent from a new port and be answered.
     let ca = fleet();
     let server = link(&ca, Role::Control(1));
     serve(Arc::clone(&server));
@@ -333,18 +338,18 @@
     };
     let creds = Credentials::from_fleet(&ca, &entry("a")).unwrap();
     let client = Arc::new(Link::bind_with(loopback(), &creds, timings).unwrap());
-    let caller = PeerClient::new(Arc::clone(&client), relay.addr, None, 7);
-    assert_eq!(caller.call::<u64, u64>(&1, PATIENCE).await.unwrap(), 2);
+    let peer_client = PeerClient::new(Arc::clone(&client), relay.addr, None, 7);
+    assert_eq!(peer_client.call::<u64, u64>(&1, TIMEOUT).await.unwrap(), 2);
 
-    relay.lose(client.local_addr().unwrap());
-    // A datagram that had arrived before may hide the silence from the first
-    // call, so more than one may be lost; all would be without the new port.
+    relay.drop_datagrams_of(client.local_addr().unwrap());
+    // A datagram received just before may hide the silence from the first call,
+    // so more than one call may fail; without the new port, all of them would.
     let deadline = Duration::from_secs(2);
-    let lost = caller.call::<u64, u64>(&2, deadline).await;
+    let lost = peer_client.call::<u64, u64>(&2, deadline).await;
     assert!(matches!(lost, Err(LinkError::Deadline(_))), "{lost:?}");
-    let answer = soon(async {
+    let answer = in_time(async {
         loop {
-            if let Ok(answer) = caller.call::<u64, u64>(&3, deadline).await {
+            if let Ok(answer) = peer_client.call::<u64, u64>(&3, deadline).await {
                 break answer;
             }
         }
@@ -355,9 +360,10 @@
 
 #[tokio::test]
 async fn silent_heartbeats() {
-    // The same, with one-way messages alone: they have no answer that could be
-    // missed. Messages that go out without anything coming back end the
-    // connection, and the next ones arrive over a new port.
+    // As `new_port_after_silence`, with one-way messages only, which have no answer
+    // whose absence shows the failure. The connection must be closed after
+    // messages without any datagram in return, and later ones must arrive from a
+    // new port.
     let ca = fleet();
     let server = link(&ca, Role::Control(1));
     let relay = Relay::start(server.local_addr().unwrap()).await;
@@ -367,23 +373,26 @@
     };
     let creds = Credentials::from_fleet(&ca, &Role::Control(2)).unwrap();
     let client = Arc::new(Link::bind_with(loopback(), &creds, timings).unwrap());
-    let caller = PeerClient::new(Arc::clone(&client), relay.addr, None, 7);
+    let peer_client = PeerClient::new(Arc::clone(&client), relay.addr, None, 7);
     let (sent, first) =
-        soon(async { tokio::join!(caller.send(&1_u64, PATIENCE), server.accept()) }).await;
+        in_time(async { tokio::join!(peer_client.send(&1_u64, TIMEOUT), server.accept()) }).await;
     sent.unwrap();
     let first = first.unwrap();
-    assert!(matches!(soon(first.next()).await, Ok(Incoming::Message(_))));
+    assert!(matches!(
+        in_time(first.next()).await,
+        Ok(Incoming::Message(_))
+    ));
 
-    relay.lose(client.local_addr().unwrap());
+    relay.drop_datagrams_of(client.local_addr().unwrap());
     let heartbeats = async {
         loop {
-            let _ = caller.send(&2_u64, PATIENCE).await;
+            let _ = peer_client.send(&2_u64, TIMEOUT).await;
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    let second = soon(async {
+    let second = in_time(async {
         tokio::select! {
-            () = heartbeats => unreachable!("it sends for ever"),
+            () = heartbeats => unreachable!("it sends forever"),
             peer = server.accept() => peer,
         }
     })
@@ -393,41 +402,46 @@
 
 #[tokio::test]
 async fn idle_then_send() {
-    // Messages far apart on a working path: each is acknowledged, so that the
-    // pause between them is not taken for silence.
+    // Guards against closing a working connection whose messages are far apart:
+    // each is acknowledged, so the pauses must not count as silence.
     let ca = fleet();
     let server = link(&ca, Role::Control(1));
     let client = link(&ca, Role::Control(2));
-    let caller = PeerClient::new(client, server.local_addr().unwrap(), None, 7);
+    let peer_client = PeerClient::new(client, server.local_addr().unwrap(), None, 7);
     let (peer, accepted) =
-        soon(async { tokio::join!(caller.peer(PATIENCE), server.accept()) }).await;
+        in_time(async { tokio::join!(peer_client.peer(TIMEOUT), server.accept()) }).await;
     let (peer, accepted) = (peer.unwrap(), accepted.unwrap());
     for n in 0..3_u64 {
-        caller.send(&n, PATIENCE).await.unwrap();
+        peer_client.send(&n, TIMEOUT).await.unwrap();
         assert!(matches!(
-            soon(accepted.next()).await,
+            in_time(accepted.next()).await,
             Ok(Incoming::Message(_))
         ));
         tokio::time::sleep(Duration::from_millis(1200)).await;
     }
-    assert!(Arc::ptr_eq(&peer, &caller.peer(PATIENCE).await.unwrap()));
+    assert!(Arc::ptr_eq(
+        &peer,
+        &peer_client.peer(TIMEOUT).await.unwrap()
+    ));
 }
 
 #[tokio::test]
 async fn slow_peer_kept() {
-    // The peer takes a call and answers too late. Its acknowledgements show
-    // that the path works, so the connection stays.
+    // The peer accepts a call but misses the deadline. Its acknowledgements show
+    // that the path works, so the connection must be kept.
     let ca = fleet();
     let server = link(&ca, Role::Control(1));
     let client = link(&ca, entry("a"));
     let addr = server.local_addr().unwrap();
-    let caller = PeerClient::new(client, addr, None, 7);
+    let peer_client = PeerClient::new(client, addr, None, 7);
     let (peer, accepted) =
-        soon(async { tokio::join!(caller.peer(PATIENCE), server.accept()) }).await;
+        in_time(async { tokio::join!(peer_client.peer(TIMEOUT), server.accept()) }).await;
     let (peer, _accepted) = (peer.unwrap(), accepted.unwrap());
-    let late = caller.call::<u64, u64>(&1, Duration::from_secs(2)).await;
+    let late = peer_client
+        .call::<u64, u64>(&1, Duration::from_secs(2))
+        .await;
     assert!(matches!(late, Err(LinkError::Deadline(_))), "{late:?}");
-    let after = caller.peer(PATIENCE).await.unwrap();
+    let after = peer_client.peer(TIMEOUT).await.unwrap();
     assert!(Arc::ptr_eq(&peer, &after));
 }
 
@@ -436,13 +450,15 @@
     let ca = fleet();
     let gone = UdpSocket::bind(loopback()).await.unwrap();
     let addr = gone.local_addr().unwrap();
-    let caller = PeerClient::new(link(&ca, entry("a")), addr, None, 7);
-    let first = caller.call::<u64, u64>(&1, Duration::from_millis(50)).await;
+    let peer_client = PeerClient::new(link(&ca, entry("a")), addr, None, 7);
+    let first = peer_client
+        .call::<u64, u64>(&1, Duration::from_millis(50))
+        .await;
     assert!(
         matches!(first, Err(LinkError::NotConnected(_))),
         "{first:?}"
     );
-    let second = caller.call::<u64, u64>(&1, PATIENCE).await;
+    let second = peer_client.call::<u64, u64>(&1, TIMEOUT).await;
     assert!(matches!(second, Err(LinkError::BackOff(_))), "{second:?}");
 }
 
@@ -478,14 +494,14 @@
     assert_eq!(limit.pass_at(start + Duration::from_secs(60)), Some(2));
 }
 
-/// Waits until a link has refused so many certificates.
+/// Waits until a link has rejected at least `count` certificates.
 async fn refusals(link: &Link, count: u64) {
     while link.counts().certificates_refused < count {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// Passes datagrams on and can lose those of one sender.
+/// Forwards datagrams and can drop those from and to one sender.
 struct Relay {
     addr: SocketAddr,
     lost: Arc<std::sync::Mutex<Option<SocketAddr>>>,
@@ -496,12 +512,12 @@
         let front = Arc::new(UdpSocket::bind(loopback()).await.unwrap());
         let addr = front.local_addr().unwrap();
         let lost = Arc::new(std::sync::Mutex::new(None));
-        let losing = Arc::clone(&lost);
+        let lost_in_task = Arc::clone(&lost);
         tokio::spawn(async move {
             let mut backs = std::collections::BTreeMap::new();
             let mut buf = vec![0; 65536];
             while let Ok((len, from)) = front.recv_from(&mut buf).await {
-                if *losing.lock().unwrap() == Some(from) {
+                if *lost_in_task.lock().unwrap() == Some(from) {
                     continue;
                 }
                 let back = match backs.get(&from) {
@@ -514,7 +530,7 @@
                             Arc::clone(&back),
                             Arc::clone(&front),
                             from,
-                            Arc::clone(&losing),
+                            Arc::clone(&lost_in_task),
                         ));
                         back
                     }
@@ -525,7 +541,7 @@
         Self { addr, lost }
     }
 
-    fn lose(&self, sender: SocketAddr) {
+    fn drop_datagrams_of(&self, sender: SocketAddr) {
         *self.lost.lock().unwrap() = Some(sender);
     }
 }
--- a/sesamebeam/tests/real/caller.rs
+++ b/sesamebeam/tests/real/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the tests.
+//! HTTP client that sends requests to an entry as a caller.
 
 use std::{
     net::SocketAddr,
@@ -28,17 +28,17 @@
     sse, //
 };
 
-/// Longest wait for the head of an answer.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout for connecting and for the response head.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Calls one entry with one organisation's key.
+/// Sends requests to one entry with the API key of one organisation.
 pub(crate) struct Caller {
     addr: SocketAddr,
     key: String,
     client: Client,
 }
 
-/// An answer read to its end.
+/// A completely read response.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
@@ -51,11 +51,11 @@
         Self {
             addr,
             key: key.to_owned(),
-            client: Client::new(PATIENCE),
+            client: Client::new(TIMEOUT),
         }
     }
 
-    /// Sends a chat request and reads the answer to its end.
+    /// Sends a chat request and reads the complete response.
     pub(crate) async fn chat(&self, class: &str, prompt: &str, headers: &[(&str, &str)]) -> Answer {
         let (body, headers) = chat(class, prompt, headers);
         self.send("POST", "/v1/chat/completions", &headers, body)
@@ -63,7 +63,8 @@
             .expect("an answer")
     }
 
-    /// Sends any request; none if the connection broke.
+    /// Sends a request and reads the complete response; `None` if the connection
+    /// failed.
     pub(crate) async fn send(
         &self,
         method: &str,
@@ -71,10 +72,10 @@
         headers: &[(&str, &str)],
         body: Vec<u8>,
     ) -> Option<Answer> {
-        let (answer, lease) = self.head(method, path, headers, body).await?;
+        let (answer, conn) = self.send_request(method, path, headers, body).await?;
         let (parts, body) = answer.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
-        lease.release();
+        conn.release();
         Some(Answer {
             status: parts.status,
             headers: parts.headers,
@@ -82,7 +83,7 @@
         })
     }
 
-    pub(crate) async fn head(
+    pub(crate) async fn send_request(
         &self,
         method: &str,
         path: &str,
@@ -98,27 +99,27 @@
             builder = builder.header(*name, *value);
         }
         let req = builder.body(Full::new(Bytes::from(body))).expect("request");
-        let terms = SendOptions {
+        let options = SendOptions {
             reuse: Reuse::Any,
-            header_timeout: PATIENCE,
+            header_timeout: TIMEOUT,
             send_by: None,
         };
-        self.client.send(self.addr, req, terms).await.ok()
+        self.client.send(self.addr, req, options).await.ok()
     }
 }
 
 impl Answer {
-    /// Text of a whole streamed answer.
+    /// Returns the text of a streamed answer, which must be complete.
     pub(crate) fn text(&self) -> String {
         assert!(
             self.body.ends_with(b"data: [DONE]\n\n") || self.ends_done(),
-            "not whole: {:?}",
+            "incomplete answer: {:?}",
             String::from_utf8_lossy(&self.body)
         );
         sse::assemble(&self.body).text
     }
 
-    /// A header's text.
+    /// Returns the value of a header; empty if it is missing.
     pub(crate) fn header(&self, name: &str) -> &str {
         self.headers
             .get(name)
--- a/sesamebeam/tests/real/fleet.rs
+++ b/sesamebeam/tests/real/fleet.rs
@@ -1,4 +1,4 @@
-//! Processes of a small fleet, started, killed and frozen by the test.
+//! Processes of a small fleet, which a test can start, kill and suspend.
 
 use std::{
     collections::BTreeMap,
@@ -74,26 +74,26 @@
 
 use super::caller::Caller;
 
-/// Longest wait for anything that must happen: generous, since a busy machine
-/// must not change the verdict.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout for events that must occur. It is long enough that a busy machine does
+/// not make a test fail.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Longest wait for the state of one replica.
-const ONE_REPLICA: Duration = Duration::from_secs(1);
+/// Timeout for the status of one replica.
+const REPLICA_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause between two looks at something that is waited for.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Failure domains of the fleet, with an entry and a control replica each.
+/// Failure domains of the fleet; each has an entry and a control replica.
 pub(crate) const DOMAINS: [&str; 3] = ["lima-ate", "lima-surco", "lima-callao"];
 
-/// Key of the organisation in [`FLEET`].
+/// API key of the organisation in [`FLEET`].
 pub(crate) const ORG_KEY: &str = "obra-key";
 
 /// Fleet file of the tests.
 pub(crate) const FLEET: &str = include_str!("fleet.toml");
 
-/// Daemons that run as processes.
+/// Daemons of a fleet that run as separate processes.
 pub(crate) struct Processes {
     pub(crate) settings: LocalSettings,
     root: TempDir,
@@ -126,10 +126,11 @@
         processes
     }
 
-    /// Starts a control replica, with `--init` or `--join` if it has no folder.
+    /// Starts a control replica; `how` is `--init` or `--join` if it has no data
+    /// directory.
     pub(crate) fn start_control(&mut self, settings: &ControlSettings, how: Option<&str>) {
         let name = format!("control-{}", settings.node);
-        let file = self.write(&name, settings);
+        let file = self.write_settings(&name, settings);
         let mut command = Command::new(env!("CARGO_BIN_EXE_sesamebeam-control"));
         command.arg("--settings").arg(file).args(how);
         self.spawn(name, command);
@@ -138,7 +139,7 @@
     /// Starts an entry.
     pub(crate) fn start_entry(&mut self, settings: &EntrySettings) {
         let name = settings.instance.to_string();
-        let file = self.write(&name, settings);
+        let file = self.write_settings(&name, settings);
         let mut command = Command::new(env!("CARGO_BIN_EXE_sesamebeam-entry"));
         command.arg("--settings").arg(file);
         self.spawn(name, command);
@@ -150,39 +151,42 @@
         kill_process(pid, signal).expect("the process is there");
     }
 
-    /// Kills a process and waits until it is gone.
+    /// Kills a process and waits until it has exited.
     pub(crate) fn kill(&mut self, name: &str) {
         let mut child = self.children.remove(name).expect("it runs");
         child.kill().expect("kill");
         child.wait().expect("wait");
     }
 
-    /// Waits until a process has ended by itself; returns whether well.
-    pub(crate) async fn ended(&mut self, name: &str) -> bool {
+    /// Waits until a process exits by itself; returns whether it succeeded.
+    pub(crate) async fn wait_for_exit(&mut self, name: &str) -> bool {
         let mut child = self.children.remove(name).expect("it runs");
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = child.try_wait().expect("wait") {
                 return status.success();
             }
-            assert!(Instant::now() < until, "{name} does not end");
-            tokio::time::sleep(LOOK_EVERY).await;
+            assert!(
+                Instant::now() < deadline,
+                "timed out waiting for {name} to exit"
+            );
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Asks the control group.
+    /// Sends a request to the control group.
     pub(crate) async fn ask(&self, req: &ControlRequest) -> ControlReply {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             match self.client.ask(req).await {
                 Ok(reply) => return reply,
-                Err(e) => assert!(Instant::now() < until, "no answer: {e}"),
+                Err(e) => assert!(Instant::now() < deadline, "no answer: {e}"),
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Applies a fleet file and waits until it is in force at every entry.
+    /// Applies a fleet configuration and waits until it is in force at every entry.
     pub(crate) async fn apply(&self, base: u64, fleet: &Fleet) -> u64 {
         let change = Change {
             base,
@@ -197,25 +201,26 @@
         else {
             panic!("not accepted: {reply:?}");
         };
-        self.until(|status| status.in_force >= revision).await;
+        self.wait_for_status(|status| status.in_force >= revision)
+            .await;
         revision
     }
 
-    /// Waits until the state is as wanted, as the leader tells it.
-    pub(crate) async fn until(&self, wanted: impl Fn(&Status) -> bool) -> Status {
-        self.until_any(|status| status.leader == Some(status.node) && wanted(status))
+    /// Waits until the status of the leader satisfies a condition.
+    pub(crate) async fn wait_for_status(&self, wanted: impl Fn(&Status) -> bool) -> Status {
+        self.wait_for_any_status(|status| status.leader == Some(status.node) && wanted(status))
             .await
     }
 
-    /// Waits until one of the replicas tells the state that is wanted.
-    pub(crate) async fn until_any(&self, wanted: impl Fn(&Status) -> bool) -> Status {
-        let until = Instant::now() + PATIENCE;
+    /// Waits until the status of any replica satisfies a condition.
+    pub(crate) async fn wait_for_any_status(&self, wanted: impl Fn(&Status) -> bool) -> Status {
+        let deadline = Instant::now() + TIMEOUT;
         let mut last = Vec::new();
         loop {
             last.clear();
             for replica in &self.settings.operator.control {
-                let caller = self.pool.get(replica.addr, None);
-                let asked = caller.call(&ControlRequest::Status, ONE_REPLICA).await;
+                let client = self.pool.get(replica.addr, None);
+                let asked = client.call(&ControlRequest::Status, REPLICA_TIMEOUT).await;
                 if let Ok(ControlReply::Status(status)) = asked {
                     if wanted(&status) {
                         return *status;
@@ -223,17 +228,20 @@
                     last.push(status);
                 }
             }
-            assert!(Instant::now() < until, "the state does not come: {last:#?}");
-            tokio::time::sleep(LOOK_EVERY).await;
+            assert!(
+                Instant::now() < deadline,
+                "timed out; last status: {last:#?}"
+            );
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Makes a caller at an entry, by its position.
+    /// Creates a caller for the entry at a position.
     pub(crate) fn caller(&self, entry: usize) -> Caller {
         Caller::new(self.settings.entries[entry].listen.callers, ORG_KEY)
     }
 
-    /// Announcement addresses of a failure domain's entries.
+    /// Returns the announcement addresses of the entries of a failure domain.
     pub(crate) fn announce_addrs(&self, domain: &str) -> Vec<std::net::SocketAddr> {
         self.settings
             .entries
@@ -243,7 +251,7 @@
             .collect()
     }
 
-    fn write(&self, name: &str, settings: &impl serde::Serialize) -> PathBuf {
+    fn write_settings(&self, name: &str, settings: &impl serde::Serialize) -> PathBuf {
         let file = self.root.path().join(format!("{name}.toml"));
         let text = toml::to_string(settings).expect("settings in TOML");
         fs::write(&file, text).expect("written");
@@ -262,12 +270,12 @@
         self.children.insert(name, child);
     }
 
-    /// What a daemon printed.
-    pub(crate) fn printed(&self, name: &str) -> String {
+    /// Returns the standard output of a daemon.
+    pub(crate) fn stdout(&self, name: &str) -> String {
         fs::read_to_string(self.root.path().join(format!("{name}.out"))).unwrap_or_default()
     }
 
-    /// Folder of the fleet.
+    /// Returns the directory of the fleet.
     pub(crate) fn root(&self) -> &Path {
         self.root.path()
     }
@@ -282,20 +290,20 @@
     }
 }
 
-/// A fleet that serves: its processes and the fakes in the test.
-pub(crate) struct Served {
+/// A running fleet: its processes, and the fake backend servers in the test.
+pub(crate) struct RunningFleet {
     pub(crate) processes: Processes,
     pub(crate) fleet: Fleet,
     /// Revision in force.
     pub(crate) base: u64,
     pub(crate) servers: LocalServers,
-    /// Ends the fakes when it is dropped.
+    /// Stops the fakes when dropped.
     pub(crate) cancel: DropGuard,
 }
 
-/// Starts a fleet and its fakes, with this time between two tokens, and waits
-/// until every entry knows every backend server.
-pub(crate) async fn served(plan: &LocalPlan, token_delay: Duration) -> Served {
+/// Starts a fleet and its fakes, which pause for `token_delay` between tokens, and
+/// waits until every entry knows every backend server.
+pub(crate) async fn start_fleet(plan: &LocalPlan, token_delay: Duration) -> RunningFleet {
     let processes = Processes::start(plan);
     let fleet = fleet();
     let base = processes.apply(0, &fleet).await;
@@ -310,7 +318,7 @@
         .expect("fakes");
     let wanted = servers.runners.len() + servers.services.len();
     for entry in &processes.settings.operator.entries {
-        until("every backend server", async || {
+        wait_until("every backend server", async || {
             matches!(
                 processes.client.ask_entry(entry, &EntryRequest::Status).await,
                 Ok(EntryReply::Status(state)) if state.servers.len() >= wanted
@@ -318,7 +326,7 @@
         })
         .await;
     }
-    Served {
+    RunningFleet {
         processes,
         fleet,
         base,
@@ -327,22 +335,22 @@
     }
 }
 
-/// How often the engines started a prompt.
-pub(crate) fn runs(servers: &LocalServers, prompt: &str) -> u32 {
+/// Returns how many times the engines started to run a prompt.
+pub(crate) fn started_runs(servers: &LocalServers, prompt: &str) -> u32 {
     let started = |runner: &Runner| runner.books().prompt(prompt).started;
     servers.runners.iter().map(started).sum()
 }
 
-/// Reads the fleet file with the test's own key.
+/// Returns the fleet configuration with the hash of [`ORG_KEY`].
 pub(crate) fn fleet() -> Fleet {
     toml::from_str(&FLEET.replace("KEY_HASH", &hash_of(ORG_KEY))).expect("a fleet file")
 }
 
-/// Waits until something is so.
-pub(crate) async fn until(what: &str, mut so: impl AsyncFnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !so().await {
-        assert!(Instant::now() < until, "{what} does not come");
-        tokio::time::sleep(LOOK_EVERY).await;
+/// Waits until a condition holds.
+pub(crate) async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition().await {
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/sesamebeam/tests/real/kills.rs
+++ b/sesamebeam/tests/real/kills.rs
@@ -8,23 +8,23 @@
 
 use super::fleet::{
     DOMAINS,
-    Served,
-    runs,
-    served, //
+    RunningFleet,
+    start_fleet,
+    started_runs, //
 };
 
-/// The caller's connection breaks in the middle of a job sheet, because its
-/// entry is killed after the sheet was claimed and sent. The caller sends the
-/// sheet again through another entry and gets the whole answer: that entry finds
-/// the claim and reads the stream, which ran on at the backend server.
+/// An entry is killed after it has claimed and sent a request, which breaks the
+/// caller's connection. The caller resends the request through another entry,
+/// which must find the claim and read the stream from the backend server, where
+/// it continued: the answer is complete and the request runs once.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_entry() {
-    let Served {
+    let RunningFleet {
         mut processes,
         servers,
         cancel: _cancel,
         ..
-    } = served(&LocalPlan::small(&DOMAINS), Duration::from_millis(60)).await;
+    } = start_fleet(&LocalPlan::small(&DOMAINS), Duration::from_millis(60)).await;
 
     let prompt = "parte cortado";
     let key = [("idempotency-key", "parte-9")];
@@ -40,6 +40,6 @@
     let answer = processes.caller(1).chat("job-sheet", prompt, &key).await;
     assert_eq!(answer.status, 200, "{answer:?}");
     assert_eq!(answer.text(), expected_answer_of(&version, prompt, 24));
-    assert_eq!(runs(&servers, prompt), 1, "the sheet ran once");
-    processes.until(|status| status.bills == 1).await;
+    assert_eq!(started_runs(&servers, prompt), 1, "the sheet ran once");
+    processes.wait_for_status(|status| status.bills == 1).await;
 }
--- a/sesamebeam/tests/real/main.rs
+++ b/sesamebeam/tests/real/main.rs
@@ -1,4 +1,5 @@
-//! The daemons as processes of their own on loopback, with fakes in the test.
+//! Tests with the daemons as separate processes on loopback and the fake backend
+//! servers in the test process.
 
 mod caller;
 mod fleet;
--- a/sesamebeam/tests/real/path.rs
+++ b/sesamebeam/tests/real/path.rs
@@ -1,4 +1,4 @@
-//! The whole path between processes.
+//! The complete path of requests through the processes.
 
 use std::time::Duration;
 
@@ -8,23 +8,23 @@
 
 use super::fleet::{
     DOMAINS,
-    Served,
-    runs,
-    served, //
+    RunningFleet,
+    start_fleet,
+    started_runs, //
 };
 
-/// A question, a job sheet with its resend through another entry, a call of a
-/// plain service, a withdrawal and the bills, from end to end.
+/// Sends a question, a job sheet that is resent through another entry, and a
+/// request to a plain service, then withdraws a version and checks the bills.
 #[tokio::test(flavor = "multi_thread")]
 async fn whole_path() {
-    let Served {
+    let RunningFleet {
         processes,
         mut fleet,
         base,
         servers,
         cancel: _cancel,
         ..
-    } = served(&LocalPlan::small(&DOMAINS), Duration::ZERO).await;
+    } = start_fleet(&LocalPlan::small(&DOMAINS), Duration::ZERO).await;
     let first = processes.caller(0);
 
     let answer = first.chat("question", "que cable uso?", &[]).await;
@@ -41,7 +41,11 @@
     let second = processes.caller(1);
     let again = second.chat("job-sheet", "parte de obra 1", &key).await;
     assert_eq!(again.text(), text);
-    assert_eq!(runs(&servers, "parte de obra 1"), 1, "the sheet ran once");
+    assert_eq!(
+        started_runs(&servers, "parte de obra 1"),
+        1,
+        "the sheet ran once"
+    );
 
     let call = first
         .send(
@@ -69,5 +73,5 @@
             .await;
         assert_eq!(answer.header("x-version"), "asistente@v2");
     }
-    processes.until(|status| status.bills == 2).await;
+    processes.wait_for_status(|status| status.bills == 2).await;
 }
--- a/sesamebeam/tests/real/replicas.rs
+++ b/sesamebeam/tests/real/replicas.rs
@@ -1,4 +1,4 @@
-//! Control replicas that are killed, and disks that are lost.
+//! Control replicas that are killed or lose their disks.
 
 use std::time::Duration;
 
@@ -18,29 +18,29 @@
 use super::fleet::{
     DOMAINS,
     Processes,
-    Served,
+    RunningFleet,
     fleet,
-    runs,
-    served,
-    until, //
+    start_fleet,
+    started_runs,
+    wait_until, //
 };
 
-/// All three control replicas are killed at once and come back from their
-/// disks. The configuration is the accepted one, and a sheet that was sent
-/// before gets its first answer again: nothing that was acknowledged is lost.
+/// All three control replicas are killed at once and restart from their disks.
+/// Nothing that was acknowledged may be lost: the configuration is the accepted
+/// one, and a request resent with its key gets its first answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_together() {
-    let Served {
+    let RunningFleet {
         mut processes,
         base: revision,
         servers,
         cancel: _cancel,
         ..
-    } = served(&LocalPlan::small(&DOMAINS), Duration::ZERO).await;
+    } = start_fleet(&LocalPlan::small(&DOMAINS), Duration::ZERO).await;
     let prompt = "parte guardado";
     let key = [("idempotency-key", "parte-3")];
     let first = processes.caller(0).chat("job-sheet", prompt, &key).await;
-    processes.until(|status| status.bills == 1).await;
+    processes.wait_for_status(|status| status.bills == 1).await;
 
     for node in 1..=3 {
         processes.kill(&format!("control-{node}"));
@@ -49,22 +49,23 @@
         processes.start_control(&control, None);
     }
     processes
-        .until(|status| status.revision == revision && status.bills == 1)
+        .wait_for_status(|status| status.revision == revision && status.bills == 1)
         .await;
     let caller = processes.caller(2);
-    until("the kept answer", async || {
+    wait_until("the kept answer", async || {
         let again = caller.chat("job-sheet", prompt, &key).await;
         again.status == 200 && again.text() == first.text()
     })
     .await;
-    assert_eq!(runs(&servers, prompt), 1, "the sheet ran once");
+    assert_eq!(started_runs(&servers, prompt), 1, "the sheet ran once");
 }
 
-/// A control replica loses its disk and is replaced by one with a new number
-/// and a new folder; right after the repair a second one fails. The group still
-/// has a quorum, with the replacement in it, and still has every record. Entries
-/// and operators find the replacement though their settings do not list it: two
-/// of the three they list are gone, and the third names it when it leads.
+/// A control replica loses its disk and is replaced by one with a new number and
+/// a new directory; immediately afterwards a second one fails. The group must
+/// still have a quorum, which includes the replacement, and every record. Entries
+/// and operators must find the replacement although their settings do not list
+/// it: two of the three listed replicas are gone, and the third names it when it
+/// leads.
 #[tokio::test(flavor = "multi_thread")]
 async fn replaced_disk() {
     let mut processes = Processes::start(&LocalPlan::small(&DOMAINS));
@@ -76,11 +77,11 @@
 
     let new = replacement(&processes, &lost);
     processes.start_control(&new, Some("--join"));
-    until("the new folder's incarnation", async || {
-        processes.printed("control-4").contains("incarnation ")
+    wait_until("the new folder's incarnation", async || {
+        processes.stdout("control-4").contains("incarnation ")
     })
     .await;
-    let printed = processes.printed("control-4");
+    let printed = processes.stdout("control-4");
     let hex = printed.split_whitespace().nth(1).expect("a number");
     let replace = ControlRequest::Replace(Replace {
         gone: 3,
@@ -90,7 +91,7 @@
     });
     assert_eq!(processes.ask(&replace).await, ControlReply::Done);
     processes
-        .until(|status| {
+        .wait_for_status(|status| {
             let voters: Vec<u64> = status
                 .replicas
                 .iter()
@@ -103,21 +104,21 @@
 
     processes.kill("control-1");
     let status = processes
-        .until(|status| status.leader.is_some_and(|leader| leader != 1))
+        .wait_for_status(|status| status.leader.is_some_and(|leader| leader != 1))
         .await;
     assert_eq!(status.revision, revision);
     let mut renamed = fleet.clone();
     renamed.name = "prueba-2".into();
     let next = processes.apply(revision, &renamed).await;
     processes
-        .until(|status| {
+        .wait_for_status(|status| {
             let newest = status.entries.iter().filter(|e| e.revision == next);
             newest.filter(|e| !e.lease_left.is_zero()).count() == DOMAINS.len()
         })
         .await;
 }
 
-/// Settings of the replica that takes the place of a lost one, on its port.
+/// Returns the settings of a replica that replaces a lost one on the same port.
 fn replacement(processes: &Processes, lost: &ControlSettings) -> ControlSettings {
     let keys = processes.root().join("control-4");
     fs::create_dir_all(&keys).expect("a folder");
@@ -132,9 +133,9 @@
     new
 }
 
-/// An operator starts a replica whose disk was lost with `--init`, as if the
-/// group were made anew. The replica finds that the others have a configuration
-/// and refuses: under its old incarnation it would have forgotten its vote.
+/// An operator restarts a replica that has lost its disk with `--init`, which is
+/// for a new group. The replica must find that the others have a configuration
+/// and refuse to start, since it has lost the vote that it may have cast.
 #[tokio::test(flavor = "multi_thread")]
 async fn init_refused() {
     let mut processes = Processes::start(&LocalPlan::small(&DOMAINS));
@@ -143,6 +144,6 @@
     processes.kill("control-3");
     fs::remove_dir_all(&lost.data).expect("the disk is lost");
     processes.start_control(&lost, Some("--init"));
-    assert!(!processes.ended("control-3").await, "it refuses");
+    assert!(!processes.wait_for_exit("control-3").await, "it refuses");
     assert!(!lost.data.exists(), "no folder is made");
 }
--- a/sesamebeam/tests/real/silence.rs
+++ b/sesamebeam/tests/real/silence.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent while new ones work.
+//! Existing connections that go silent while new ones work.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
 
 use super::fleet::{
     DOMAINS,
-    Served,
-    runs,
-    served, //
+    RunningFleet,
+    start_fleet,
+    started_runs, //
 };
 
-/// In the middle of a job sheet every open connection to the backend servers
-/// goes silent for good, while new ones work. The caller sees a pause; then its
-/// answer goes on where it stopped, because the entry retires the old
-/// connections and resumes the stream on a new one. The sheet ran once.
+/// Guards against a stream that hangs when every open connection to the backend
+/// servers goes silent while new connections work. The entry must retire the old
+/// connections and resume the stream on a new one, so that the caller sees only a
+/// pause and the request runs once.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_connection() {
     let mut plan = LocalPlan::small(&DOMAINS);
     plan.entry.progress_timeout = Duration::from_millis(500);
-    let Served {
+    let RunningFleet {
         processes,
         servers,
         cancel: _cancel,
         ..
-    } = served(&plan, Duration::from_millis(50)).await;
+    } = start_fleet(&plan, Duration::from_millis(50)).await;
 
     let prompt = "parte mudo";
     let key = [("idempotency-key", "parte-5")];
@@ -50,6 +50,6 @@
     }
     let text = sse::assemble(&body).text;
     assert_eq!(text, expected_answer_of(&version, prompt, 24));
-    assert_eq!(runs(&servers, prompt), 1, "the sheet ran once");
-    processes.until(|status| status.bills == 1).await;
+    assert_eq!(started_runs(&servers, prompt), 1, "the sheet ran once");
+    processes.wait_for_status(|status| status.bills == 1).await;
 }
--- a/sesamebeam/tests/real/stops.rs
+++ b/sesamebeam/tests/real/stops.rs
@@ -9,25 +9,26 @@
 
 use super::fleet::{
     DOMAINS,
-    Served,
-    served,
-    until, //
+    RunningFleet,
+    start_fleet,
+    wait_until, //
 };
 
-/// Requests that run while the stop begins.
+/// Number of requests in progress when the stop starts.
 const RUNNING: usize = 20;
 
-/// Callers are in the middle of their answers when SIGTERM reaches their entry.
-/// The entry first stops being ready, so that the balancer sends nothing more,
-/// and ends only when every answer is whole: no caller notices.
+/// Guards against requests that fail at a planned stop. An entry receives SIGTERM
+/// while answers are streamed. It must report itself as not ready, so that the
+/// load balancer sends no more requests, and exit only when every answer is
+/// complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn planned_stop() {
-    let Served {
+    let RunningFleet {
         mut processes,
         servers,
         cancel: _cancel,
         ..
-    } = served(&LocalPlan::small(&DOMAINS), Duration::from_millis(40)).await;
+    } = start_fleet(&LocalPlan::small(&DOMAINS), Duration::from_millis(40)).await;
 
     let caller = processes.caller(0);
     let prompts: Vec<String> = (0..RUNNING).map(|n| format!("pregunta {n}")).collect();
@@ -42,7 +43,7 @@
         }
     }));
     let stop = async {
-        until("every request at the engines", async || {
+        wait_until("every request at the engines", async || {
             let started: u32 = servers
                 .runners
                 .iter()
@@ -59,8 +60,11 @@
         let expected = expected_answer_of(answer.header("x-version"), prompt, 24);
         assert_eq!(answer.text(), expected);
     }
-    assert!(processes.ended("lima-ate-1").await, "it ends well");
+    assert!(
+        processes.wait_for_exit("lima-ate-1").await,
+        "it exits successfully"
+    );
     processes
-        .until(|status| status.bills == RUNNING as u64 / 2)
+        .wait_for_status(|status| status.bills == RUNNING as u64 / 2)
         .await;
 }
--- a/sesamebeam/tests/real/streaming.rs
+++ b/sesamebeam/tests/real/streaming.rs
@@ -1,4 +1,4 @@
-//! Answers that are read as they are generated.
+//! Streamed answers.
 
 use hyper::{
     HeaderMap,
@@ -16,11 +16,11 @@
 pub(crate) struct Streaming {
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
-    _lease: ConnectionGuard,
+    _conn: ConnectionGuard,
 }
 
 impl Caller {
-    /// Starts a chat request and hands over its stream.
+    /// Sends a chat request and returns its stream.
     pub(crate) async fn stream(
         &self,
         class: &str,
@@ -28,8 +28,8 @@
         headers: &[(&str, &str)],
     ) -> Streaming {
         let (body, headers) = chat(class, prompt, headers);
-        let (answer, lease) = self
-            .head("POST", "/v1/chat/completions", &headers, body)
+        let (answer, conn) = self
+            .send_request("POST", "/v1/chat/completions", &headers, body)
             .await
             .expect("a head");
         assert_eq!(answer.status(), StatusCode::OK);
@@ -37,7 +37,7 @@
         Streaming {
             headers: parts.headers,
             body,
-            _lease: lease,
+            _conn: conn,
         }
     }
 }
