--- a/sesamebeam/src/entry/callers.rs
+++ b/sesamebeam/src/entry/callers.rs
@@ -339,20 +339,20 @@
         match driver.next().await {
             Some(ResponsePart::Events(first)) => {
                 let builder = self.response_builder(driver.headers(), request, 200, &EVENT_STREAM);
-                let steps = unfold((driver, Some(first)), |(mut driver, first)| async move {
-                    let piece = match first {
+                let chunks = unfold((driver, Some(first)), |(mut driver, first)| async move {
+                    let chunk = match first {
                         Some(first) => first,
                         None => next_chunk(&mut driver).await?,
                     };
-                    Some((Ok(Frame::data(piece)), (driver, None)))
+                    Some((Ok(Frame::data(chunk)), (driver, None)))
                 });
-                build_response(builder.body(StreamBody::new(steps).boxed_unsync()))
+                build_response(builder.body(StreamBody::new(chunks).boxed_unsync()))
             }
             Some(ResponsePart::Replay(answer)) => {
                 let headers = driver.headers().clone();
                 self.replay_response(&headers, request, answer, true)
             }
-            Some(ResponsePart::Whole(answer)) => {
+            Some(ResponsePart::Service(answer)) => {
                 let builder = self.response_builder(
                     driver.headers(),
                     request,
@@ -371,11 +371,11 @@
     async fn unstreamed_response(self: Arc<Self>, mut driver: Driver) -> Response<ResponseBody> {
         let request = driver.request();
         let mut events = Vec::new();
-        let mut whole = None;
+        let mut service_response = None;
         loop {
             match driver.next().await {
-                Some(ResponsePart::Events(piece)) => events.extend_from_slice(&piece),
-                Some(ResponsePart::Whole(answer)) => whole = Some(answer),
+                Some(ResponsePart::Events(chunk)) => events.extend_from_slice(&chunk),
+                Some(ResponsePart::Service(answer)) => service_response = Some(answer),
                 Some(ResponsePart::Replay(answer)) => {
                     let headers = driver.headers().clone();
                     return self.replay_response(&headers, request, answer, false);
@@ -388,7 +388,7 @@
             }
         }
         let headers = driver.headers();
-        if let Some(answer) = whole {
+        if let Some(answer) = service_response {
             let builder =
                 self.response_builder(headers, request, answer.status, &answer.content_type);
             return build_response(builder.body(problem::full_body(answer.body)));
@@ -559,14 +559,14 @@
 /// caller that the answer is incomplete.
 async fn next_chunk(driver: &mut Driver) -> Option<Bytes> {
     match driver.next().await? {
-        ResponsePart::Events(piece) => Some(piece),
+        ResponsePart::Events(chunk) => Some(chunk),
         ResponsePart::Refused(refusal) => {
             let mut event = b"event: error\ndata: ".to_vec();
             event.extend_from_slice(&problem::document(&refusal));
             event.extend_from_slice(b"\n\n");
             Some(event.into())
         }
-        ResponsePart::Whole(_) | ResponsePart::Replay(_) | ResponsePart::End => None,
+        ResponsePart::Service(_) | ResponsePart::Replay(_) | ResponsePart::End => None,
     }
 }
 
--- a/sesamebeam/src/entry/control_client.rs
+++ b/sesamebeam/src/entry/control_client.rs
@@ -77,19 +77,19 @@
         req: &ControlRequest,
         timeout: Duration,
     ) -> Option<ControlReply> {
-        let until = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         // The leader delays the reply to a renewal until it has changes to
         // report, so a renewal gets the whole timeout.
-        let patient = matches!(req, ControlRequest::Renew(_));
+        let full_timeout = matches!(req, ControlRequest::Renew(_));
         let mut last = None;
         loop {
             let known = self.lock().replicas.len();
             for _ in 0..known {
-                let left = until.saturating_duration_since(Instant::now());
+                let left = deadline.saturating_duration_since(Instant::now());
                 if left.is_zero() {
                     return last;
                 }
-                let wait = if patient {
+                let wait = if full_timeout {
                     left
                 } else {
                     left.min(ATTEMPT_TIMEOUT)
--- a/sesamebeam/src/entry/driver.rs
+++ b/sesamebeam/src/entry/driver.rs
@@ -103,7 +103,7 @@
     /// Complete events of the answer.
     Events(Bytes),
     /// The complete response of a plain service.
-    Whole(ServiceResponse),
+    Service(ServiceResponse),
     /// The recorded answer of an earlier request.
     Replay(Completed),
     /// The answer is complete.
@@ -132,7 +132,7 @@
     /// Response parts that are ready to be returned.
     ready: std::collections::VecDeque<ResponsePart>,
     /// Response of a plain service, until the core finishes the request.
-    whole: Option<ServiceResponse>,
+    service_response: Option<ServiceResponse>,
     timer: Pin<Box<Sleep>>,
     ended: bool,
 }
@@ -168,7 +168,7 @@
             last_events: Bytes::new(),
             held: BytesMut::new(),
             ready: std::collections::VecDeque::new(),
-            whole: None,
+            service_response: None,
             timer: Box::pin(sleep(Duration::from_secs(3600))),
             ended: false,
         }
@@ -274,8 +274,8 @@
                 self.ready.push_back(ResponsePart::Events(held));
             }
             RequestCommand::Finish => {
-                if let Some(whole) = self.whole.take() {
-                    self.ready.push_back(ResponsePart::Whole(whole));
+                if let Some(response) = self.service_response.take() {
+                    self.ready.push_back(ResponsePart::Service(response));
                 }
                 self.ready.push_back(ResponsePart::End);
             }
@@ -337,8 +337,8 @@
                 self.finish_stream(at, usage);
                 true
             }
-            UpstreamEvent::Whole(answer) => {
-                self.finish_whole(at, answer);
+            UpstreamEvent::Service(answer) => {
+                self.finish_service(at, answer);
                 true
             }
             UpstreamEvent::Ended(report) => {
@@ -351,8 +351,8 @@
 
     fn take_events(&mut self, at: usize, events: Bytes) {
         let up = &mut self.upstreams[at];
-        if up.first.is_none() {
-            up.first = Some(up.sent.elapsed());
+        if up.first_event_after.is_none() {
+            up.first_event_after = Some(up.sent_at.elapsed());
             self.headers = up.dispatch.headers.clone();
             let attempt = up.dispatch.attempt;
             self.report(attempt, AttemptReport::Started);
@@ -376,7 +376,7 @@
                 prompt_tokens,
                 completion_tokens,
             },
-            first: up.first.unwrap_or_default(),
+            first: up.first_event_after.unwrap_or_default(),
             retry_after: None,
             at: unix_millis(),
         };
@@ -384,7 +384,7 @@
         self.report(attempt, AttemptReport::Finished(finished));
     }
 
-    fn finish_whole(&mut self, at: usize, answer: ServiceResponse) {
+    fn finish_service(&mut self, at: usize, answer: ServiceResponse) {
         self.headers = self.upstreams[at].dispatch.headers.clone();
         self.buffer.push(&answer.body);
         let finished = Finished {
@@ -392,11 +392,11 @@
                 .buffer
                 .completed(answer.status, answer.content_type.clone()),
             usage: Usage::default(),
-            first: self.upstreams[at].sent.elapsed(),
+            first: self.upstreams[at].sent_at.elapsed(),
             retry_after: answer.retry_after,
             at: unix_millis(),
         };
-        self.whole = Some(answer);
+        self.service_response = Some(answer);
         let attempt = self.upstreams[at].dispatch.attempt;
         self.report(attempt, AttemptReport::Finished(finished));
     }
@@ -464,7 +464,7 @@
             last_events: std::mem::take(&mut self.last_events),
             held: std::mem::take(&mut self.held),
             ready: std::collections::VecDeque::new(),
-            whole: self.whole.take(),
+            service_response: self.service_response.take(),
             timer: Box::pin(sleep(Duration::from_secs(1))),
             ended: false,
         };
@@ -499,13 +499,13 @@
         }
     }
 
-    fn push(&mut self, piece: &[u8]) {
+    fn push(&mut self, chunk: &[u8]) {
         if !self.wanted {
             return;
         }
         match &mut self.body {
-            Some(body) if body.len() + piece.len() <= MAX_BUFFERED_BYTES => {
-                body.extend_from_slice(piece)
+            Some(body) if body.len() + chunk.len() <= MAX_BUFFERED_BYTES => {
+                body.extend_from_slice(chunk)
             }
             body => *body = None,
         }
--- a/sesamebeam/src/entry/upstream.rs
+++ b/sesamebeam/src/entry/upstream.rs
@@ -129,7 +129,7 @@
     /// The last events of a stream, including `[DONE]`.
     Last(Bytes),
     /// The complete response of a plain service.
-    Whole(ServiceResponse),
+    Service(ServiceResponse),
     /// The attempt ended without a complete response.
     Ended(AttemptReport),
 }
@@ -139,7 +139,7 @@
 /// Result of sending the request of an attempt.
 enum OpenOutcome {
     Stream(Response<Incoming>, ConnectionGuard),
-    Whole(ServiceResponse),
+    Service(ServiceResponse),
     Ended(AttemptReport),
 }
 
@@ -148,10 +148,10 @@
     /// The core's instructions for the attempt.
     pub(crate) dispatch: Box<Dispatch>,
     /// Time from sending the request to the first event, once it has arrived.
-    pub(crate) first: Option<Duration>,
+    pub(crate) first_event_after: Option<Duration>,
     /// Time at which the request was sent.
-    pub(crate) sent: Instant,
-    cutter: EventSplitter,
+    pub(crate) sent_at: Instant,
+    splitter: EventSplitter,
     stage: Stage,
     /// Whether data arrived since the last call of [`Self::idle`].
     active: bool,
@@ -160,7 +160,7 @@
 enum Stage {
     Opening(Opening),
     Reading(Incoming, Option<ConnectionGuard>),
-    Over,
+    Ended,
 }
 
 impl Upstream {
@@ -183,9 +183,9 @@
         );
         Self {
             dispatch,
-            first: None,
-            sent: Instant::now(),
-            cutter: EventSplitter::resume_after(events),
+            first_event_after: None,
+            sent_at: Instant::now(),
+            splitter: EventSplitter::resume_after(events),
             stage: Stage::Opening(Box::pin(opening)),
             active: false,
         }
@@ -194,7 +194,7 @@
     /// Returns the number of complete events received, including those before a
     /// resume.
     pub(crate) fn events(&self) -> u64 {
-        self.cutter.events()
+        self.splitter.events()
     }
 
     /// Returns whether no data arrived since the last call.
@@ -212,12 +212,12 @@
                         self.active = true;
                         self.stage = Stage::Reading(response.into_body(), Some(conn));
                     }
-                    Poll::Ready(OpenOutcome::Whole(answer)) => {
-                        self.stage = Stage::Over;
-                        return Poll::Ready(UpstreamEvent::Whole(answer));
+                    Poll::Ready(OpenOutcome::Service(answer)) => {
+                        self.stage = Stage::Ended;
+                        return Poll::Ready(UpstreamEvent::Service(answer));
                     }
                     Poll::Ready(OpenOutcome::Ended(report)) => {
-                        self.stage = Stage::Over;
+                        self.stage = Stage::Ended;
                         return Poll::Ready(UpstreamEvent::Ended(report));
                     }
                 },
@@ -225,10 +225,10 @@
                     Poll::Pending => return Poll::Pending,
                     Poll::Ready(Some(Ok(frame))) => {
                         self.active = true;
-                        let Ok(piece) = frame.into_data() else {
+                        let Ok(chunk) = frame.into_data() else {
                             continue;
                         };
-                        match self.cutter.push(piece) {
+                        match self.splitter.push(chunk) {
                             SplitResult::Incomplete => {}
                             SplitResult::Events(events) => {
                                 return Poll::Ready(UpstreamEvent::Events(events));
@@ -249,22 +249,22 @@
                     // even if the HTTP response ended without an error.
                     Poll::Ready(Some(Err(_)) | None) => return Poll::Ready(self.end_broken()),
                 },
-                Stage::Over => return Poll::Pending,
+                Stage::Ended => return Poll::Pending,
             }
         }
     }
 
     fn end_broken(&mut self) -> UpstreamEvent {
-        self.stage = Stage::Over;
+        self.stage = Stage::Ended;
         UpstreamEvent::Ended(AttemptReport::Broken {
-            events: self.cutter.events(),
+            events: self.splitter.events(),
         })
     }
 
     /// Reads the rest of the body after `[DONE]`, so that the connection can be
     /// reused.
     fn drain(&mut self) {
-        if let Stage::Reading(body, Some(conn)) = std::mem::replace(&mut self.stage, Stage::Over) {
+        if let Stage::Reading(body, Some(conn)) = std::mem::replace(&mut self.stage, Stage::Ended) {
             tokio::spawn(async move {
                 let rest = Limited::new(body, MAX_ERROR_BODY).collect();
                 if tokio::time::timeout(Duration::from_secs(1), rest)
@@ -428,7 +428,7 @@
     {
         Ok(body) => {
             conn.release();
-            OpenOutcome::Whole(ServiceResponse {
+            OpenOutcome::Service(ServiceResponse {
                 status: status.as_u16(),
                 content_type,
                 retry_after,
@@ -472,7 +472,7 @@
         incarnation,
         STANDARD.decode(found.body),
     ) {
-        ("ran", _, Ok(body)) => OpenOutcome::Whole(ServiceResponse {
+        ("ran", _, Ok(body)) => OpenOutcome::Service(ServiceResponse {
             status: found.status,
             content_type: found.content_type,
             retry_after: None,
--- a/sesamebeam/src/http/sse.rs
+++ b/sesamebeam/src/http/sse.rs
@@ -55,41 +55,41 @@
     }
 
     /// Adds the next chunk of the stream.
-    pub fn push(&mut self, piece: Bytes) -> SplitResult {
-        let whole = if self.rest.is_empty() {
-            let Some(end) = last_boundary(&piece) else {
-                return self.buffer(&piece);
+    pub fn push(&mut self, chunk: Bytes) -> SplitResult {
+        let complete = if self.rest.is_empty() {
+            let Some(end) = last_boundary(&chunk) else {
+                return self.buffer(&chunk);
             };
-            self.rest.extend_from_slice(&piece[end..]);
-            piece.slice(..end)
+            self.rest.extend_from_slice(&chunk[end..]);
+            chunk.slice(..end)
         } else {
-            self.rest.extend_from_slice(&piece);
+            self.rest.extend_from_slice(&chunk);
             let Some(end) = last_boundary(&self.rest) else {
                 return self.buffer(&[]);
             };
             self.rest.split_to(end).freeze()
         };
-        self.count_events(&whole);
+        self.count_events(&complete);
         if self.done {
-            SplitResult::Done(whole)
+            SplitResult::Done(complete)
         } else {
-            SplitResult::Events(whole)
+            SplitResult::Events(complete)
         }
     }
 
-    fn buffer(&mut self, piece: &[u8]) -> SplitResult {
-        if self.rest.len() + piece.len() > MAX_EVENT {
+    fn buffer(&mut self, chunk: &[u8]) -> SplitResult {
+        if self.rest.len() + chunk.len() > MAX_EVENT {
             return SplitResult::TooLong;
         }
-        self.rest.extend_from_slice(piece);
+        self.rest.extend_from_slice(chunk);
         SplitResult::Incomplete
     }
 
-    fn count_events(&mut self, whole: &[u8]) {
+    fn count_events(&mut self, complete: &[u8]) {
         let mut from = 0;
-        while let Some(end) = boundary(&whole[from..]) {
+        while let Some(end) = boundary(&complete[from..]) {
             self.events += 1;
-            let event = &whole[from..from + end];
+            let event = &complete[from..from + end];
             // The `id` line may precede or follow the `data` line.
             if event.len() < 64 && event.windows(DONE.len()).any(|w| w == DONE) {
                 self.done = true;
