--- a/sesamebeam/src/entry.rs
+++ b/sesamebeam/src/entry.rs
@@ -250,7 +250,7 @@
     let closing = CancellationToken::new();
     let serving = tokio::spawn(Arc::clone(&callers).serve(listener, closing.clone()));
     stops.stop.cancelled().await;
-    log::info!("planned stop: not ready; accepting connections for another {notice:?}");
+    log::info!("stop begins: not ready; accepting connections for another {notice:?}");
     callers.set_not_ready();
     sleep(notice).await;
     closing.cancel();
