--- a/sesamebeam/src/group.rs
+++ b/sesamebeam/src/group.rs
@@ -1,16 +1,17 @@
-//! The daemon of a control replica for gateways: edges round [`Coordinator`].
+//! Daemon of a control replica for gateways: connects the sans-I/O [`Coordinator`] to
+//! sockets, the disk and timers.
 //!
-//! One task owns the coordinator and matches on one enum of inputs. The group
-//! forms, admits and replaces its replicas by itself.
+//! A single task owns the coordinator and processes all inputs. The group bootstraps
+//! itself, and admits and replaces replicas without an operator.
 
 mod clock;
-mod folder;
 mod http;
+mod internal_server;
 mod join;
-mod links;
-mod notes;
+mod log_events;
+mod membership;
 mod peer;
-mod place;
+mod replica_dir;
 pub mod roster;
 mod subscribers;
 
@@ -74,10 +75,10 @@
 };
 use self::{
     clock::Clock,
-    join::Place,
+    join::MembershipStatus,
     peer::PeerSender,
     subscribers::{
-        EntryLink,
+        EntryConnection,
         Subscribers, //
     },
 };
@@ -91,44 +92,43 @@
     listen::ListenError,
 };
 
-/// Longest time for an answer to a caller, who asks another replica after a
-/// second.
-const PATIENCE: Duration = Duration::from_millis(800);
+/// Timeout of API requests. Clients ask another replica after a second.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Time for a sync after which the disk counts as stalled. Slow disks take
-/// tens of milliseconds.
-const DISK_PATIENCE: Duration = Duration::from_millis(600);
+/// How long a sync may take before the disk counts as stalled. Slow disks take tens of
+/// milliseconds.
+const DISK_STALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Settings of a control replica.
 #[derive(Clone, Debug)]
 pub struct GroupSettings {
-    /// Name for logs.
+    /// Name of the replica in logs.
     pub name: String,
-    /// Its failure domain.
+    /// Failure domain of the replica.
     pub domain: DomainId,
-    /// Where operators and backend servers call.
+    /// Listen address for API requests of operators and backend servers.
     pub control_addr: SocketAddr,
-    /// Where other processes of the system call.
+    /// Listen address for entries and other control replicas.
     pub internal_addr: SocketAddr,
-    /// Control addresses of some replicas.
+    /// Control addresses of replicas that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system starts for the first time and the seeds form a new group.
     pub bootstrap: bool,
-    /// Data folder.
+    /// Data directory.
     pub data_dir: PathBuf,
-    /// Replicas that may be lost at once.
+    /// Number of simultaneous replica failures to tolerate.
     pub tolerated_failures: usize,
-    /// Share of a service's requests that a bad version may get.
+    /// Upper bound on the share of a service's requests that a bad version may serve.
     pub max_exposure: f64,
 }
 
-/// Why a control replica had to stop.
+/// Why a control replica stopped.
 #[derive(Debug, Error)]
 pub enum GroupError {
-    /// The data folder cannot be used.
+    /// The data directory cannot be used.
     #[error(transparent)]
     Disk(#[from] DiskError),
-    /// An address cannot be used.
+    /// A listen address cannot be bound.
     #[error(transparent)]
     Listen(#[from] ListenError),
     /// The disk thread cannot be started.
@@ -136,32 +136,32 @@
     Thread(io::Error),
 }
 
-/// What the task that owns the coordinator takes.
+/// Input of the task that owns the coordinator.
 #[derive(Debug)]
 enum Input {
-    /// An event without an answer.
+    /// An event that needs no reply.
     Event(Event),
-    /// An entry has connected.
-    Entry(EntryId, EntryLink),
-    /// A connection of an entry has ended, by its number.
+    /// An entry connected.
+    Entry(EntryId, EntryConnection),
+    /// The connection of an entry with this id ended.
     EntryLost(EntryId, u64),
-    /// A process asks about the group.
-    Asked(MembershipRequest, oneshot::Sender<MembershipReply>),
-    /// A caller asks for something.
-    Called(ApiRequest, oneshot::Sender<ApiResponse>),
-    /// Replies to this process's own questions about the group.
-    Learned(Vec<(NodeId, SocketAddr)>),
-    /// The process at this address says that it leads the group.
-    Leader(SocketAddr),
-    /// A leader says that this process is no member.
+    /// A process sent a membership request.
+    MembershipRequested(MembershipRequest, oneshot::Sender<MembershipReply>),
+    /// A client sent an API request.
+    ApiRequested(ApiRequest, oneshot::Sender<ApiResponse>),
+    /// Group members named in the reply to a membership request of this process.
+    PeersLearned(Vec<(NodeId, SocketAddr)>),
+    /// The process at this address says that it is the leader.
+    LeaderFound(SocketAddr),
+    /// A leader says that this process is not a member.
     Removed,
-    /// The group in which this process may ask for a place.
-    Group(u128),
-    /// A disk tells something.
+    /// Id of a group that this process may join.
+    GroupFound(u128),
+    /// A notice from a disk thread.
     Disk(Incarnation, DiskNotice),
 }
 
-/// Incarnation of a data folder.
+/// Incarnation of a replica directory.
 type Incarnation = u128;
 
 /// Sends inputs to the task that owns the coordinator.
@@ -171,22 +171,22 @@
 struct Runner {
     settings: GroupSettings,
     clock: Clock,
-    core: Coordinator,
+    coordinator: Coordinator,
     disk: Option<(Incarnation, DiskThread)>,
-    /// Folder that is in use.
-    folder: PathBuf,
+    /// Replica directory in use.
+    replica_dir: PathBuf,
     tx: Inputs,
-    senders: HashMap<NodeId, PeerSender>,
-    entries: Subscribers,
-    /// Message that says what this replica holds.
-    alive: watch::Sender<Bytes>,
-    /// Backend servers to be kept on the disk.
+    peer_senders: HashMap<NodeId, PeerSender>,
+    subscribers: Subscribers,
+    /// Encoded heartbeat with a summary of this replica's state.
+    heartbeat: watch::Sender<Bytes>,
+    /// Announcements of backend servers to be saved to disk.
     roster: watch::Sender<Arc<[Announcement]>>,
-    questions: HashMap<Ticket, oneshot::Sender<MembershipReply>>,
-    calls: HashMap<Ticket, oneshot::Sender<ApiResponse>>,
+    pending_membership_requests: HashMap<Ticket, oneshot::Sender<MembershipReply>>,
+    pending_api_requests: HashMap<Ticket, oneshot::Sender<ApiResponse>>,
     next_ticket: Ticket,
-    place: watch::Sender<Place>,
-    meters: Arc<Exposition>,
+    status: watch::Sender<MembershipStatus>,
+    metrics: Arc<Exposition>,
     halt: CancellationToken,
 }
 
@@ -194,12 +194,12 @@
 ///
 /// # Errors
 ///
-/// Fails if an address or the data folder cannot be used.
+/// Returns an error if a listen address or the data directory cannot be used.
 pub async fn run(
     settings: GroupSettings,
     protocol: Arc<dyn ControlProtocol>,
     seeds: watch::Receiver<Vec<SocketAddr>>,
-    meters: Arc<Exposition>,
+    metrics: Arc<Exposition>,
     cancel: CancellationToken,
 ) -> Result<(), GroupError> {
     let (tx, rx) = unbounded_channel();
@@ -210,50 +210,50 @@
         domain: settings.domain.clone(),
         tolerated_failures: settings.tolerated_failures,
         max_exposure: settings.max_exposure,
-        request_timeout: PATIENCE,
-        disk_stall_timeout: DISK_PATIENCE,
+        request_timeout: REQUEST_TIMEOUT,
+        disk_stall_timeout: DISK_STALL_TIMEOUT,
     };
-    let (place, place_rx) = watch::channel(Place::default());
-    let (alive, alive_rx) = watch::channel(Bytes::new());
+    let (status, status_rx) = watch::channel(MembershipStatus::default());
+    let (heartbeat, heartbeat_rx) = watch::channel(Bytes::new());
     let (roster, roster_rx) = watch::channel(Arc::from([]));
     let mut runner = Runner {
-        core: Coordinator::new(cfg, clock.now()),
+        coordinator: Coordinator::new(cfg, clock.now()),
         clock,
         disk: None,
-        folder: PathBuf::new(),
+        replica_dir: PathBuf::new(),
         tx: tx.clone(),
-        senders: HashMap::new(),
-        entries: Subscribers::new(Arc::clone(&meters)),
-        alive,
+        peer_senders: HashMap::new(),
+        subscribers: Subscribers::new(Arc::clone(&metrics)),
+        heartbeat,
         roster,
-        questions: HashMap::new(),
-        calls: HashMap::new(),
+        pending_membership_requests: HashMap::new(),
+        pending_api_requests: HashMap::new(),
         next_ticket: 0,
-        place,
-        meters,
+        status,
+        metrics,
         halt: halt.clone(),
         settings: settings.clone(),
     };
-    runner.hold(StateSummary::default());
-    runner.open()?;
-    runner.recall();
-    tokio::spawn(roster::keep(
+    runner.set_heartbeat(StateSummary::default());
+    runner.open_replica_dir()?;
+    runner.restore_servers();
+    tokio::spawn(roster::save_updates(
         settings.data_dir.clone(),
         roster_rx,
         halt.clone(),
     ));
-    tokio::spawn(join::follow_seeds(
+    tokio::spawn(join::forward_seeds(
         settings.clone(),
         seeds.clone(),
         tx.clone(),
         halt.clone(),
     ));
-    links::start(&settings, tx.clone(), alive_rx, halt.clone()).await?;
+    internal_server::start(&settings, tx.clone(), heartbeat_rx, halt.clone()).await?;
     http::start(&settings, protocol, tx.clone(), halt.clone()).await?;
-    tokio::spawn(join::run(settings, seeds, place_rx, tx, halt.clone()));
-    let ended = runner.run(rx, &cancel).await;
+    tokio::spawn(join::run(settings, seeds, status_rx, tx, halt.clone()));
+    let result = runner.run(rx, &cancel).await;
     halt.cancel();
-    ended
+    result
 }
 
 impl Runner {
@@ -263,61 +263,64 @@
         cancel: &CancellationToken,
     ) -> Result<(), GroupError> {
         loop {
-            let wait = self.core.next_wake().saturating_sub(self.clock.now());
+            let wait = self
+                .coordinator
+                .next_wake()
+                .saturating_sub(self.clock.now());
             tokio::select! {
                 () = cancel.cancelled() => return Ok(()),
                 input = rx.recv() => match input {
-                    Some(input) => self.take(input)?,
+                    Some(input) => self.handle_input(input)?,
                     None => return Ok(()),
                 },
-                () = sleep(wait) => self.event(Event::Tick),
+                () = sleep(wait) => self.handle_event(Event::Tick),
             }
         }
     }
 
-    fn take(&mut self, input: Input) -> Result<(), GroupError> {
+    fn handle_input(&mut self, input: Input) -> Result<(), GroupError> {
         match input {
-            Input::Event(event) => self.event(event),
-            Input::Entry(life, link) => {
-                self.entries.connected(life, link);
-                self.event(Event::EntryConnected(life));
+            Input::Event(event) => self.handle_event(event),
+            Input::Entry(entry_id, connection) => {
+                self.subscribers.connected(entry_id, connection);
+                self.handle_event(Event::EntryConnected(entry_id));
             }
-            Input::EntryLost(life, number) => {
-                if self.entries.ended(life, number) {
-                    self.event(Event::EntryDisconnected(life));
+            Input::EntryLost(entry_id, connection_id) => {
+                if self.subscribers.disconnected(entry_id, connection_id) {
+                    self.handle_event(Event::EntryDisconnected(entry_id));
                 }
             }
-            Input::Asked(question, back) => {
-                let ticket = self.ticket();
-                self.questions.insert(ticket, back);
-                self.event(Event::MembershipRequested(ticket, question));
+            Input::MembershipRequested(request, reply_tx) => {
+                let ticket = self.new_ticket();
+                self.pending_membership_requests.insert(ticket, reply_tx);
+                self.handle_event(Event::MembershipRequested(ticket, request));
             }
-            Input::Called(call, back) => {
-                let ticket = self.ticket();
-                self.calls.insert(ticket, back);
-                self.event(Event::RequestReceived(ticket, call));
+            Input::ApiRequested(request, reply_tx) => {
+                let ticket = self.new_ticket();
+                self.pending_api_requests.insert(ticket, reply_tx);
+                self.handle_event(Event::RequestReceived(ticket, request));
             }
-            Input::Learned(peers) => {
-                self.core.learn_peers(peers);
-                self.event(Event::Tick);
+            Input::PeersLearned(peers) => {
+                self.coordinator.learn_peers(peers);
+                self.handle_event(Event::Tick);
             }
-            Input::Leader(leader) => self.core.learn_leader(self.clock.now(), leader),
-            Input::Group(group) => self.prepare(group)?,
-            Input::Removed => self.give_up_place()?,
-            Input::Disk(incarnation, notice) => self.disk_tells(incarnation, notice)?,
+            Input::LeaderFound(leader) => self.coordinator.learn_leader(self.clock.now(), leader),
+            Input::GroupFound(group) => self.join_group(group)?,
+            Input::Removed => self.leave_group()?,
+            Input::Disk(incarnation, notice) => self.handle_disk_notice(incarnation, notice)?,
         }
-        self.tell_place();
+        self.publish_status();
         Ok(())
     }
 
-    fn event(&mut self, event: Event) {
-        // The clock is read here, after every wait: a replica that was
-        // suspended must not act on a lease that ended meanwhile.
-        let actions = self.core.handle(self.clock.now(), event);
-        self.carry(actions);
+    fn handle_event(&mut self, event: Event) {
+        // The clock is read here, after every wait: a replica that was suspended must not
+        // act on a leader lease that expired in the meantime.
+        let actions = self.coordinator.handle(self.clock.now(), event);
+        self.perform(actions);
     }
 
-    fn carry(&mut self, actions: Vec<Action>) {
+    fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, message } => self.send(to, message),
@@ -326,89 +329,89 @@
                         disk.write(write, ops);
                     }
                 }
-                Action::SendMembershipRequest { to, request: told } => {
-                    tokio::spawn(join::tell(to, told));
+                Action::SendMembershipRequest { to, request } => {
+                    tokio::spawn(join::send_request(to, request));
                 }
                 Action::ReplyMembership(ticket, reply) => {
-                    if let Some(back) = self.questions.remove(&ticket) {
-                        let _ = back.send(reply);
+                    if let Some(reply_tx) = self.pending_membership_requests.remove(&ticket) {
+                        let _ = reply_tx.send(reply);
                     }
                 }
-                Action::Respond(ticket, answer) => {
-                    if let Some(back) = self.calls.remove(&ticket) {
-                        let _ = back.send(answer);
+                Action::Respond(ticket, response) => {
+                    if let Some(reply_tx) = self.pending_api_requests.remove(&ticket) {
+                        let _ = reply_tx.send(response);
                     }
                 }
-                Action::Push(to, message) => self.entries.push(&to, &message),
-                Action::SetSummary(summary) => self.hold(summary),
+                Action::Push(to, message) => self.subscribers.push(&to, &message),
+                Action::SetSummary(summary) => self.set_heartbeat(summary),
                 Action::SaveServers(servers) => {
                     self.roster.send_replace(servers.into());
                 }
                 Action::Peers(peers) => self.set_peers(&peers),
-                Action::Log(note) => notes::log(&note),
+                Action::Log(event) => log_events::log(&event),
             }
         }
     }
 
     fn send(&mut self, to: NodeId, message: CoordinatorMessage) {
-        if let Some(sender) = self.senders.get(&to) {
+        if let Some(sender) = self.peer_senders.get(&to) {
             sender.send(message);
         }
     }
 
-    /// Learns the backend servers that the disk keeps.
-    fn recall(&mut self) {
+    /// Restores the announcements of backend servers from disk.
+    fn restore_servers(&mut self) {
         match roster::read(&self.settings.data_dir) {
             Ok(servers) => {
                 log::info!(servers = servers.len(); "backend servers recalled");
-                self.event(Event::Servers(servers));
+                self.handle_event(Event::Servers(servers));
             }
             Err(e) => log::warn!(error:% = e; "backend servers not recalled"),
         }
     }
 
-    /// Has all entries told now and then what this replica holds.
-    fn hold(&mut self, summary: StateSummary) {
+    /// Sets the heartbeat that is sent periodically to all entries.
+    fn set_heartbeat(&mut self, summary: StateSummary) {
         if let Some(bytes) = subscribers::encode(&ToEntry::Heartbeat(summary)) {
-            self.alive.send_replace(bytes);
+            self.heartbeat.send_replace(bytes);
         }
     }
 
-    /// Keeps a connection to each other replica.
+    /// Maintains a connection to each other replica.
     ///
-    /// One that was opened under a number that this process has given up is
-    /// opened anew: the others would take what it says for the old replica's,
-    /// so that its new place would never be filled.
+    /// A connection that was opened under a former node id of this process is replaced:
+    /// its peers would attribute the messages to the former node, and the new membership
+    /// would never become active.
     fn set_peers(&mut self, peers: &Peers) {
-        let id = self.core.id();
-        let own = id.unwrap_or_default();
-        self.senders.retain(|&node, sender| {
+        let id = self.coordinator.id();
+        let own_id = id.unwrap_or_default();
+        self.peer_senders.retain(|&node, sender| {
             let addr = peers.addr(node);
-            addr.is_some_and(|addr| sender.connects(own, addr))
+            addr.is_some_and(|addr| sender.is_between(own_id, addr))
         });
         for (node, addr) in peers.all() {
-            if Some(node) == id || self.senders.contains_key(&node) {
+            if Some(node) == id || self.peer_senders.contains_key(&node) {
                 continue;
             }
             let (inputs, halt) = (self.tx.clone(), self.halt.child_token());
-            let sender = PeerSender::start(own, node, addr, inputs, halt);
-            self.senders.insert(node, sender);
+            let sender = PeerSender::start(own_id, node, addr, inputs, halt);
+            self.peer_senders.insert(node, sender);
         }
     }
 
-    fn ticket(&mut self) -> Ticket {
+    fn new_ticket(&mut self) -> Ticket {
         self.next_ticket += 1;
         self.next_ticket
     }
 }
 
-/// Returns where a process on the instance of a control address listens for
-/// others: the ports are the same on all instances.
-fn internal_of(settings: &GroupSettings, control: SocketAddr) -> SocketAddr {
+/// Returns the internal address that belongs to a control address. The ports are the same
+/// on all instances.
+fn internal_addr_of(settings: &GroupSettings, control: SocketAddr) -> SocketAddr {
     SocketAddr::new(control.ip(), settings.internal_addr.port())
 }
 
-/// Returns where callers reach a process that listens at an internal address.
-fn control_of(settings: &GroupSettings, internal: IpAddr) -> SocketAddr {
+/// Returns the control address that belongs to an internal address.
+fn control_addr_of(settings: &GroupSettings, internal: IpAddr) -> SocketAddr {
     SocketAddr::new(internal, settings.control_addr.port())
 }
--- a/sesamebeam/src/group/clock.rs
+++ b/sesamebeam/src/group/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a control replica.
+//! Clock of a control replica.
 
 use std::time::Duration;
 
@@ -8,23 +8,22 @@
 };
 use sesamebeam_core::ids::MonoTime;
 
-/// A clock that goes on while the instance is suspended.
+/// A monotonic clock that includes the time during which the instance is suspended.
 ///
-/// The monotonic clock stands still meanwhile: a leader that wakes up would
-/// believe in a lease that ended while another was elected, and answer reads
-/// from an old state.
+/// `CLOCK_MONOTONIC` stops during suspension: a resumed leader would rely on a lease that
+/// expired while another leader was elected, and serve reads from outdated state.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     start: Duration,
 }
 
 impl Clock {
-    /// Starts at zero.
+    /// Creates a clock that starts at zero.
     pub(super) fn start() -> Self {
         Self { start: boot_time() }
     }
 
-    /// Returns the time since the start.
+    /// Returns the time since the clock was created.
     pub(super) fn now(&self) -> MonoTime {
         boot_time().saturating_sub(self.start)
     }
@@ -32,6 +31,6 @@
 
 fn boot_time() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
-    // Both parts are in range: the clock counts from boot.
+    // Both fields are non-negative and in range, since the clock counts from boot.
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec as u32)
 }
--- a/sesamebeam/src/group/http.rs
+++ b/sesamebeam/src/group/http.rs
@@ -1,4 +1,4 @@
-//! Calls of operators and backend servers over HTTP.
+//! HTTP API for operators and backend servers.
 
 use std::{
     convert::Infallible,
@@ -42,40 +42,41 @@
     GroupSettings,
     Input,
     Inputs,
-    control_of, //
+    control_addr_of, //
 };
 use crate::listen;
 
-/// Most bytes of a call: a configuration of 10,000 routes.
-const MAX_BODY: usize = 8 << 20;
+/// Maximum size of a request body: enough for a configuration of 10,000 routes.
+const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// Longest wait for a whole call. Callers give up after a second, later for
-/// large bodies.
+/// Timeout for reading a request body. Clients give up after a second, or later for large
+/// bodies.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest wait for a head, idle time between calls included: backend servers
-/// announce themselves about once a second.
+/// Timeout for reading a request head, including the idle time since the previous
+/// request. Backend servers announce themselves about once a second.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest wait for an answer of the coordinator, which gives up before.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for the coordinator's response. The coordinator has a shorter timeout of its
+/// own.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a call is not carried out.
+/// Why an API request is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApiRequestError {
-    /// There is no such call.
+    /// There is no such endpoint.
     Unknown,
-    /// It is not valid, for this reason.
+    /// The request is not valid, for this reason.
     Invalid(String),
 }
 
-/// How calls and their answers are written.
+/// Wire format of API requests and responses.
 pub trait ControlProtocol: Send + Sync + 'static {
-    /// Decodes a call.
+    /// Decodes a request.
     ///
     /// # Errors
     ///
-    /// Fails if there is no such call or it is not valid.
+    /// Returns an error if there is no such endpoint or the request is not valid.
     fn decode_request(
         &self,
         method: &Method,
@@ -83,29 +84,29 @@
         body: Bytes,
     ) -> Result<ApiRequest, ApiRequestError>;
 
-    /// Encodes the body of an answer.
-    fn encode_response(&self, answer: &ApiResponse) -> Bytes;
+    /// Encodes the body of a response.
+    fn encode_response(&self, response: &ApiResponse) -> Bytes;
 }
 
-/// What a connection needs.
+/// State shared by all connections.
 struct Context {
     settings: GroupSettings,
     protocol: Arc<dyn ControlProtocol>,
-    tx: Inputs,
+    inputs: Inputs,
 }
 
-/// Starts to take calls.
+/// Starts accepting API requests.
 pub(super) async fn start(
     settings: &GroupSettings,
     protocol: Arc<dyn ControlProtocol>,
-    tx: Inputs,
+    inputs: Inputs,
     halt: CancellationToken,
 ) -> Result<(), GroupError> {
     let listener = listen::bind(settings.control_addr).await?;
     let cx = Arc::new(Context {
         settings: settings.clone(),
         protocol,
-        tx,
+        inputs,
     });
     let cancel = halt.clone();
     tokio::spawn(listen::accept(listener, halt, move |stream| {
@@ -127,7 +128,7 @@
         () = halt.cancelled() => {}
         ended = conn => {
             if let Err(e) = ended {
-                log::debug!(error:% = e; "caller's connection ended");
+                log::debug!(error:% = e; "API connection ended with an error");
             }
         }
     }
@@ -140,41 +141,41 @@
         .path_and_query()
         .map_or("/", |p| p.as_str())
         .to_owned();
-    let reading = Limited::new(body, MAX_BODY).collect();
+    let reading = Limited::new(body, MAX_BODY_BYTES).collect();
     let body = match timeout(READ_TIMEOUT, reading).await {
         Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(e)) => return refuse(StatusCode::BAD_REQUEST, &e.to_string()),
-        Err(_) => return refuse(StatusCode::REQUEST_TIMEOUT, "body not read in time"),
+        Ok(Err(e)) => return reject(StatusCode::BAD_REQUEST, &e.to_string()),
+        Err(_) => return reject(StatusCode::REQUEST_TIMEOUT, "body not read in time"),
     };
-    let call = match cx.protocol.decode_request(&head.method, &path, body) {
-        Ok(call) => call,
-        Err(ApiRequestError::Unknown) => return refuse(StatusCode::NOT_FOUND, "no such call"),
+    let request = match cx.protocol.decode_request(&head.method, &path, body) {
+        Ok(request) => request,
+        Err(ApiRequestError::Unknown) => return reject(StatusCode::NOT_FOUND, "no such call"),
         Err(ApiRequestError::Invalid(why)) => {
             log::warn!(method:% = head.method, path:% = path, why:% = why; "call refused");
-            return refuse(StatusCode::BAD_REQUEST, &why);
+            return reject(StatusCode::BAD_REQUEST, &why);
         }
     };
-    let (back, answer) = oneshot::channel();
-    let _ = cx.tx.send(Input::Called(call, back));
-    let answer = match timeout(ANSWER_TIMEOUT, answer).await {
-        Ok(Ok(answer)) => answer,
+    let (reply_tx, reply) = oneshot::channel();
+    let _ = cx.inputs.send(Input::ApiRequested(request, reply_tx));
+    let response = match timeout(RESPONSE_TIMEOUT, reply).await {
+        Ok(Ok(response)) => response,
         _ => ApiResponse::Unavailable,
     };
-    respond(&answer, &path, cx)
+    respond(&response, &path, cx)
 }
 
-fn respond(answer: &ApiResponse, path: &str, cx: &Context) -> Response<Full<Bytes>> {
-    let status = match answer {
+fn respond(api_response: &ApiResponse, path: &str, cx: &Context) -> Response<Full<Bytes>> {
+    let status = match api_response {
         ApiResponse::Done | ApiResponse::Config(_) | ApiResponse::Rollout(_) => StatusCode::OK,
         ApiResponse::Missing => StatusCode::NOT_FOUND,
         ApiResponse::Leader(_) => StatusCode::TEMPORARY_REDIRECT,
         ApiResponse::Unavailable => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut response = Response::new(Full::new(cx.protocol.encode_response(answer)));
+    let mut response = Response::new(Full::new(cx.protocol.encode_response(api_response)));
     *response.status_mut() = status;
     let headers = response.headers_mut();
-    if let ApiResponse::Leader(addr) = answer {
-        let leader = control_of(&cx.settings, addr.ip());
+    if let ApiResponse::Leader(addr) = api_response {
+        let leader = control_addr_of(&cx.settings, addr.ip());
         if let Ok(value) = format!("http://{leader}{path}").parse() {
             headers.insert(LOCATION, value);
         }
@@ -186,7 +187,7 @@
     response
 }
 
-fn refuse(status: StatusCode, why: &str) -> Response<Full<Bytes>> {
+fn reject(status: StatusCode, why: &str) -> Response<Full<Bytes>> {
     let body = serde_json::json!({ "error": why }).to_string();
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
--- a/sesamebeam/src/group/links.rs
+++ b/sesamebeam/src/group/internal_server.rs
@@ -1,4 +1,4 @@
-//! Connections of other processes of the system.
+//! Server for internal connections of entries and other control replicas.
 
 use bytes::Bytes;
 use sesamebeam_core::gateway::{
@@ -34,7 +34,7 @@
     GroupSettings,
     Input,
     Inputs,
-    subscribers::EntryLink, //
+    subscribers::EntryConnection, //
 };
 use crate::{
     frames::{
@@ -47,26 +47,27 @@
     listen,
 };
 
-/// Messages that wait for one entry; one that lets more gather is cut.
-const MAX_WAITING: usize = 256;
+/// Maximum number of messages queued for one entry; an entry that exceeds it is
+/// disconnected.
+const QUEUE_CAPACITY: usize = 256;
 
-/// Starts to take connections.
+/// Starts accepting connections.
 pub(super) async fn start(
     settings: &GroupSettings,
-    tx: Inputs,
-    alive: watch::Receiver<Bytes>,
+    inputs: Inputs,
+    heartbeat: watch::Receiver<Bytes>,
     halt: CancellationToken,
 ) -> Result<(), GroupError> {
     let listener = listen::bind(settings.internal_addr).await?;
     let cancel = halt.clone();
     tokio::spawn(listen::accept(listener, halt, move |stream| {
-        let (tx, alive, halt) = (tx.clone(), alive.clone(), cancel.clone());
+        let (inputs, heartbeat, halt) = (inputs.clone(), heartbeat.clone(), cancel.clone());
         async move {
             tokio::select! {
                 () = halt.cancelled() => {}
-                ended = serve(stream, tx, alive) => {
+                ended = serve(stream, inputs, heartbeat) => {
                     if let Err(e) = ended {
-                        log::debug!(error:% = e; "connection ended");
+                        log::debug!(error:% = e; "internal connection ended");
                     }
                 }
             }
@@ -77,32 +78,32 @@
 
 async fn serve(
     stream: TcpStream,
-    tx: Inputs,
-    alive: watch::Receiver<Bytes>,
+    inputs: Inputs,
+    heartbeat: watch::Receiver<Bytes>,
 ) -> Result<(), FrameError> {
-    let (back, mut rx) = frames::split(stream)?;
+    let (sender, mut rx) = frames::split(stream)?;
     match rx.next::<Hello>().await? {
-        Hello::Entry { id, name } => serve_entry(back, rx, tx, alive, id, name).await,
-        Hello::Replica { node } => serve_replica(back, rx, tx, node).await,
-        Hello::NonMember => serve_asker(back, rx, tx).await,
+        Hello::Entry { id, name } => serve_entry(sender, rx, inputs, heartbeat, id, name).await,
+        Hello::Replica { node } => serve_replica(sender, rx, inputs, node).await,
+        Hello::NonMember => serve_non_member(sender, rx, inputs).await,
     }
 }
 
 async fn serve_replica(
-    mut back: Sender,
+    mut sender: Sender,
     mut rx: Receiver,
-    tx: Inputs,
+    inputs: Inputs,
     from: u64,
 ) -> Result<(), FrameError> {
-    let alive = say_alive(&mut back);
+    let heartbeats = send_heartbeats(&mut sender);
     let reading = async {
         loop {
-            // A replica that has nothing to say for long is no fault of the
-            // connection; the sender watches it by our messages.
+            // A replica may have nothing to send for a long time. The sending side
+            // monitors the connection by the heartbeats from here.
             match rx.next().await {
                 Ok(message) => {
                     let event = Event::Peer { from, message };
-                    if tx.send(Input::Event(event)).is_err() {
+                    if inputs.send(Input::Event(event)).is_err() {
                         return Ok(());
                     }
                 }
@@ -112,84 +113,90 @@
         }
     };
     tokio::select! {
-        ended = alive => ended,
+        ended = heartbeats => ended,
         ended = reading => ended,
     }
 }
 
-async fn say_alive(back: &mut Sender) -> Result<(), FrameError> {
+async fn send_heartbeats(sender: &mut Sender) -> Result<(), FrameError> {
     let mut ticks = interval(ALIVE_EVERY);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        back.send(&Bytes::new()).await?;
+        sender.send(&Bytes::new()).await?;
     }
 }
 
 async fn serve_entry(
-    back: Sender,
+    sender: Sender,
     mut rx: Receiver,
-    tx: Inputs,
-    alive: watch::Receiver<Bytes>,
-    life: EntryId,
+    inputs: Inputs,
+    heartbeat: watch::Receiver<Bytes>,
+    entry_id: EntryId,
     name: SmolStr,
 ) -> Result<(), FrameError> {
-    let (push, queue) = channel(MAX_WAITING);
-    let link = EntryLink::new(push);
-    let number = link.number;
-    log::info!(entry:% = name, life = life; "entry connected");
-    let _ = tx.send(Input::Entry(life, link));
+    let (push, queue) = channel(QUEUE_CAPACITY);
+    let connection = EntryConnection::new(push);
+    let connection_id = connection.connection_id;
+    log::info!(entry:% = name, life = entry_id; "entry connected");
+    let _ = inputs.send(Input::Entry(entry_id, connection));
     let reading = async {
         loop {
             let event = match rx.next().await? {
-                FromEntry::Follow(held) => Event::EntryFollows(life, held),
-                FromEntry::Unfollow => Event::EntryUnfollows(life),
-                FromEntry::RequestUpdate(held) => Event::UpdateRequested(life, held),
-                FromEntry::RequestSections(sections) => Event::SectionsRequested(life, sections),
+                FromEntry::Follow(held) => Event::EntryFollows(entry_id, held),
+                FromEntry::Unfollow => Event::EntryUnfollows(entry_id),
+                FromEntry::RequestUpdate(held) => Event::UpdateRequested(entry_id, held),
+                FromEntry::RequestSections(sections) => {
+                    Event::SectionsRequested(entry_id, sections)
+                }
                 FromEntry::Servers(servers) => Event::Servers(servers),
                 FromEntry::Report(report) => Event::EntryReported(report),
                 FromEntry::Heartbeat => continue,
             };
-            if tx.send(Input::Event(event)).is_err() {
+            if inputs.send(Input::Event(event)).is_err() {
                 return Ok(());
             }
         }
     };
     let ended = tokio::select! {
         ended = reading => ended,
-        ended = write_pushes(back, queue, alive) => ended,
+        ended = write_pushes(sender, queue, heartbeat) => ended,
     };
     if let Err(e) = &ended {
-        log::info!(entry:% = name, life = life, error:% = e; "entry lost");
+        log::info!(entry:% = name, life = entry_id, error:% = e; "entry lost");
     }
-    let _ = tx.send(Input::EntryLost(life, number));
+    let _ = inputs.send(Input::EntryLost(entry_id, connection_id));
     ended
 }
 
-/// Writes what an entry is told, and now and then what this process holds, which
-/// says that it lives.
+/// Writes queued messages to an entry, and periodically the heartbeat with a summary of
+/// this replica's state.
 async fn write_pushes(
-    mut back: Sender,
+    mut sender: Sender,
     mut queue: Queue<Bytes>,
-    alive: watch::Receiver<Bytes>,
+    heartbeat: watch::Receiver<Bytes>,
 ) -> Result<(), FrameError> {
     let mut ticks = interval(ALIVE_EVERY);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let frame = tokio::select! {
             push = queue.recv() => push.ok_or(FrameError::Closed)?,
-            _ = ticks.tick() => alive.borrow().clone(),
+            _ = ticks.tick() => heartbeat.borrow().clone(),
         };
-        back.send_encoded(frame).await?;
+        sender.send_encoded(frame).await?;
     }
 }
 
-async fn serve_asker(mut back: Sender, mut rx: Receiver, tx: Inputs) -> Result<(), FrameError> {
-    let question = rx.next::<MembershipRequest>().await?;
+async fn serve_non_member(
+    mut sender: Sender,
+    mut rx: Receiver,
+    inputs: Inputs,
+) -> Result<(), FrameError> {
+    let request = rx.next::<MembershipRequest>().await?;
     let (reply_tx, reply) = oneshot::channel();
-    let _ = tx.send(Input::Asked(question, reply_tx));
+    let _ = inputs.send(Input::MembershipRequested(request, reply_tx));
     match reply.await {
-        Ok(reply) => back.send(&reply).await,
+        Ok(reply) => sender.send(&reply).await,
         Err(_) => Err(FrameError::Closed),
     }
 }
--- a/sesamebeam/src/group/join.rs
+++ b/sesamebeam/src/group/join.rs
@@ -1,4 +1,4 @@
-//! Forming a group and asking for a place in one.
+//! Bootstrapping of a group and joining of an existing one.
 
 use std::{
     collections::BTreeSet,
@@ -36,7 +36,7 @@
     GroupSettings,
     Input,
     Inputs,
-    internal_of, //
+    internal_addr_of, //
 };
 use crate::{
     disk::Identity,
@@ -46,36 +46,36 @@
     },
 };
 
-/// Pause between two rounds of questions while this process has no settled
-/// place. A replacement must be back in full within seconds of its start.
-const ASK_EVERY: Duration = Duration::from_millis(300);
+/// Interval between rounds of membership requests while this process is not a settled
+/// member. A replacement replica must be fully operational within seconds of its start.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Rounds without a known leader after which a replica asks whether it is still
-/// a member: elections take less.
-const PATIENT_ROUNDS: u32 = 8;
+/// Number of rounds without a known leader after which a replica accepts that it was
+/// removed. Elections take less time.
+const ROUNDS_BEFORE_REMOVAL: u32 = 8;
 
-/// How this process stands in the group.
+/// Membership of this process in the group.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(super) struct Place {
-    /// Whose data folder this process has.
+pub(super) struct MembershipStatus {
+    /// Identity in the replica directory of this process.
     pub(super) identity: Option<Identity>,
-    /// Whether it is a member and knows a leader.
-    pub(super) settled: bool,
-    /// Whether it was a member at any time.
-    pub(super) had_place: bool,
-    /// Where replicas listen, as far as this process was told.
-    pub(super) known: Vec<SocketAddr>,
+    /// Whether this process is a member and knows a leader.
+    pub(super) is_settled: bool,
+    /// Whether this process has been a member under its identity.
+    pub(super) was_member: bool,
+    /// Known internal addresses of replicas.
+    pub(super) known_addrs: Vec<SocketAddr>,
 }
 
-/// Makes up the first group, if this process belongs to it.
+/// Returns the initial group, if this process belongs to it.
 ///
-/// All processes are told the same seeds at the very first start, so each of the
-/// first replicas works out the same group without asking.
-pub(super) fn first_group(settings: &GroupSettings) -> Option<(Identity, Members)> {
+/// All processes are configured with the same seeds at the very first start, so that each
+/// of the initial replicas derives the same group without communication.
+pub(super) fn bootstrap_group(settings: &GroupSettings) -> Option<(Identity, Members)> {
     if !settings.bootstrap {
         return None;
     }
-    let seeds = seeds_of(settings, &settings.seeds);
+    let seeds = internal_addrs_of(settings, &settings.seeds);
     if !seeds.contains(&settings.internal_addr) {
         return None;
     }
@@ -98,57 +98,59 @@
     Some((identity(&settings.internal_addr), members))
 }
 
-/// Asks for a place in the group whenever this process has none.
+/// Sends membership requests whenever this process is not a settled member.
 pub(super) async fn run(
     settings: GroupSettings,
     seeds: watch::Receiver<Vec<SocketAddr>>,
-    place: watch::Receiver<Place>,
+    status: watch::Receiver<MembershipStatus>,
     tx: Inputs,
     halt: CancellationToken,
 ) {
-    let mut known: BTreeSet<SocketAddr> = BTreeSet::new();
-    let mut unsettled = 0;
-    let mut enquiry = LeaderDiscovery::default();
+    let mut known_addrs: BTreeSet<SocketAddr> = BTreeSet::new();
+    let mut unsettled_rounds = 0;
+    let mut discovery = LeaderDiscovery::default();
     while !halt.is_cancelled() {
-        sleep(ASK_EVERY).await;
-        let now = place.borrow().clone();
-        if now.settled {
-            unsettled = 0;
+        sleep(REQUEST_INTERVAL).await;
+        let current = status.borrow().clone();
+        if current.is_settled {
+            unsettled_rounds = 0;
             continue;
         }
-        unsettled += 1;
-        known.extend(now.known.iter().copied());
-        let mut asked = seeds_of(&settings, &seeds.borrow());
-        asked.extend(known.iter().copied());
-        asked.remove(&settings.internal_addr);
-        let asked = enquiry.targets(asked);
-        let question = question(&settings, &now);
-        let replies = asked.iter().map(|&addr| ask(addr, question.clone()));
+        unsettled_rounds += 1;
+        known_addrs.extend(current.known_addrs.iter().copied());
+        let mut targets = internal_addrs_of(&settings, &seeds.borrow());
+        targets.extend(known_addrs.iter().copied());
+        targets.remove(&settings.internal_addr);
+        let targets = discovery.targets(targets);
+        let request = membership_request(&settings, &current);
+        let replies = targets
+            .iter()
+            .map(|&addr| request_membership(addr, request.clone()));
         let replies = futures::future::join_all(replies).await;
-        for (addr, reply) in asked.into_iter().zip(replies) {
-            let leads = reply.as_ref().ok().map(leads);
-            enquiry.record_reply(addr, leads);
-            if leads == Some(true) {
-                let _ = tx.send(Input::Leader(addr));
+        for (addr, reply) in targets.into_iter().zip(replies) {
+            let from_leader = reply.as_ref().ok().map(is_from_leader);
+            discovery.record_reply(addr, from_leader);
+            if from_leader == Some(true) {
+                let _ = tx.send(Input::LeaderFound(addr));
             }
             match reply {
-                Ok(reply) => take(reply, &now, unsettled, &mut known, &tx),
-                Err(e) => log::debug!(error:% = e; "question about the group not answered"),
+                Ok(reply) => handle_reply(reply, &current, unsettled_rounds, &mut known_addrs, &tx),
+                Err(e) => log::debug!(error:% = e; "membership request was not answered"),
             }
         }
     }
 }
 
-/// Hands the seeds on whenever the settings name others.
-pub(super) async fn follow_seeds(
+/// Forwards the seeds to the coordinator, initially and whenever the settings change.
+pub(super) async fn forward_seeds(
     settings: GroupSettings,
     mut seeds: watch::Receiver<Vec<SocketAddr>>,
     tx: Inputs,
     halt: CancellationToken,
 ) {
     loop {
-        let named = seeds_of(&settings, &seeds.borrow_and_update());
-        if tx.send(Input::Event(Event::Seeds(named))).is_err() {
+        let addrs = internal_addrs_of(&settings, &seeds.borrow_and_update());
+        if tx.send(Input::Event(Event::Seeds(addrs))).is_err() {
             return;
         }
         tokio::select! {
@@ -160,14 +162,14 @@
     }
 }
 
-/// Returns where the seeds listen for other processes.
-fn seeds_of(settings: &GroupSettings, seeds: &[SocketAddr]) -> BTreeSet<SocketAddr> {
-    let addrs = seeds.iter().map(|&seed| internal_of(settings, seed));
+/// Returns the internal addresses of the seeds.
+fn internal_addrs_of(settings: &GroupSettings, seeds: &[SocketAddr]) -> BTreeSet<SocketAddr> {
+    let addrs = seeds.iter().map(|&seed| internal_addr_of(settings, seed));
     addrs.collect()
 }
 
-fn question(settings: &GroupSettings, place: &Place) -> MembershipRequest {
-    match &place.identity {
+fn membership_request(settings: &GroupSettings, status: &MembershipStatus) -> MembershipRequest {
+    match &status.identity {
         None => MembershipRequest::Group,
         Some(identity) => MembershipRequest::Join {
             node: identity.node,
@@ -178,15 +180,15 @@
     }
 }
 
-fn leads(reply: &MembershipReply) -> bool {
+fn is_from_leader(reply: &MembershipReply) -> bool {
     matches!(reply, MembershipReply::Group { leads: true, .. })
 }
 
-fn take(
+fn handle_reply(
     reply: MembershipReply,
-    place: &Place,
-    unsettled: u32,
-    known: &mut BTreeSet<SocketAddr>,
+    status: &MembershipStatus,
+    unsettled_rounds: u32,
+    known_addrs: &mut BTreeSet<SocketAddr>,
     tx: &Inputs,
 ) {
     let MembershipReply::Group {
@@ -197,28 +199,39 @@
     else {
         return;
     };
-    known.extend(replicas.iter().map(|(_, addr)| *addr));
-    let own = place.identity.as_ref().map(|i| i.node);
+    known_addrs.extend(replicas.iter().map(|(_, addr)| *addr));
+    let own_id = status.identity.as_ref().map(|i| i.node);
     let is_member = |node: NodeId| replicas.iter().any(|(n, _)| *n == node);
-    let gone = own.is_some_and(|own| !is_member(own));
-    let input = match own {
-        None => Input::Group(group),
-        Some(_) if gone && leads && unsettled > PATIENT_ROUNDS && place.had_place => Input::Removed,
-        Some(_) => Input::Learned(replicas),
+    let is_removed = own_id.is_some_and(|id| !is_member(id));
+    let input = match own_id {
+        None => Input::GroupFound(group),
+        Some(_)
+            if is_removed
+                && leads
+                && unsettled_rounds > ROUNDS_BEFORE_REMOVAL
+                && status.was_member =>
+        {
+            Input::Removed
+        }
+        Some(_) => Input::PeersLearned(replicas),
     };
     let _ = tx.send(input);
 }
 
-/// Tells a process of the group; one that is down is told again later.
-pub(super) async fn tell(addr: SocketAddr, told: MembershipRequest) {
-    if let Err(e) = ask(addr, told).await {
-        log::debug!(to:% = addr, error:% = e; "process not told of the group");
+/// Sends a membership request to a process; if it is down, the coordinator repeats the
+/// request later.
+pub(super) async fn send_request(addr: SocketAddr, request: MembershipRequest) {
+    if let Err(e) = request_membership(addr, request).await {
+        log::debug!(to:% = addr, error:% = e; "membership request cannot be delivered");
     }
 }
 
-async fn ask(addr: SocketAddr, question: MembershipRequest) -> Result<MembershipReply, FrameError> {
+async fn request_membership(
+    addr: SocketAddr,
+    request: MembershipRequest,
+) -> Result<MembershipReply, FrameError> {
     let (mut tx, mut rx) = frames::connect(addr).await?;
     tx.send(&Hello::NonMember).await?;
-    tx.send(&question).await?;
+    tx.send(&request).await?;
     rx.next().await
 }
--- a/sesamebeam/src/group/notes.rs
+++ b/sesamebeam/src/group/log_events.rs
@@ -1,10 +1,10 @@
-//! Log lines of a control replica.
+//! Log messages of a control replica.
 
 use sesamebeam_core::gateway::coordinator::LogEvent;
 
-/// Writes a line for what the coordinator decided or learned.
-pub(super) fn log(note: &LogEvent) {
-    match note {
+/// Logs an event of the coordinator.
+pub(super) fn log(event: &LogEvent) {
+    match event {
         LogEvent::Role(role) => log::info!(role:? = role; "role changed"),
         LogEvent::Accepted { version, index } => {
             log::info!(version = version, index = index; "configuration accepted");
--- a/sesamebeam/src/group/peer.rs
+++ b/sesamebeam/src/group/peer.rs
@@ -1,4 +1,4 @@
-//! Sending to another control replica.
+//! Sending of messages to other control replicas.
 
 use std::{
     net::SocketAddr,
@@ -35,60 +35,61 @@
     Retry, //
 };
 
-/// Messages that wait for one replica; more are dropped, as the network may.
-const MAX_WAITING: usize = 512;
+/// Maximum number of messages queued for one replica. Further ones are dropped; the
+/// protocol tolerates lost messages.
+const QUEUE_CAPACITY: usize = 512;
 
-/// Longest pause before a replica that stays away is tried again: an election
-/// waits for it, and there are few.
-const RETRY_MAX: Duration = Duration::from_millis(100);
+/// Maximum delay before another attempt to connect to an unreachable replica. It is short
+/// since an election may be waiting for the connection, and there are few replicas.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The sending side of a connection that is kept open.
+/// Sending side of a connection that is re-established when it is lost.
 #[derive(Debug)]
 pub(super) struct PeerSender {
-    /// Number under which this process has introduced itself.
-    own: NodeId,
+    /// Node id under which this process has identified itself.
+    own_id: NodeId,
     addr: SocketAddr,
     tx: Sender<CoordinatorMessage>,
     halt: CancellationToken,
 }
 
 impl PeerSender {
-    /// Starts the task that keeps the connection to a replica.
+    /// Starts the task that maintains the connection to a replica.
     pub(super) fn start(
-        own: NodeId,
-        to: NodeId,
+        own_id: NodeId,
+        peer: NodeId,
         addr: SocketAddr,
         inputs: Inputs,
         halt: CancellationToken,
     ) -> Self {
-        let (tx, rx) = channel(MAX_WAITING);
+        let (tx, rx) = channel(QUEUE_CAPACITY);
         let cancel = halt.clone();
-        let link = Link {
-            own,
-            to,
+        let connection = Connection {
+            own_id,
+            peer,
             addr,
             inputs,
         };
         tokio::spawn(async move {
             tokio::select! {
                 () = cancel.cancelled() => {}
-                () = link.keep(rx) => {}
+                () = connection.maintain(rx) => {}
             }
         });
         Self {
-            own,
+            own_id,
             addr,
             tx,
             halt,
         }
     }
 
-    /// Returns whether it sends from one replica to an address.
-    pub(super) fn connects(&self, own: NodeId, addr: SocketAddr) -> bool {
-        self.own == own && self.addr == addr
+    /// Returns whether it sends from node `own_id` to `addr`.
+    pub(super) fn is_between(&self, own_id: NodeId, addr: SocketAddr) -> bool {
+        self.own_id == own_id && self.addr == addr
     }
 
-    /// Sends a message, or drops it if too many wait.
+    /// Queues a message, or drops it if the queue is full.
     pub(super) fn send(&self, message: CoordinatorMessage) {
         let _ = self.tx.try_send(message);
     }
@@ -100,17 +101,17 @@
     }
 }
 
-/// What the task of a connection works with.
-struct Link {
-    own: NodeId,
-    to: NodeId,
+/// State of a connection task.
+struct Connection {
+    own_id: NodeId,
+    peer: NodeId,
     addr: SocketAddr,
     inputs: Inputs,
 }
 
-impl Link {
-    async fn keep(&self, mut rx: Receiver<CoordinatorMessage>) {
-        let mut retry = Retry::up_to(RETRY_MAX);
+impl Connection {
+    async fn maintain(&self, mut rx: Receiver<CoordinatorMessage>) {
+        let mut retry = Retry::up_to(MAX_RETRY_DELAY);
         loop {
             let mut reached = false;
             let ended = self.forward(&mut rx, &mut reached).await;
@@ -121,28 +122,29 @@
                 log::warn!(peer:% = self.addr, error:% = e; "control replica lost");
             }
             retry.pause(reached).await;
-            // The log repeats what is still wanted of messages from before.
+            // Drops messages queued before the reconnect; replication retransmits what is
+            // still needed.
             while rx.try_recv().is_ok() {}
         }
     }
 
-    /// Sends until the connection ends, or nobody has anything more to send.
+    /// Sends queued messages until the connection fails or the queue is closed.
     async fn forward(
         &self,
         rx: &mut Receiver<CoordinatorMessage>,
         reached: &mut bool,
     ) -> Result<(), FrameError> {
-        let (mut tx, mut back) = frames::connect(self.addr).await?;
-        tx.send(&Hello::Replica { node: self.own }).await?;
+        let (mut tx, mut rx_heartbeats) = frames::connect(self.addr).await?;
+        tx.send(&Hello::Replica { node: self.own_id }).await?;
         *reached = true;
         log::info!(peer:% = self.addr; "control replica reached");
         let _ = self
             .inputs
-            .send(Input::Event(Event::PeerConnected(self.to)));
-        // The other end says that it lives; silence shows a path that is lost.
-        let alive = async {
+            .send(Input::Event(Event::PeerConnected(self.peer)));
+        // The peer sends heartbeats; their absence indicates a broken network path.
+        let heartbeats = async {
             loop {
-                if let Err(e) = back.next::<Bytes>().await {
+                if let Err(e) = rx_heartbeats.next::<Bytes>().await {
                     return e;
                 }
             }
@@ -154,7 +156,7 @@
             Ok(())
         };
         tokio::select! {
-            e = alive => Err(e),
+            e = heartbeats => Err(e),
             sent = sending => sent,
         }
     }
--- a/sesamebeam/src/group/roster.rs
+++ b/sesamebeam/src/group/roster.rs
@@ -1,11 +1,12 @@
-//! The backend servers that a replica knows, on its disk.
+//! Storage of the known backend servers on a replica's disk.
 //!
-//! They announce themselves about once a second. After a loss of all power every
-//! process started without any, and callers that came back went to the first few
-//! that had: ten waited on the mean at each of these, and two in five answers of those
-//! two seconds were late. What is read back is as old as the last change and half a
-//! second; who has left since then refuses connections or what is meant for another
-//! life, as if it had crashed.
+//! Backend servers announce themselves about once a second. Without this file, every
+//! process starts without any after a power failure, and all requests go to the few
+//! servers that announce themselves first: ten requests waited on average at each of
+//! these, and two in five responses of the first two seconds were late. The restored
+//! state is as old as the last change plus half a second. A server that has left since
+//! then refuses connections, or rejects requests for its former incarnation, as if it had
+//! crashed.
 
 use std::{
     fs, io,
@@ -29,13 +30,13 @@
     DiskError, //
 };
 
-/// Name of the file in the data folder.
-const FILE: &str = "servers";
+/// Name of the file in the data directory.
+const FILE_NAME: &str = "servers";
 
-/// Bytes of the checksum before the rest.
-const CHECKSUM: usize = 4;
+/// Size of the checksum at the start of the file.
+const CHECKSUM_BYTES: usize = 4;
 
-/// Why backend servers cannot be read or written.
+/// Why announcements cannot be read or written.
 #[derive(Debug, Error)]
 pub enum RosterError {
     /// The file cannot be read.
@@ -46,30 +47,30 @@
         /// Why not.
         source: io::Error,
     },
-    /// The file does not hold what was written.
+    /// The checksum or the encoding of the file is wrong.
     #[error("{0}: damaged")]
     Damaged(PathBuf),
     /// The file cannot be written.
     #[error(transparent)]
     Write(#[from] DiskError),
-    /// The backend servers have no encoding.
-    #[error("backend servers have no encoding: {0}")]
+    /// The announcements cannot be encoded.
+    #[error("backend servers cannot be encoded: {0}")]
     Encode(#[from] postcard::Error),
 }
 
-/// Reads the backend servers; there are none before the first start.
+/// Reads the saved announcements; there are none before the first start.
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be read or is damaged.
+/// Returns an error if the file cannot be read or is damaged.
 pub fn read(data: impl AsRef<Path>) -> Result<Vec<Announcement>, RosterError> {
-    let path = data.as_ref().join(FILE);
+    let path = data.as_ref().join(FILE_NAME);
     let bytes = match fs::read(&path) {
         Ok(bytes) => bytes,
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
         Err(source) => return Err(RosterError::Read { path, source }),
     };
-    let Some((checksum, body)) = bytes.split_at_checked(CHECKSUM) else {
+    let Some((checksum, body)) = bytes.split_at_checked(CHECKSUM_BYTES) else {
         return Err(RosterError::Damaged(path));
     };
     if checksum != crc32fast::hash(body).to_le_bytes() {
@@ -78,39 +79,41 @@
     postcard::from_bytes(body).map_err(|_| RosterError::Damaged(path))
 }
 
-/// Writes the backend servers so that they are there whole, or those before; blocks.
+/// Replaces the saved announcements atomically; blocks.
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be written and synced.
+/// Returns an error if the file cannot be written and synced.
 pub fn write(data: impl AsRef<Path>, servers: &[Announcement]) -> Result<(), RosterError> {
     let body = postcard::to_stdvec(servers)?;
     let checksum = crc32fast::hash(&body).to_le_bytes();
     let bytes = [&checksum[..], &body].concat();
-    Ok(disk::write_whole(data.as_ref(), FILE, &bytes)?)
+    Ok(disk::write_whole(data.as_ref(), FILE_NAME, &bytes)?)
 }
 
-/// Writes the newest of what is to be kept until cancelled, each time after the disk
-/// has done the one before.
-pub(super) async fn keep(
+/// Saves updates until cancelled, one at a time; skips all but the latest while a write
+/// is in progress.
+pub(super) async fn save_updates(
     data: PathBuf,
-    mut newest: watch::Receiver<Arc<[Announcement]>>,
+    mut updates: watch::Receiver<Arc<[Announcement]>>,
     halt: CancellationToken,
 ) {
     loop {
         let changed = tokio::select! {
             () = halt.cancelled() => return,
-            changed = newest.changed() => changed,
+            changed = updates.changed() => changed,
         };
         if changed.is_err() {
             return;
         }
-        let servers = Arc::clone(&newest.borrow_and_update());
-        let folder = data.clone();
-        match spawn_blocking(move || write(folder, &servers)).await {
+        let servers = Arc::clone(&updates.borrow_and_update());
+        let dir = data.clone();
+        match spawn_blocking(move || write(dir, &servers)).await {
             Ok(Ok(())) => {}
-            Ok(Err(e)) => log::warn!(error:% = e; "backend servers not kept"),
-            Err(e) => log::error!(error:% = e; "backend servers not kept"),
+            Ok(Err(e)) => {
+                log::warn!(error:% = e; "announcements of backend servers cannot be saved")
+            }
+            Err(e) => log::error!(error:% = e; "announcements of backend servers cannot be saved"),
         }
     }
 }
--- a/sesamebeam/src/group/subscribers.rs
+++ b/sesamebeam/src/group/subscribers.rs
@@ -1,4 +1,4 @@
-//! Connections of entries, and the messages that wait for them.
+//! Connected entries, and the message queues of their connections.
 
 use std::{
     collections::HashMap,
@@ -26,22 +26,22 @@
     frames,
 };
 
-/// A connection of an entry.
+/// Connection of an entry.
 #[derive(Debug)]
-pub(super) struct EntryLink {
-    /// Tells it from others of the same entry: one that has lost its path ends
-    /// seconds after the entry has made another.
-    pub(super) number: u64,
+pub(super) struct EntryConnection {
+    /// Distinguishes connections of the same entry: a connection with a broken network
+    /// path ends seconds after the entry has opened another.
+    pub(super) connection_id: u64,
     tx: Sender<Bytes>,
 }
 
-impl EntryLink {
+impl EntryConnection {
     pub(super) fn new(tx: Sender<Bytes>) -> Self {
-        let number = rand::random();
-        Self { number, tx }
+        let connection_id = rand::random();
+        Self { connection_id, tx }
     }
 
-    /// Hands it a message and returns whether it keeps up.
+    /// Queues a message and returns `false` if the queue is full.
     fn push(&self, message: &Bytes) -> bool {
         !matches!(
             self.tx.try_send(message.clone()),
@@ -50,65 +50,66 @@
     }
 }
 
-/// All entries that are connected.
+/// All connected entries.
 #[derive(Debug)]
 pub(super) struct Subscribers {
-    links: HashMap<EntryId, EntryLink>,
-    meters: Arc<Exposition>,
+    connections: HashMap<EntryId, EntryConnection>,
+    metrics: Arc<Exposition>,
 }
 
 impl Subscribers {
-    /// Starts with none.
-    pub(super) fn new(meters: Arc<Exposition>) -> Self {
+    /// Creates an empty set.
+    pub(super) fn new(metrics: Arc<Exposition>) -> Self {
         Self {
-            links: HashMap::new(),
-            meters,
+            connections: HashMap::new(),
+            metrics,
         }
     }
 
-    /// Returns how many there are.
+    /// Returns the number of connected entries.
     pub(super) fn count(&self) -> usize {
-        self.links.len()
+        self.connections.len()
     }
 
-    /// Takes a connection in place of any before it of the same entry.
-    pub(super) fn connected(&mut self, life: EntryId, link: EntryLink) {
-        self.links.insert(life, link);
+    /// Registers a connection, replacing an earlier one of the same entry.
+    pub(super) fn connected(&mut self, entry_id: EntryId, connection: EntryConnection) {
+        self.connections.insert(entry_id, connection);
     }
 
-    /// Notes that a connection has ended, by its number, and returns whether the entry has
-    /// no other.
-    pub(super) fn ended(&mut self, life: EntryId, number: u64) -> bool {
-        let held = self.links.get(&life);
-        let is_last = held.is_none_or(|link| link.number == number);
+    /// Removes a connection that has ended, and returns whether the entry has no other.
+    pub(super) fn disconnected(&mut self, entry_id: EntryId, connection_id: u64) -> bool {
+        let current = self.connections.get(&entry_id);
+        let is_last = current.is_none_or(|connection| connection.connection_id == connection_id);
         if is_last {
-            self.links.remove(&life);
+            self.connections.remove(&entry_id);
         }
         is_last
     }
 
-    /// Hands a message to the connections of entries. One that does not keep up is cut, and
-    /// told what it lacks when it comes back.
+    /// Queues a message for entries. An entry whose queue is full is disconnected and
+    /// receives the missing state when it reconnects.
     pub(super) fn push(&mut self, to: &Recipients, message: &ToEntry) {
         let Some(bytes) = encode(message) else {
             return;
         };
         let receivers = match to {
-            Recipients::Only(lives) => lives.len(),
-            Recipients::All => self.links.len(),
+            Recipients::Only(entry_ids) => entry_ids.len(),
+            Recipients::All => self.connections.len(),
         };
-        self.meters
+        self.metrics
             .message(Way::ToEntries, message.kind(), bytes.len(), receivers);
         match to {
-            Recipients::Only(lives) => {
-                for life in lives {
-                    let link = self.links.get(life);
-                    if link.is_some_and(|link| !link.push(&bytes)) {
-                        self.links.remove(life);
+            Recipients::Only(entry_ids) => {
+                for entry_id in entry_ids {
+                    let connection = self.connections.get(entry_id);
+                    if connection.is_some_and(|connection| !connection.push(&bytes)) {
+                        self.connections.remove(entry_id);
                     }
                 }
             }
-            Recipients::All => self.links.retain(|_, link| link.push(&bytes)),
+            Recipients::All => self
+                .connections
+                .retain(|_, connection| connection.push(&bytes)),
         }
     }
 }
@@ -117,6 +118,6 @@
 pub(super) fn encode(message: &ToEntry) -> Option<Bytes> {
     let encoded = frames::encode(message);
     encoded
-        .inspect_err(|e| log::error!(error:% = e; "message to entries has no encoding"))
+        .inspect_err(|e| log::error!(error:% = e; "message to entries cannot be encoded; not sent"))
         .ok()
 }
--- a/sesamebeam/tests/roster.rs
+++ b/sesamebeam/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Backend servers on a replica's disk.
+//! Storage of backend servers on a replica's disk.
 
 use std::{
     fs,
@@ -31,33 +31,31 @@
 }
 
 #[test]
-fn read_back() {
-    let folder = tempfile::tempdir().expect("a folder");
-    assert_eq!(roster::read(&folder).expect("there is none"), []);
+fn round_trip() {
+    let dir = tempfile::tempdir().expect("temporary directory");
+    assert_eq!(roster::read(&dir).expect("missing file reads as empty"), []);
     let servers: Vec<_> = (0..9).map(announcement).collect();
-    roster::write(&folder, &servers).expect("it is written");
-    roster::write(&folder, &servers[1..]).expect("it is written again");
-    assert_eq!(roster::read(&folder).expect("it is read"), servers[1..]);
+    roster::write(&dir, &servers).expect("write");
+    roster::write(&dir, &servers[1..]).expect("overwrite");
+    assert_eq!(roster::read(&dir).expect("read"), servers[1..]);
 }
 
 #[test]
 fn damaged() {
-    // A write was torn by a loss of power. The replica starts without backend
-    // servers, and does not end.
-    let folder = tempfile::tempdir().expect("a folder");
-    roster::write(&folder, &[announcement(1)]).expect("it is written");
-    let path = folder.path().join("servers");
-    let mut bytes = fs::read(&path).expect("it is there");
+    // A power failure during a write leaves a truncated or corrupt file. Reading it must
+    // return an error, with which the replica starts without backend servers instead of
+    // exiting.
+    let dir = tempfile::tempdir().expect("temporary directory");
+    roster::write(&dir, &[announcement(1)]).expect("write");
+    let path = dir.path().join("servers");
+    let mut bytes = fs::read(&path).expect("read raw file");
     for cut in 0..bytes.len() {
-        fs::write(&path, &bytes[..cut]).expect("it is written");
-        let read = roster::read(&folder);
+        fs::write(&path, &bytes[..cut]).expect("write");
+        let read = roster::read(&dir);
         assert!(matches!(read, Err(RosterError::Damaged(_))), "{cut}");
     }
     let last = bytes.len() - 1;
     bytes[last] ^= 1;
-    fs::write(&path, &bytes).expect("it is written");
-    assert!(matches!(
-        roster::read(&folder),
-        Err(RosterError::Damaged(_))
-    ));
+    fs::write(&path, &bytes).expect("write");
+    assert!(matches!(roster::read(&dir), Err(RosterError::Damaged(_))));
 }
