--- a/sesamebeam/src/gateway/admission.rs
+++ b/sesamebeam/src/gateway/admission.rs
@@ -63,8 +63,8 @@
 const MAX_STARTUP_JITTER: Duration = Duration::from_millis(150);
 const STARTUP_JITTER_SHARE: f64 = 0.1;
 
-/// Maximum share of a request's deadline spent on [`MAX_STARTUP_WAIT`], so that there is
-/// time left to serve it.
+/// Maximum share of a request's deadline that it may wait for the entry to start, so that
+/// time is left to serve it.
 const STARTUP_WAIT_SHARE: f64 = 0.4;
 
 /// Handles a request from a caller.
--- a/sesamebeam/src/gateway/control_connections.rs
+++ b/sesamebeam/src/gateway/control_connections.rs
@@ -466,7 +466,10 @@
                 }
             }
             Err(e) => {
-                log::error!(config = document.version, error:% = e; "configuration cannot be parsed; keeping the current one");
+                log::error!(
+                config = document.version, error:% = e;
+                "configuration cannot be parsed; keeping the current one"
+                );
             }
         }
     }
--- a/sesamebeam/src/gateway/stream.rs
+++ b/sesamebeam/src/gateway/stream.rs
@@ -39,8 +39,8 @@
     hop_by_hop::strip_hop_by_hop,
     in_flight::InFlightSend,
     response::{
-        BodyError, //
-        CallerResponse,
+        BodyError,
+        CallerResponse, //
     },
     send::{
         SILENCE_TIMEOUT,
