--- a/sesamebeam/src/gateway/control_connections.rs
+++ b/sesamebeam/src/gateway/control_connections.rs
@@ -256,7 +256,7 @@
         let holding = self.gateway.router().holding();
         for action in self.subscription.poll(now, &holding) {
             log::info!(
-            order:? = action, config:? = holding.config, index = holding.index,
+                order:? = action, config:? = holding.config, index = holding.index,
                 servers = holding.servers;
                 "control replica asked"
             );
@@ -312,8 +312,8 @@
             && let Err(e) = tx.try_send(message)
         {
             log::warn!(
-            replica:% = addr, error:% = e;
-            "send queue of a control replica is full or closed; message dropped"
+                replica:% = addr, error:% = e;
+                "send queue of a control replica is full or closed; message dropped"
             );
         }
     }
@@ -424,7 +424,7 @@
         if !changed.is_empty() {
             let limited = router.limited_count();
             log::info!(
-            replica:% = from, limited = limited, news:? = changed[..changed.len().min(MAX_LOGGED)];
+                replica:% = from, limited = limited, news:? = changed[..changed.len().min(MAX_LOGGED)];
                 "limits learned"
             );
         }
@@ -460,15 +460,15 @@
                     self.state_changed.notify_waiters();
                     self.metrics.set(Level::Config, version);
                     log::info!(
-                    config = version, before:? = current, replica:% = from;
+                        config = version, before:? = current, replica:% = from;
                         "configuration in force"
                     );
                 }
             }
             Err(e) => {
                 log::error!(
-                config = document.version, error:% = e;
-                "configuration cannot be parsed; keeping the current one"
+                    config = document.version, error:% = e;
+                    "configuration cannot be parsed; keeping the current one"
                 );
             }
         }
--- a/sesamebeam/src/gateway/dispatch.rs
+++ b/sesamebeam/src/gateway/dispatch.rs
@@ -190,7 +190,7 @@
             .utilization(self.gateway.now(), &self.plan);
         log::info!(
             id:% = self.req.head.id, status = status.as_u16(), sends = self.sends,
-        unsent = self.unsent, refused = self.refused, taken = utilization, tried:? = self.tried;
+            unsent = self.unsent, refused = self.refused, taken = utilization, tried:? = self.tried;
             "request given up"
         );
         if self.may_have_run {
@@ -316,7 +316,7 @@
             }
             SendResult::ConnectionFailed(error) => {
                 log::info!(
-                id:% = self.req.head.id, server:% = choice.id, why = error;
+                    id:% = self.req.head.id, server:% = choice.id, why = error;
                     "send broke off"
                 );
                 self.gateway.check_for_crash(&self.req, &choice);
@@ -414,10 +414,11 @@
         };
         log::info!(
             id:% = self.req.head.id, server:% = choice.id, model:% = model,
-        confidence:? = head.confidence, step:? = decision, load:? = head.load,
+            confidence:? = head.confidence, step:? = decision, load:? = head.load,
             limit:? = head.limit, leaving = head.leaving, keep_from = keep_from,
             waited_ms = waited.as_millis() as u64,
-        since_ms = self.req.received_at.elapsed().as_millis() as u64, sends = self.sends, tokens = self.req.head.prompt_tokens,
+            since_ms = self.req.received_at.elapsed().as_millis() as u64, sends = self.sends,
+            tokens = self.req.head.prompt_tokens,
             prompt:? = self.req.head.prompt, session:? = self.req.head.session,
             route:% = self.plan.route.name, rank = self.plan.engine_rank,
             org:? = self.plan.organisation,
--- a/sesamebeam/src/gateway/stream.rs
+++ b/sesamebeam/src/gateway/stream.rs
@@ -281,7 +281,7 @@
                 self.dispatch.sends += 1;
                 choice.record_first_event(model.as_deref());
                 log::info!(
-                id:% = self.dispatch.req.head.id, server:% = choice.id, after:? = last_event,
+                    id:% = self.dispatch.req.head.id, server:% = choice.id, after:? = last_event,
                     limit:? = head.limit, leaving = head.leaving;
                     "stream goes on"
                 );
@@ -310,9 +310,9 @@
     fn log(&self, message: &str) {
         let elapsed: Duration = self.dispatch.req.received_at.elapsed();
         log::info!(
-        id:% = self.dispatch.req.head.id, events = self.events.count(),
-        sends = self.dispatch.sends, ms = elapsed.as_millis() as u64;
-        "{message}"
+            id:% = self.dispatch.req.head.id, events = self.events.count(),
+            sends = self.dispatch.sends, ms = elapsed.as_millis() as u64;
+            "{message}"
         );
     }
 }
