--- a/sesamebeam/src/control.rs
+++ b/sesamebeam/src/control.rs
@@ -1,7 +1,7 @@
-//! The control daemon: edges round [`ControlCore`].
+//! The control daemon: network, disk and timers around [`ControlCore`].
 //!
-//! One task owns the core and matches on one enum of inputs; the disk has a
-//! thread of its own, and each other replica a sending task.
+//! One task owns the core and handles all inputs. A dedicated thread writes the
+//! disk, and one task per remote replica sends messages.
 
 pub mod disk_thread;
 mod orders;
@@ -45,7 +45,7 @@
         Members,
         ReplicaConfig,
         ReplicaMessage,
-        Role as Standing, //
+        Role as ReplicaRole, //
     },
 };
 use thiserror::Error;
@@ -69,7 +69,7 @@
         DiskThread, //
     },
     serve::{
-        Back,
+        ReplySender,
         Ticket, //
     },
 };
@@ -100,89 +100,91 @@
     settings::ControlSettings,
 };
 
-/// Messages waiting for one replica; more are dropped, as the network may.
-const MAX_WAITING: usize = 1024;
+/// Capacity of the send queue of one replica. Further messages are dropped; the
+/// protocol tolerates lost messages.
+const SEND_QUEUE_CAPACITY: usize = 1024;
 
-/// Longest time for sending one message to a replica.
+/// Timeout for sending one message to a replica.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest wait for another replica when the group is made: those that are not
-/// there yet do not answer.
-const UNFORMED_TIMEOUT: Duration = Duration::from_millis(700);
+/// Timeout for the status request to each other replica at bootstrap. Replicas
+/// that have not started yet do not reply.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Longest wait for a connection to an engine.
+/// Timeout for connecting to an engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Leader lease as a share of the shortest election time-out.
-const LEASE_SHARE: f64 = 0.8;
+/// Leader lease as a fraction of the minimum election timeout.
+const LEASE_RATIO: f64 = 0.8;
 
-/// Most bytes of entries in one message or one write.
-const MAX_BATCH: usize = 1 << 20;
+/// Maximum size of the entries in one message or one disk write, in bytes.
+const MAX_BATCH_BYTES: usize = 1 << 20;
 
-/// Bytes in a part of a snapshot.
-const SNAPSHOT_CHUNK: usize = 256 << 10;
+/// Size of a snapshot chunk, in bytes.
+const SNAPSHOT_CHUNK_BYTES: usize = 256 << 10;
 
-/// Why a control replica could not start or had to stop.
+/// Error that prevents a control replica from starting or stops it.
 #[derive(Debug, Error)]
 pub enum ControlError {
-    /// The data folder cannot be used.
+    /// The data folder cannot be opened or written.
     #[error(transparent)]
     Disk(#[from] DiskError),
     /// The keys cannot be read.
     #[error(transparent)]
     Keys(#[from] KeyError),
-    /// The link cannot be opened.
+    /// The link cannot be bound.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// Metrics cannot be sent.
+    /// The metrics exporter cannot be started.
     #[error(transparent)]
     Metrics(#[from] MetricsError),
     /// The disk thread cannot be started.
     #[error("cannot start the disk thread: {0}")]
     Thread(io::Error),
-    /// The data folder is another replica's, or of another fleet.
-    #[error("the data folder is that of replica {found} of group {group:032x}")]
-    NotOurs {
-        /// Replica whose folder it is.
+    /// The data folder belongs to another replica or fleet.
+    #[error("the data folder belongs to replica {found} of group {group:032x}")]
+    WrongIdentity {
+        /// Replica ID stored in the folder.
         found: NodeId,
-        /// Group whose folder it is.
+        /// Group ID stored in the folder.
         group: u128,
     },
-    /// The group exists, so `--init` would bring a lost disk back.
+    /// The group exists already. `--init` would restart a replica that lost its disk
+    /// under its old incarnation.
     #[error(
-        "replica {0} has a configuration already, so the group is not made anew; \
-         a replica whose disk was lost is replaced: see --join"
+        "replica {0} has a configuration already, so --init is refused; \
+         to replace a replica that lost its disk, see --join"
     )]
-    Formed(NodeId),
-    /// The log holds what this release does not understand.
+    AlreadyBootstrapped(NodeId),
+    /// The log contains data that this release does not support.
     #[error("stopped: {0}")]
     Stopped(String),
 }
 
-/// How a replica comes by its data folder.
+/// How a replica obtains its data folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// The folder must be there.
+    /// Opens a folder that must exist.
     Existing,
-    /// The group is made anew: each of its first replicas makes its folder.
+    /// Bootstraps the group: each initial replica creates its folder.
     Init,
-    /// The replica takes the place of a lost one and makes its folder with an
-    /// incarnation of its own, which `control replace` tells the group.
+    /// Replaces a lost replica: creates the folder with a new incarnation, which
+    /// `control replace` registers with the group.
     Join,
 }
 
-/// What the replica's task takes.
+/// Input of the replica's task.
 #[derive(Debug)]
 pub enum Input {
     /// An event for the core.
     Event(ControlEvent),
-    /// A client's request.
-    Client(Ticket, ControlRequest, Back),
-    /// The disk failed for good.
+    /// A request from a client.
+    Client(Ticket, ControlRequest, ReplySender),
+    /// The disk failed permanently.
     DiskFailed(DiskError),
 }
 
-/// A control replica that is ready to run.
+/// A control replica with its data folder and link open.
 pub struct Control {
     settings: ControlSettings,
     link: Arc<Link>,
@@ -192,17 +194,18 @@
 }
 
 impl Control {
-    /// Opens the data folder, made by [`Control::make_folder`], and the link.
+    /// Opens the data folder, which [`Control::create_data_folder`] created, and binds
+    /// the link.
     ///
     /// # Errors
     ///
-    /// Fails if the folder is missing, damaged, in use or not this replica's,
-    /// or the address is taken.
+    /// Fails if the folder is missing, corrupt, in use or belongs to another
+    /// replica, or if the address is in use.
     pub fn open(settings: ControlSettings, creds: &Credentials) -> Result<Self, ControlError> {
         let (disk, saved) = Disk::open(&settings.data)?;
         let identity = disk.identity();
         if identity.node != settings.node || identity.group != creds.fleet() {
-            return Err(ControlError::NotOurs {
+            return Err(ControlError::WrongIdentity {
                 found: identity.node,
                 group: identity.group,
             });
@@ -217,11 +220,11 @@
         })
     }
 
-    /// Makes the data folder and returns its incarnation.
+    /// Creates the data folder and returns its incarnation.
     ///
     /// # Errors
     ///
-    /// Fails if there is a folder or it cannot be written.
+    /// Fails if a data folder exists already or it cannot be written.
     pub fn make_folder(
         settings: &ControlSettings,
         creds: &Credentials,
@@ -229,7 +232,7 @@
     ) -> Result<u128, ControlError> {
         let incarnation = match start {
             Start::Join | Start::Existing => rand::random(),
-            Start::Init => first_incarnation(creds.fleet(), settings.node),
+            Start::Init => initial_incarnation(creds.fleet(), settings.node),
         };
         let identity = Identity {
             group: creds.fleet(),
@@ -240,47 +243,47 @@
         Ok(incarnation)
     }
 
-    /// Asks the other replicas whether the group exists already, and fails if it
-    /// does.
+    /// Queries the other replicas and fails if the group exists already.
     ///
-    /// `--init` on a replica whose disk was lost would bring it back under its
-    /// old incarnation with its votes and entries forgotten: two leaders could
-    /// then win one term, and committed entries could be lost.
+    /// `--init` on a replica that lost its disk would restart it under its old
+    /// incarnation without its votes and entries. Two leaders could then be elected
+    /// in one term, and committed entries could be lost.
     ///
     /// # Errors
     ///
-    /// Fails if a replica that answers has committed anything.
+    /// Fails if any replica that replies has a committed revision.
     pub async fn check_unformed(
         settings: &ControlSettings,
         creds: &Credentials,
     ) -> Result<(), ControlError> {
-        // A port of its own: the others may be asking this one's address too.
+        // Uses an ephemeral port, because the other replicas may be querying the
+        // configured address at the same time.
         let from = SocketAddr::new(settings.listen.ip(), 0);
         let link = Arc::new(Link::bind(from, creds)?);
         let pool = Pool::new(Arc::clone(&link), rand::random());
         let others = settings.replicas.iter().filter(|r| r.node != settings.node);
-        let asked = join_all(others.map(|replica| {
+        let replies = join_all(others.map(|replica| {
             let caller = pool.get(replica.addr, Some(Role::Control(replica.node)));
             async move {
-                let asked = caller.call(&ControlRequest::Status, UNFORMED_TIMEOUT).await;
-                let formed = matches!(asked, Ok(ControlReply::Status(s)) if s.revision > 0);
-                formed.then_some(replica.node)
+                let replies = caller.call(&ControlRequest::Status, STATUS_TIMEOUT).await;
+                let bootstrapped = matches!(replies, Ok(ControlReply::Status(s)) if s.revision > 0);
+                bootstrapped.then_some(replica.node)
             }
         }))
         .await;
-        let formed = asked.into_iter().flatten().next();
+        let bootstrapped = replies.into_iter().flatten().next();
         link.close();
-        match formed {
-            Some(node) => Err(ControlError::Formed(node)),
+        match bootstrapped {
+            Some(node) => Err(ControlError::AlreadyBootstrapped(node)),
             None => Ok(()),
         }
     }
 
-    /// Address of the link.
+    /// Returns the local address of the link.
     ///
     /// # Errors
     ///
-    /// Fails if the operating system does not tell.
+    /// Fails if the operating system does not report the address.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.link.local_addr()
     }
@@ -289,42 +292,43 @@
     ///
     /// # Errors
     ///
-    /// Fails if the disk fails or the log holds what is not understood.
+    /// Fails if the disk fails or the log contains data that this release does not
+    /// support.
     pub async fn run(self, cancel: CancellationToken) -> Result<(), ControlError> {
         let (tx, rx) = unbounded_channel();
-        let back = tx.clone();
-        let tell = move |notice| back.send(disk_input(notice)).is_ok();
-        let disk = DiskThread::start(self.disk, tell).map_err(ControlError::Thread)?;
+        let reply_sender = tx.clone();
+        let notify = move |notice| reply_sender.send(disk_input(notice)).is_ok();
+        let disk = DiskThread::start(self.disk, notify).map_err(ControlError::Thread)?;
         let pool = Pool::new(Arc::clone(&self.link), rand::random());
         let start = Instant::now();
         let cfg = core_config(&self.settings, &self.identity);
         let (core, actions) = ControlCore::new(cfg, self.saved, start.elapsed());
-        let halt = cancel.child_token();
+        let shutdown = cancel.child_token();
         tokio::spawn(serve::serve(
             Arc::clone(&self.link),
             tx.clone(),
-            halt.clone(),
+            shutdown.clone(),
         ));
         let mut runner = Runner {
             node: self.settings.node,
             metrics: Metrics::start(&self.settings.metrics, "control")?,
-            addrs: first_addrs(&self.settings),
+            addresses: initial_addresses(&self.settings),
             core,
             disk,
             pool,
             peers: HashMap::new(),
             clients: HashMap::new(),
-            engines: Client::new(CONNECT_TIMEOUT),
+            engine_client: Client::new(CONNECT_TIMEOUT),
             start,
             tx,
-            halt: halt.clone(),
+            shutdown: shutdown.clone(),
         };
-        runner.carry(actions)?;
-        let ended = runner.run(rx, &cancel).await;
-        halt.cancel();
+        runner.perform_actions(actions)?;
+        let result = runner.run(rx, &cancel).await;
+        shutdown.cancel();
         self.link.close();
         self.link.wait_closed().await;
-        ended
+        result
     }
 }
 
@@ -340,16 +344,16 @@
 struct Runner {
     node: NodeId,
     metrics: Metrics,
-    addrs: BTreeMap<NodeId, SocketAddr>,
+    addresses: BTreeMap<NodeId, SocketAddr>,
     core: ControlCore,
     disk: DiskThread,
     pool: Pool,
     peers: HashMap<NodeId, (SocketAddr, Sender<ReplicaMessage>)>,
-    clients: HashMap<Ticket, Back>,
-    engines: Client,
+    clients: HashMap<Ticket, ReplySender>,
+    engine_client: Client,
     start: Instant,
     tx: UnboundedSender<Input>,
-    halt: CancellationToken,
+    shutdown: CancellationToken,
 }
 
 impl Runner {
@@ -359,71 +363,74 @@
         cancel: &CancellationToken,
     ) -> Result<(), ControlError> {
         loop {
-            let wake = self.start + self.core.next_wake();
+            let next_wake = self.start + self.core.next_wake();
             tokio::select! {
                 () = cancel.cancelled() => return Ok(()),
                 input = rx.recv() => match input {
-                    Some(input) => self.take(input)?,
+                    Some(input) => self.handle_input(input)?,
                     None => return Ok(()),
                 },
-                () = sleep_until(wake.into()) => self.event(ControlEvent::Tick)?,
+                () = sleep_until(next_wake.into()) => self.handle_event(ControlEvent::Tick)?,
             }
         }
     }
 
-    fn take(&mut self, input: Input) -> Result<(), ControlError> {
+    fn handle_input(&mut self, input: Input) -> Result<(), ControlError> {
         match input {
             Input::Event(event) => {
                 if let ControlEvent::ClientDisconnected { ticket } = &event {
                     self.clients.remove(ticket);
                 }
-                self.event(event)
+                self.handle_event(event)
             }
-            Input::Client(ticket, req, back) => {
-                self.clients.insert(ticket, back);
-                self.event(ControlEvent::Client { ticket, req })
+            Input::Client(ticket, req, reply_sender) => {
+                self.clients.insert(ticket, reply_sender);
+                self.handle_event(ControlEvent::Client { ticket, req })
             }
             Input::DiskFailed(e) => Err(e.into()),
         }
     }
 
-    fn event(&mut self, event: ControlEvent) -> Result<(), ControlError> {
-        // The clock is read here, after every wait: a frozen replica must not
-        // act on a lease that ended while it was frozen.
+    fn handle_event(&mut self, event: ControlEvent) -> Result<(), ControlError> {
+        // The clock is read after every wait, so that a replica that was suspended
+        // does not act on a lease that expired meanwhile.
         let actions = self.core.handle(self.now(), event);
-        self.carry(actions)
+        self.perform_actions(actions)
     }
 
-    fn carry(&mut self, actions: Vec<ControlAction>) -> Result<(), ControlError> {
+    fn perform_actions(&mut self, actions: Vec<ControlAction>) -> Result<(), ControlError> {
         for action in actions {
             match action {
                 ControlAction::Send { to, message } => self.send(to, message),
                 ControlAction::Write { write, ops } => self.disk.write(write, ops),
                 ControlAction::Reply { ticket, reply } => {
-                    if let Some(back) = self.clients.remove(&ticket) {
-                        let _ = back.send(reply);
+                    if let Some(reply_sender) = self.clients.remove(&ticket) {
+                        let _ = reply_sender.send(reply);
                     }
                 }
-                ControlAction::Order(order) => self.order(order),
-                ControlAction::Members(members) => self.learn(&members),
+                ControlAction::Order(order) => self.send_order(order),
+                ControlAction::Members(members) => self.update_addresses(&members),
                 ControlAction::Notice(ControlNotice::Stopped(cause)) => {
                     return Err(ControlError::Stopped(format!("{cause:?}")));
                 }
-                ControlAction::Notice(notice) => take_notice(self.node, &self.metrics, &notice),
+                ControlAction::Notice(notice) => report_notice(self.node, &self.metrics, &notice),
             }
         }
         Ok(())
     }
 
     fn send(&mut self, to: NodeId, message: ReplicaMessage) {
-        let Some(addr) = self.addrs.get(&to).copied() else {
+        let Some(addr) = self.addresses.get(&to).copied() else {
             return;
         };
-        let known = self.peers.get(&to).filter(|(at, _)| *at == addr);
-        if known.is_none() {
+        let sender = self
+            .peers
+            .get(&to)
+            .filter(|(peer_addr, _)| *peer_addr == addr);
+        if sender.is_none() {
             let caller = self.pool.get(addr, Some(Role::Control(to)));
-            let (tx, rx) = channel(MAX_WAITING);
-            tokio::spawn(send_all(caller, rx, self.halt.clone()));
+            let (tx, rx) = channel(SEND_QUEUE_CAPACITY);
+            tokio::spawn(send_messages(caller, rx, self.shutdown.clone()));
             self.peers.insert(to, (addr, tx));
         }
         if let Some((_, tx)) = self.peers.get(&to) {
@@ -431,8 +438,8 @@
         }
     }
 
-    fn order(&self, order: command::Order) {
-        let (client, tx) = (self.engines.clone(), self.tx.clone());
+    fn send_order(&self, order: command::Order) {
+        let (client, tx) = (self.engine_client.clone(), self.tx.clone());
         tokio::spawn(async move {
             let ok = orders::send(&client, &order).await;
             let event = ControlEvent::OrderResult {
@@ -444,11 +451,12 @@
         });
     }
 
-    /// Replicas that were added later have their addresses in the log.
-    fn learn(&mut self, members: &Members) {
+    /// Adds the addresses of replicas that joined after bootstrap, which only the log
+    /// contains.
+    fn update_addresses(&mut self, members: &Members) {
         for (node, member) in &members.members {
             if let Some(addr) = member.addr {
-                self.addrs.insert(*node, addr);
+                self.addresses.insert(*node, addr);
             }
         }
     }
@@ -458,7 +466,7 @@
     }
 }
 
-async fn send_all(
+async fn send_messages(
     caller: Arc<Caller>,
     mut rx: Receiver<ReplicaMessage>,
     cancel: CancellationToken,
@@ -471,41 +479,42 @@
         let Some(message) = message else {
             return;
         };
-        // The log repeats what does not arrive.
+        // Lost messages are recovered by log replication, which resends.
         let _ = caller.send(&message, SEND_TIMEOUT).await;
     }
 }
 
-/// Incarnation of the folder of one of the first replicas: known to all of
-/// them without asking, since it follows from the fleet and the number.
-fn first_incarnation(fleet: u128, node: NodeId) -> u128 {
+/// Returns the incarnation of an initial replica. It is derived from the fleet and
+/// the replica ID, so that all initial replicas can compute it without
+/// communication.
+fn initial_incarnation(fleet: u128, node: NodeId) -> u128 {
     let mut seed = fleet.to_le_bytes().to_vec();
     seed.extend_from_slice(&node.to_le_bytes());
     xxh3_128(&seed)
 }
 
-fn first_addrs(settings: &ControlSettings) -> BTreeMap<NodeId, SocketAddr> {
+fn initial_addresses(settings: &ControlSettings) -> BTreeMap<NodeId, SocketAddr> {
     settings.replicas.iter().map(|r| (r.node, r.addr)).collect()
 }
 
 fn core_config(settings: &ControlSettings, identity: &Identity) -> ControlConfig {
     let timings = &settings.timings;
-    let first = settings
+    let voters = settings
         .replicas
         .iter()
-        .map(|r| (r.node, first_incarnation(identity.group, r.node)));
+        .map(|r| (r.node, initial_incarnation(identity.group, r.node)));
     let replica = ReplicaConfig {
         id: identity.node,
         group: identity.group,
         incarnation: identity.incarnation,
-        members: Members::of_voters(first),
+        members: Members::of_voters(voters),
         heartbeat_interval: timings.heartbeat,
         election_timeout: timings.election_min,
-        lease: timings.election_min.mul_f64(LEASE_SHARE),
+        lease: timings.election_min.mul_f64(LEASE_RATIO),
         clock_drift: timings.clock_drift,
-        max_batch_bytes: MAX_BATCH,
+        max_batch_bytes: MAX_BATCH_BYTES,
         snapshot_every: timings.snapshot_every,
-        snapshot_chunk: SNAPSHOT_CHUNK,
+        snapshot_chunk: SNAPSHOT_CHUNK_BYTES,
         fast_elections: false,
         seed: rand::random(),
         faults: Default::default(),
@@ -519,11 +528,11 @@
     cfg
 }
 
-fn take_notice(node: NodeId, metrics: &Metrics, notice: &ControlNotice) {
+fn report_notice(node: NodeId, metrics: &Metrics, notice: &ControlNotice) {
     match notice {
         ControlNotice::Role(role) => {
             log::info!("event=role replica={node} role={role:?}");
-            metrics.gauge(Gauge::Leader, u64::from(*role == Standing::Leader));
+            metrics.gauge(Gauge::Leader, u64::from(*role == ReplicaRole::Leader));
         }
         ControlNotice::Stopped(cause) => {
             log::error!("event=stopped replica={node} cause={cause:?}");
--- a/sesamebeam/src/control/disk_thread.rs
+++ b/sesamebeam/src/control/disk_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that writes a replica's disk.
+//! A thread that performs the disk writes of a replica.
 
 use std::{
     sync::mpsc::{
@@ -20,70 +20,71 @@
     DiskError, //
 };
 
-/// Pause before a write that found the disk full is repeated.
-const FULL_PAUSE: Duration = Duration::from_millis(500);
+/// Delay before a write that failed on a full disk is retried.
+const DISK_FULL_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A write with its number.
+/// A write and its ID.
 type Write = (WriteId, Vec<DiskOp>);
 
-/// What the disk thread tells.
+/// Notification from the disk thread.
 #[derive(Debug)]
 pub enum DiskNotice {
     /// A write is synced.
     Synced(WriteId),
-    /// The disk is full, or has space again.
+    /// The disk is full (`true`) or has free space again (`false`).
     Full(bool),
-    /// The disk failed for good.
+    /// The disk failed permanently.
     Failed(DiskError),
 }
 
-/// Writes in the background, in order.
+/// Handle of the disk thread, which performs writes in order.
 #[derive(Debug)]
 pub struct DiskThread {
     tx: Sender<Write>,
 }
 
 impl DiskThread {
-    /// Starts the thread; `tell` returns whether anybody still listens.
+    /// Starts the thread. `notify` returns whether the receiver still exists.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if the operating system cannot create the thread.
     pub fn start(
         disk: Disk,
-        tell: impl Fn(DiskNotice) -> bool + Send + 'static,
+        notify: impl Fn(DiskNotice) -> bool + Send + 'static,
     ) -> std::io::Result<Self> {
         let (tx, rx) = channel();
         thread::Builder::new()
             .name("disk".to_owned())
-            .spawn(move || run(disk, &rx, &tell))?;
+            .spawn(move || run(disk, &rx, &notify))?;
         Ok(Self { tx })
     }
 
-    /// Hands over a write.
+    /// Queues a write.
     pub fn write(&self, write: WriteId, ops: Vec<DiskOp>) {
-        // The thread ends early only after it has told of an error.
+        // The thread ends early only after it has reported an error or the receiver
+        // of its notifications is gone.
         let _ = self.tx.send((write, ops));
     }
 }
 
-fn run(mut disk: Disk, rx: &Receiver<Write>, tell: &impl Fn(DiskNotice) -> bool) {
+fn run(mut disk: Disk, rx: &Receiver<Write>, notify: &impl Fn(DiskNotice) -> bool) {
     while let Ok((write, ops)) = rx.recv() {
-        if let Err(e) = write_through(&mut disk, &ops, tell) {
-            tell(DiskNotice::Failed(e));
+        if let Err(e) = write_with_retry(&mut disk, &ops, notify) {
+            notify(DiskNotice::Failed(e));
             return;
         }
-        if !tell(DiskNotice::Synced(write)) {
+        if !notify(DiskNotice::Synced(write)) {
             return;
         }
     }
 }
 
-/// Repeats a write until there is space for it.
-fn write_through(
+/// Performs a write, retrying while the disk is full.
+fn write_with_retry(
     disk: &mut Disk,
     ops: &[DiskOp],
-    tell: &impl Fn(DiskNotice) -> bool,
+    notify: &impl Fn(DiskNotice) -> bool,
 ) -> Result<(), DiskError> {
     let mut full = false;
     loop {
@@ -92,15 +93,15 @@
             Err(DiskError::Full(_)) => {
                 if !full {
                     full = true;
-                    tell(DiskNotice::Full(true));
+                    notify(DiskNotice::Full(true));
                 }
-                thread::sleep(FULL_PAUSE);
+                thread::sleep(DISK_FULL_RETRY_DELAY);
             }
             Err(e) => return Err(e),
         }
     }
     if full {
-        tell(DiskNotice::Full(false));
+        notify(DiskNotice::Full(false));
     }
     Ok(())
 }
--- a/sesamebeam/src/control/orders.rs
+++ b/sesamebeam/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines.
+//! Sending of orders to engines.
 
 use std::time::Duration;
 
@@ -19,10 +19,10 @@
     Terms, //
 };
 
-/// Longest wait for an engine to take an order.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout for an engine to accept an order.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Sends an order; returns whether the engine took it.
+/// Sends an order to an engine and returns whether the engine accepted it.
 pub(crate) async fn send(client: &Client, order: &Order) -> bool {
     let desired = match &order.desired {
         Desired::Loaded(version) => serde_json::json!({ "loaded": version }),
@@ -39,11 +39,11 @@
     };
     let terms = Terms {
         reuse: Reuse::Never,
-        patience: PATIENCE,
+        patience: ORDER_TIMEOUT,
         send_by: None,
     };
     match client.send(order.server, req, terms).await {
-        Ok((answer, _)) => answer.status().is_success(),
+        Ok((response, _)) => response.status().is_success(),
         Err(_) => false,
     }
 }
--- a/sesamebeam/src/control/serve.rs
+++ b/sesamebeam/src/control/serve.rs
@@ -1,4 +1,4 @@
-//! Connections to a control replica: other replicas, entries, operators.
+//! Incoming connections from other replicas, entries and operators.
 
 use std::sync::{
     Arc,
@@ -39,11 +39,11 @@
     },
 };
 
-/// Bad input is logged once a minute.
-static BAD_INPUT: LogLimit = LogLimit::new(crate::limit::LOG_EVERY);
+/// Limits log lines about bad input to one per minute.
+static BAD_INPUT_LOG_LIMIT: LogLimit = LogLimit::new(crate::limit::LOG_EVERY);
 
-/// Numbers clients' requests.
-static TICKETS: AtomicU64 = AtomicU64::new(1);
+/// Ticket of the next client request.
+static NEXT_TICKET: AtomicU64 = AtomicU64::new(1);
 
 /// Accepts connections until cancelled.
 pub(crate) async fn serve(link: Arc<Link>, tx: UnboundedSender<Input>, cancel: CancellationToken) {
@@ -59,13 +59,13 @@
         tokio::spawn(async move {
             tokio::select! {
                 () = cancel.cancelled() => {}
-                () = serve_one(peer, tx) => {}
+                () = serve_peer(peer, tx) => {}
             }
         });
     }
 }
 
-async fn serve_one(peer: Peer, tx: UnboundedSender<Input>) {
+async fn serve_peer(peer: Peer, tx: UnboundedSender<Input>) {
     let role = peer.role().clone();
     while let Ok(incoming) = peer.next().await {
         match (incoming, &role) {
@@ -79,49 +79,52 @@
                         return;
                     }
                 }
-                Err(e) => bad_input(&role, &e.to_string()),
+                Err(e) => log_bad_input(&role, &e.to_string()),
             },
-            (Incoming::Message(_), _) => bad_input(&role, "a message that only replicas send"),
-            (Incoming::Call { bytes, reply }, role) => call(&bytes, reply, role, &tx),
+            (Incoming::Message(_), _) => {
+                log_bad_input(&role, "message type is reserved for replicas")
+            }
+            (Incoming::Call { bytes, reply }, role) => handle_call(&bytes, reply, role, &tx),
         }
     }
 }
 
-fn call(bytes: &[u8], reply: Replier, role: &Role, tx: &UnboundedSender<Input>) {
+fn handle_call(bytes: &[u8], replier: Replier, role: &Role, tx: &UnboundedSender<Input>) {
     let req = match wire::decode::<ControlRequest>(bytes) {
         Ok(req) => req,
         Err(e) => {
-            bad_input(role, &e.to_string());
-            return answer(reply, ControlReply::Refused("does not decode".into()));
+            log_bad_input(role, &e.to_string());
+            return send_reply(replier, ControlReply::Refused("does not decode".into()));
         }
     };
-    if !may_ask(role, &req) {
-        bad_input(role, "a request of another role");
-        return answer(reply, ControlReply::Refused("not for this role".into()));
+    if !is_allowed(role, &req) {
+        log_bad_input(role, "request is not allowed for this role");
+        return send_reply(replier, ControlReply::Refused("not for this role".into()));
     }
-    let ticket = TICKETS.fetch_add(1, Ordering::Relaxed);
-    let (back, answered) = oneshot::channel();
-    if tx.send(Input::Client(ticket, req, back)).is_err() {
+    let ticket = NEXT_TICKET.fetch_add(1, Ordering::Relaxed);
+    let (reply_sender, reply_receiver) = oneshot::channel();
+    if tx.send(Input::Client(ticket, req, reply_sender)).is_err() {
         return;
     }
     let tx = tx.clone();
     tokio::spawn(async move {
-        match answered.await {
-            Ok(found) => drop(reply.reply(&found).await),
+        match reply_receiver.await {
+            Ok(message) => drop(replier.reply(&message).await),
             Err(_) => drop(tx.send(Input::Event(ControlEvent::ClientDisconnected { ticket }))),
         }
     });
 }
 
-fn answer(reply: Replier, what: ControlReply) {
-    tokio::spawn(async move { reply.reply(&what).await });
+fn send_reply(replier: Replier, message: ControlReply) {
+    tokio::spawn(async move { replier.reply(&message).await });
 }
 
-/// Each role may ask only what is its own: an entry's stolen certificate must
-/// not change the configuration, an operator's not claim requests.
-fn may_ask(role: &Role, req: &ControlRequest) -> bool {
+/// Returns whether a role may send a request. A stolen entry certificate must not
+/// allow changes to the configuration, nor an operator's certificate claims on
+/// requests.
+fn is_allowed(role: &Role, req: &ControlRequest) -> bool {
     match req {
-        // Replicas ask before a data folder is made.
+        // Replicas query the status before they create a data folder.
         ControlRequest::Status => !matches!(role, Role::Entry(_)),
         ControlRequest::Apply(_)
         | ControlRequest::Current
@@ -144,14 +147,16 @@
     matches!(role, Role::Entry(name) if name == instance)
 }
 
-fn bad_input(role: &Role, what: &str) {
-    if let Some(more) = BAD_INPUT.pass() {
-        log::warn!("bad input from {role}: {what} (and {more} more since the last line)");
+fn log_bad_input(role: &Role, reason: &str) {
+    if let Some(suppressed) = BAD_INPUT_LOG_LIMIT.pass() {
+        log::warn!(
+            "bad input from {role}: {reason} ({suppressed} more suppressed since the last log line)"
+        );
     }
 }
 
-/// Where the answer to a client's request goes.
-pub(crate) type Back = oneshot::Sender<ControlReply>;
+/// Channel for the reply to a client request.
+pub(crate) type ReplySender = oneshot::Sender<ControlReply>;
 
-/// Number of a client's request.
+/// Ticket that identifies a client request.
 pub(crate) type Ticket = ClientTicket;
--- a/sesamebeam/src/disk.rs
+++ b/sesamebeam/src/disk.rs
@@ -1,15 +1,15 @@
 //! The data folder of a control replica.
 //!
-//! | file | holds |
+//! | file | contents |
 //! |---|---|
-//! | `identity` | group, number and incarnation; written once |
-//! | `lock` | nothing; locked while a process has the folder open |
-//! | `log-N.seg` | frames with records, appended; see [`frame`] |
-//! | `snapshot-I.snap` | the state up to position `I`, one frame |
+//! | `identity` | group ID, replica ID and incarnation; written once |
+//! | `lock` | empty; locked while a process has the folder open |
+//! | `log-N.seg` | append-only log segment of frames; see [`frame`] |
+//! | `snapshot-I.snap` | one frame with the snapshot up to log index `I` |
 //!
-//! A write counts once its frame is synced. The end of the newest segment can be
-//! torn by a power cut and is cut off; damage anywhere else is refused, for to
-//! go on without an acknowledged entry would be to lose it silently.
+//! A write is durable once its frame is synced. A power failure can leave a torn
+//! write at the end of the newest segment, which is truncated. Corruption anywhere
+//! else is an error, because continuing would silently lose acknowledged entries.
 
 mod error;
 mod folder;
@@ -39,7 +39,7 @@
 pub(crate) use folder::write_whole;
 
 use frame::{
-    Place,
+    FrameLocation,
     Record,
     write_frame, //
 };
@@ -47,7 +47,7 @@
     Loaded,
     Segment,
     load,
-    snapshot_place, //
+    snapshot_location, //
 };
 use sesamebeam_core::{
     ids::LogIndex,
@@ -60,92 +60,93 @@
     },
 };
 
-/// Start of the name of a segment.
+/// File name prefix of segments.
 const SEGMENT_PREFIX: &str = "log-";
 
-/// End of the name of a segment.
+/// File name suffix of segments.
 const SEGMENT_SUFFIX: &str = ".seg";
 
-/// Start of the name of a snapshot.
+/// File name prefix of snapshots.
 const SNAPSHOT_PREFIX: &str = "snapshot-";
 
-/// End of the name of a snapshot.
+/// File name suffix of snapshots.
 const SNAPSHOT_SUFFIX: &str = ".snap";
 
-/// Bytes after which a new segment is begun.
+/// Segment size above which a new segment is started, in bytes.
 const SEGMENT_BYTES: u64 = 16 << 20;
 
-/// Safeguards switched off, for tests alone.
+/// Safeguards to disable, for tests only.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Takes frames whose checksum does not match.
+    /// Accepts frames whose checksum does not match.
     pub skip_crc: bool,
-    /// Appends after a torn end instead of cutting it off.
+    /// Appends after a torn write instead of truncating it.
     pub keep_torn_tail: bool,
 }
 
 /// An open data folder, locked against other processes.
 #[derive(Debug)]
 pub struct Disk {
-    /// The folder.
+    /// Path of the folder.
     path: PathBuf,
-    /// Whose it is.
+    /// Replica that the folder belongs to.
     identity: Identity,
-    /// Segments in order; the last is appended to.
+    /// Segments in ascending order; writes are appended to the last one.
     segments: Vec<Segment>,
-    /// The last segment, if one is open.
+    /// File of the last segment, if there is one.
     file: Option<File>,
-    /// Term and vote as last written, to begin a segment with.
+    /// Last written term and vote, repeated at the start of each segment.
     state: HardState,
-    /// End of the newest snapshot.
-    snapshot: Option<LogPosition>,
-    /// Whether a write failed so that nobody knows what the disk holds.
+    /// Last log position covered by the newest snapshot.
+    snapshot_end: Option<LogPosition>,
+    /// Whether a write failed and left the contents of the disk unknown.
     failed: bool,
-    /// Bytes that may still be appended, where a test plays a full disk.
-    room: Option<usize>,
-    /// Holds the lock.
+    /// Remaining bytes before appends fail as on a full disk, if a test has set a
+    /// limit.
+    free_space: Option<usize>,
+    /// Lock file, locked while it is open.
     _lock: File,
 }
 
 impl Disk {
-    /// Makes a data folder.
+    /// Creates a data folder.
     ///
     /// # Errors
     ///
-    /// Fails if there is one already or it cannot be written and synced.
+    /// Fails if one exists already or it cannot be written and synced.
     pub fn create(path: impl AsRef<Path>, identity: &Identity) -> Result<(), DiskError> {
         folder::create(path.as_ref(), identity)
     }
 
-    /// Returns whether there is a data folder.
+    /// Returns whether a data folder exists at `path`.
     pub fn is_made(path: impl AsRef<Path>) -> bool {
         folder::is_made(path.as_ref())
     }
 
-    /// Removes what a data folder holds, so that it can be made anew.
+    /// Removes the contents of a data folder, so that it can be created again.
     ///
     /// # Errors
     ///
-    /// Fails if a file cannot be removed or the folder not synced.
+    /// Fails if a file cannot be removed or the folder cannot be synced.
     pub fn remove(path: impl AsRef<Path>) -> Result<(), DiskError> {
         folder::remove(path.as_ref())
     }
 
-    /// Opens a data folder and reads what it holds.
+    /// Opens a data folder and returns the persisted state.
     ///
     /// # Errors
     ///
-    /// Fails if there is none, another process has it, or it is damaged.
+    /// Fails if the folder is missing, open in another process or corrupt.
     pub fn open(path: impl AsRef<Path>) -> Result<(Disk, SavedState), DiskError> {
         Disk::open_with(path, Faults::default())
     }
 
-    /// Opens a data folder with safeguards switched off.
+    /// Opens a data folder with some safeguards disabled.
     ///
     /// # Errors
     ///
-    /// As [`Disk::open`].
+    /// Same as [`Disk::open`].
     #[doc(hidden)]
     pub fn open_with(
         path: impl AsRef<Path>,
@@ -157,7 +158,7 @@
         let Loaded {
             saved,
             segments,
-            unnamed,
+            snapshot_unrecorded,
         } = load(path, identity.incarnation, faults)?;
         let mut disk = Disk {
             path: path.to_path_buf(),
@@ -165,36 +166,36 @@
             segments,
             file: None,
             state: saved.state,
-            snapshot: saved.snapshot.as_ref().map(|s| s.end),
+            snapshot_end: saved.snapshot.as_ref().map(|s| s.end),
             failed: false,
-            room: None,
+            free_space: None,
             _lock: lock,
         };
-        disk.reopen_last()?;
-        if unnamed {
-            disk.name_snapshot(&saved)?;
+        disk.reopen_last_segment()?;
+        if snapshot_unrecorded {
+            disk.append_snapshot_record(&saved)?;
         }
         disk.remove_old_snapshots()?;
         Ok((disk, saved))
     }
 
-    /// Returns whose folder it is.
+    /// Returns the identity stored in the folder.
     pub fn identity(&self) -> Identity {
         self.identity
     }
 
-    /// Plays a disk with this many bytes left, or without a limit.
+    /// Simulates a disk with this much free space in bytes; `None` removes the limit.
     #[doc(hidden)]
     pub fn limit_room(&mut self, bytes: Option<usize>) {
-        self.room = bytes;
+        self.free_space = bytes;
     }
 
-    /// Writes operations in order and syncs them; blocks.
+    /// Writes operations in order and syncs them. Blocks until they are synced.
     ///
     /// # Errors
     ///
-    /// After [`DiskError::Full`] the same write may be repeated; after any
-    /// other error the folder must be opened again.
+    /// After [`DiskError::Full`] the same write can be retried. After any other error
+    /// the folder must be reopened.
     pub fn write(&mut self, ops: &[DiskOp]) -> Result<(), DiskError> {
         if self.failed {
             return Err(DiskError::Failed(self.path.clone()));
@@ -206,10 +207,11 @@
         written
     }
 
-    /// Writes the snapshots first, then one frame that names them.
+    /// Writes the snapshot files first, then one frame with the records that refer to
+    /// them.
     fn try_write(&mut self, ops: &[DiskOp]) -> Result<(), DiskError> {
         let mut records = Vec::new();
-        let mut snapshot = None;
+        let mut snapshot_end = None;
         for op in ops {
             records.push(match op {
                 DiskOp::State(state) => {
@@ -218,19 +220,19 @@
                 }
                 DiskOp::Truncate { from } => Record::Truncate(*from),
                 DiskOp::Entries(entries) => Record::Entries(entries.clone()),
-                DiskOp::Snapshot(kept) => {
-                    self.write_snapshot(kept)?;
-                    snapshot = Some(kept.end);
-                    Record::Snapshot(kept.end)
+                DiskOp::Snapshot(new_snapshot) => {
+                    self.write_snapshot(new_snapshot)?;
+                    snapshot_end = Some(new_snapshot.end);
+                    Record::Snapshot(new_snapshot.end)
                 }
             });
         }
-        if snapshot.is_some() || self.is_segment_full() || self.file.is_none() {
-            self.begin_segment()?;
+        if snapshot_end.is_some() || self.is_segment_full() || self.file.is_none() {
+            self.start_segment()?;
         }
         self.append(&records)?;
-        if let Some(end) = snapshot {
-            self.snapshot = Some(end);
+        if let Some(end) = snapshot_end {
+            self.snapshot_end = Some(end);
             self.remove_old_segments(end.index)?;
             self.remove_old_snapshots()?;
         }
@@ -239,28 +241,29 @@
 
     /// Appends one frame and syncs it.
     ///
-    /// If there is no space, the part of the frame that was written is cut off,
-    /// so that the write can be repeated. A sync that fails is never repeated:
-    /// the system may have dropped the pages and report the next one as good.
+    /// If the disk is full, the partially written frame is truncated, so that the write
+    /// can be retried. A failed sync is never retried: the kernel may have dropped the
+    /// dirty pages and report success for the next sync.
     fn append(&mut self, records: &[Record]) -> Result<(), DiskError> {
         let payload = postcard::to_stdvec(records).unwrap_or_default();
         let incarnation = self.identity.incarnation;
         let (Some(segment), Some(file)) = (self.segments.last_mut(), &mut self.file) else {
             return Err(DiskError::Failed(self.path.clone()));
         };
-        let place = Place {
+        let location = FrameLocation {
             incarnation,
             segment: segment.number,
             offset: segment.len,
         };
         let mut buf = Vec::new();
-        write_frame(&mut buf, place, &payload);
-        if let Err(e) = write_within(file, &buf, &mut self.room) {
-            // Synced, or a power cut could bring the part back after the next
-            // segment was begun, where it would pass for damage.
-            let cut = file.set_len(segment.len).and_then(|()| file.sync_all());
-            let back = cut.and_then(|()| file.seek(SeekFrom::Start(segment.len)));
-            back.map_err(|_| DiskError::Failed(segment.path.clone()))?;
+        write_frame(&mut buf, location, &payload);
+        if let Err(e) = write_limited(file, &buf, &mut self.free_space) {
+            // The truncation is synced. Otherwise a power failure could restore the
+            // partial frame after the next segment was started, where it would be
+            // reported as corruption.
+            let truncated = file.set_len(segment.len).and_then(|()| file.sync_all());
+            let rewound = truncated.and_then(|()| file.seek(SeekFrom::Start(segment.len)));
+            rewound.map_err(|_| DiskError::Failed(segment.path.clone()))?;
             return Err(DiskError::io(&segment.path, e));
         }
         let synced = file.sync_data();
@@ -269,13 +272,16 @@
             source,
         })?;
         segment.len += buf.len() as u64;
-        segment.last = records.iter().map(last_of).fold(segment.last, u64::max);
+        segment.last_index = records
+            .iter()
+            .map(last_entry_index)
+            .fold(segment.last_index, u64::max);
         Ok(())
     }
 
-    /// Begins a segment with term, vote and the newest snapshot's end, so that
-    /// older segments can be removed.
-    fn begin_segment(&mut self) -> Result<(), DiskError> {
+    /// Starts a segment with the term, the vote and the end of the newest snapshot, so
+    /// that older segments can be removed.
+    fn start_segment(&mut self) -> Result<(), DiskError> {
         let number = self.segments.last().map_or(1, |s| s.number + 1);
         let path = self.path.join(segment_name(number));
         let file = OpenOptions::new()
@@ -289,42 +295,43 @@
         self.segments.push(Segment {
             number,
             path,
-            last: 0,
+            last_index: 0,
             len: 0,
         });
         let state = Record::State(self.state);
-        let records: Vec<Record> = match self.snapshot {
+        let records: Vec<Record> = match self.snapshot_end {
             Some(end) => vec![state, Record::Snapshot(end)],
             None => vec![state],
         };
         self.append(&records)
     }
 
-    /// Names the newest snapshot in the log, with what follows on it, because
-    /// the record that should have was lost.
-    fn name_snapshot(&mut self, saved: &SavedState) -> Result<(), DiskError> {
-        let Some(end) = self.snapshot else {
+    /// Appends the record of the newest snapshot, which a power failure between the
+    /// sync of the snapshot and that of its record has lost. Entries that do not
+    /// follow the snapshot are truncated.
+    fn append_snapshot_record(&mut self, saved: &SavedState) -> Result<(), DiskError> {
+        let Some(end) = self.snapshot_end else {
             return Ok(());
         };
         let from = saved.entries.last().map_or(end.index, |entry| entry.index) + 1;
         if self.file.is_none() {
-            return self.begin_segment();
+            return self.start_segment();
         }
         self.append(&[Record::Truncate(from), Record::Snapshot(end)])
     }
 
-    /// Writes a snapshot as a whole file.
+    /// Writes a snapshot file atomically.
     fn write_snapshot(&self, snapshot: &Snapshot) -> Result<(), DiskError> {
         let payload = postcard::to_stdvec(snapshot).unwrap_or_default();
-        let place = snapshot_place(self.identity.incarnation, snapshot.end.index);
+        let location = snapshot_location(self.identity.incarnation, snapshot.end.index);
         let mut buf = Vec::new();
-        write_frame(&mut buf, place, &payload);
+        write_frame(&mut buf, location, &payload);
         let name = format!("{SNAPSHOT_PREFIX}{}{SNAPSHOT_SUFFIX}", snapshot.end.index);
         folder::write_whole(&self.path, &name, &buf)
     }
 
     /// Opens the last segment for appending.
-    fn reopen_last(&mut self) -> Result<(), DiskError> {
+    fn reopen_last_segment(&mut self) -> Result<(), DiskError> {
         let Some(segment) = self.segments.last() else {
             return Ok(());
         };
@@ -338,26 +345,28 @@
         Ok(())
     }
 
-    /// Returns whether the last segment has grown enough.
+    /// Returns whether the last segment exceeds [`SEGMENT_BYTES`].
     fn is_segment_full(&self) -> bool {
         self.segments.last().is_some_and(|s| s.len > SEGMENT_BYTES)
     }
 
-    /// Removes the oldest segments as long as a snapshot contains all of their
-    /// entries. What they say beside is repeated at the start of each segment.
+    /// Removes the oldest segments whose entries are all covered by the snapshot at
+    /// `index`. Their other records are repeated at the start of each segment.
     fn remove_old_segments(&mut self, index: LogIndex) -> Result<(), DiskError> {
         let newest = self.segments.len().saturating_sub(1);
-        let old = self.segments[..newest].iter();
-        let count = old.take_while(|segment| segment.last <= index).count();
+        let candidates = self.segments[..newest].iter();
+        let count = candidates
+            .take_while(|segment| segment.last_index <= index)
+            .count();
         for segment in self.segments.drain(..count) {
             fs::remove_file(&segment.path).map_err(|e| DiskError::io(&segment.path, e))?;
         }
         Ok(())
     }
 
-    /// Removes all snapshots but the newest.
+    /// Removes all snapshots except the newest.
     fn remove_old_snapshots(&self) -> Result<(), DiskError> {
-        let mut files = folder::numbered(&self.path, SNAPSHOT_PREFIX, SNAPSHOT_SUFFIX)?;
+        let mut files = folder::numbered_files(&self.path, SNAPSHOT_PREFIX, SNAPSHOT_SUFFIX)?;
         files.pop();
         for (_, path) in files {
             fs::remove_file(&path).map_err(|e| DiskError::io(&path, e))?;
@@ -366,27 +375,27 @@
     }
 }
 
-/// Writes bytes as far as there is room.
-fn write_within(file: &mut File, buf: &[u8], room: &mut Option<usize>) -> io::Result<()> {
-    let Some(left) = room else {
+/// Writes up to `free_space` bytes and fails if the buffer is larger.
+fn write_limited(file: &mut File, buf: &[u8], free_space: &mut Option<usize>) -> io::Result<()> {
+    let Some(remaining) = free_space else {
         return file.write_all(buf);
     };
-    let fits = buf.len().min(*left);
-    file.write_all(&buf[..fits])?;
-    if fits < buf.len() {
+    let fitting_len = buf.len().min(*remaining);
+    file.write_all(&buf[..fitting_len])?;
+    if fitting_len < buf.len() {
         return Err(io::ErrorKind::StorageFull.into());
     }
-    *left -= fits;
+    *remaining -= fitting_len;
     Ok(())
 }
 
-/// Returns the name of a segment.
+/// Returns the file name of a segment.
 fn segment_name(number: u64) -> String {
     format!("{SEGMENT_PREFIX}{number}{SEGMENT_SUFFIX}")
 }
 
-/// Returns the last position in a record.
-fn last_of(record: &Record) -> LogIndex {
+/// Returns the index of the last entry in a record, or 0.
+fn last_entry_index(record: &Record) -> LogIndex {
     match record {
         Record::Entries(entries) => entries.last().map_or(0, |entry| entry.index),
         Record::State(_) | Record::Truncate(_) | Record::Snapshot(_) => 0,
--- a/sesamebeam/src/disk/error.rs
+++ b/sesamebeam/src/disk/error.rs
@@ -1,4 +1,4 @@
-//! Why a data folder could not be opened or written.
+//! Errors of the data folder.
 
 use std::{
     io,
@@ -10,46 +10,47 @@
 
 use thiserror::Error;
 
-/// Why a data folder could not be opened or written.
+/// Error on opening or writing a data folder.
 #[derive(Debug, Error)]
 pub enum DiskError {
-    /// There is no data folder; it must be made on purpose.
-    #[error("{0}: no data folder here; it must be made on purpose")]
+    /// The data folder does not exist. It is only created on request, so that a lost
+    /// folder is not silently replaced by an empty one.
+    #[error("{0}: data folder does not exist and is not created automatically")]
     Missing(PathBuf),
-    /// There is a data folder already.
-    #[error("{0}: there is a data folder here already")]
+    /// A data folder exists already.
+    #[error("{0}: data folder exists already")]
     Exists(PathBuf),
     /// Another process has the folder open.
-    #[error("{0}: another process has this data folder open")]
+    #[error("{0}: data folder is open in another process")]
     Locked(PathBuf),
-    /// What was synced once does not read back.
-    #[error("{path}: damaged at offset {offset}: {what}")]
+    /// Data that was synced cannot be read back.
+    #[error("{path}: corrupt at offset {offset}: {reason}")]
     Damaged {
-        /// File that is damaged.
+        /// Corrupt file.
         path: PathBuf,
-        /// Offset of the damage in bytes.
+        /// Offset of the corruption in bytes.
         offset: u64,
-        /// What is wrong there.
-        what: &'static str,
+        /// Description of the corruption.
+        reason: &'static str,
     },
-    /// The disk is full. Nothing of the write counts; it may be repeated.
+    /// The disk is full. The write had no effect and can be retried.
     #[error("{0}: disk is full")]
     Full(PathBuf),
-    /// An earlier write failed in a way that leaves its fate open.
-    #[error("{0}: an earlier write failed; open the folder again")]
+    /// An earlier write failed and left the contents of the disk unknown.
+    #[error("{0}: an earlier write failed; the folder must be reopened")]
     Failed(PathBuf),
-    /// The operating system reports an error.
+    /// I/O error.
     #[error("{path}: {source}")]
     Io {
-        /// File concerned.
+        /// File or folder of the failed operation.
         path: PathBuf,
-        /// The error.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
 impl DiskError {
-    /// Turns an error of the operating system.
+    /// Converts an I/O error; errors for lack of space become [`DiskError::Full`].
     pub(super) fn io(path: &Path, source: io::Error) -> Self {
         let path = path.to_path_buf();
         match source.kind() {
@@ -58,12 +59,12 @@
         }
     }
 
-    /// Reports damage.
-    pub(super) fn damaged(path: &Path, offset: u64, what: &'static str) -> Self {
+    /// Creates an error for a corrupt file.
+    pub(super) fn damaged(path: &Path, offset: u64, reason: &'static str) -> Self {
         DiskError::Damaged {
             path: path.to_path_buf(),
             offset,
-            what,
+            reason,
         }
     }
 }
--- a/sesamebeam/src/disk/folder.rs
+++ b/sesamebeam/src/disk/folder.rs
@@ -1,4 +1,4 @@
-//! The folder: its identity, its lock, and files that appear as a whole.
+//! The folder's identity and lock, and atomic file writes.
 
 use std::{
     fs::{
@@ -23,115 +23,115 @@
 use super::{
     error::DiskError,
     frame::{
-        Place,
+        FrameLocation,
         read_frame,
         write_frame, //
     },
 };
 
-/// Name of the file that tells whose folder it is.
-const IDENTITY: &str = "identity";
+/// Name of the identity file.
+const IDENTITY_FILE: &str = "identity";
 
-/// Name of the file that is locked while the folder is open.
-const LOCK: &str = "lock";
+/// Name of the lock file.
+const LOCK_FILE: &str = "lock";
 
-/// End of the name of a file that is not whole yet.
-const UNFINISHED: &str = ".part";
+/// File name suffix of files that are not completely written yet.
+const PART_SUFFIX: &str = ".part";
 
-/// Whose data folder it is.
+/// The replica that a data folder belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Group of the replica.
+    /// Group ID.
     pub group: u128,
-    /// Number of the replica.
+    /// Replica ID.
     pub node: NodeId,
-    /// Drawn at random when the folder is made, so that a lost folder that is
-    /// made anew is told from the old one.
+    /// Incarnation of the folder, which distinguishes a folder that was created again
+    /// after a loss from the original one.
     pub incarnation: u128,
 }
 
-/// Where the identity lies, as its checksum has it.
-const IDENTITY_PLACE: Place = Place {
+/// Frame location of the identity, part of its checksum.
+const IDENTITY_LOCATION: FrameLocation = FrameLocation {
     incarnation: 0,
     segment: 0,
     offset: 0,
 };
 
-/// Makes a folder with an identity.
+/// Creates a folder and its identity file.
 pub(super) fn create(path: &Path, identity: &Identity) -> Result<(), DiskError> {
-    if path.join(IDENTITY).exists() {
+    if path.join(IDENTITY_FILE).exists() {
         return Err(DiskError::Exists(path.to_path_buf()));
     }
     fs::create_dir_all(path).map_err(|e| DiskError::io(path, e))?;
     let payload = postcard::to_stdvec(identity).unwrap_or_default();
     let mut buf = Vec::new();
-    write_frame(&mut buf, IDENTITY_PLACE, &payload);
-    write_whole(path, IDENTITY, &buf)?;
+    write_frame(&mut buf, IDENTITY_LOCATION, &payload);
+    write_whole(path, IDENTITY_FILE, &buf)?;
     match path.parent() {
         Some(parent) if !parent.as_os_str().is_empty() => sync_folder(parent),
         _ => Ok(()),
     }
 }
 
-/// Reads whose folder it is.
+/// Reads the identity file.
 pub(super) fn read_identity(path: &Path) -> Result<Identity, DiskError> {
-    let file = path.join(IDENTITY);
+    let file = path.join(IDENTITY_FILE);
     if !file.exists() {
         return Err(DiskError::Missing(path.to_path_buf()));
     }
     let bytes = fs::read(&file).map_err(|e| DiskError::io(&file, e))?;
-    let payload = read_frame(&bytes, IDENTITY_PLACE, true)
-        .map_err(|fault| DiskError::damaged(&file, 0, fault.text()))?;
+    let payload = read_frame(&bytes, IDENTITY_LOCATION, true)
+        .map_err(|e| DiskError::damaged(&file, 0, e.description()))?;
     postcard::from_bytes(payload)
-        .map_err(|_| DiskError::damaged(&file, 0, "identity does not decode"))
+        .map_err(|_| DiskError::damaged(&file, 0, "identity cannot be decoded"))
 }
 
-/// Locks the folder against other processes. The lock ends with the file, also
-/// when the process is killed.
+/// Locks the folder against other processes. The lock is released when the file is
+/// closed, also if the process is killed.
 ///
-/// Two processes on one folder would each append where the other does, and
-/// what one synced would be overwritten.
+/// Two processes on one folder would append at the same offset, and one would
+/// overwrite what the other had synced.
 pub(super) fn lock(path: &Path) -> Result<File, DiskError> {
-    let name = path.join(LOCK);
+    let lock_path = path.join(LOCK_FILE);
     let file = OpenOptions::new()
         .write(true)
         .create(true)
         .truncate(false)
-        .open(&name)
-        .map_err(|e| DiskError::io(&name, e))?;
+        .open(&lock_path)
+        .map_err(|e| DiskError::io(&lock_path, e))?;
     match file.try_lock() {
         Ok(()) => Ok(file),
         Err(TryLockError::WouldBlock) => Err(DiskError::Locked(path.to_path_buf())),
-        Err(TryLockError::Error(e)) => Err(DiskError::io(&name, e)),
+        Err(TryLockError::Error(e)) => Err(DiskError::io(&lock_path, e)),
     }
 }
 
-/// Writes a file so that it is there whole and synced, or not at all.
+/// Writes and syncs a file atomically, through a temporary file and a rename.
 pub(crate) fn write_whole(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
-    let unfinished = folder.join(format!("{name}{UNFINISHED}"));
-    let io = |e| DiskError::io(&unfinished, e);
-    let written = File::create(&unfinished).and_then(|mut file| {
+    let part_path = folder.join(format!("{name}{PART_SUFFIX}"));
+    let io = |e| DiskError::io(&part_path, e);
+    let written = File::create(&part_path).and_then(|mut file| {
         file.write_all(bytes)?;
         file.sync_all()
     });
     if let Err(e) = written {
-        // What is left of it would only fill the disk further.
-        let _ = fs::remove_file(&unfinished);
+        // Frees the space that the incomplete file occupies.
+        let _ = fs::remove_file(&part_path);
         return Err(io(e));
     }
-    fs::rename(&unfinished, folder.join(name)).map_err(io)?;
+    fs::rename(&part_path, folder.join(name)).map_err(io)?;
     sync_folder(folder)
 }
 
-/// Syncs a folder, so that the names of its files last.
+/// Syncs a folder, so that its directory entries are durable.
 pub(super) fn sync_folder(path: &Path) -> Result<(), DiskError> {
     let synced = File::open(path).and_then(|folder| folder.sync_all());
     synced.map_err(|e| DiskError::io(path, e))
 }
 
-/// Lists the files whose names are a number between `prefix` and `suffix`, in
-/// order, and removes what was never finished.
-pub(super) fn numbered(
+/// Returns the files named `prefix`, a number and `suffix`, in ascending order of
+/// the number. Removes incomplete files.
+pub(super) fn numbered_files(
     folder: &Path,
     prefix: &str,
     suffix: &str,
@@ -143,7 +143,7 @@
         let Some(name) = path.file_name().and_then(|n| n.to_str()) else {
             continue;
         };
-        if name.ends_with(UNFINISHED) {
+        if name.ends_with(PART_SUFFIX) {
             fs::remove_file(&path).map_err(io)?;
             continue;
         }
@@ -158,16 +158,17 @@
     Ok(found)
 }
 
-/// Returns whether there is a data folder: its identity is written first.
+/// Returns whether a data folder exists. The identity file is the first file that is
+/// written to it.
 pub(super) fn is_made(path: &Path) -> bool {
-    path.join(IDENTITY).exists()
+    path.join(IDENTITY_FILE).exists()
 }
 
-/// Removes the files of a folder, the identity first: without it the rest is
-/// never read again, also if the power goes before all of it is gone.
+/// Removes the files of a folder, the identity file first. Without it the other files
+/// are never read again, even if a power failure interrupts the removal.
 pub(super) fn remove(path: &Path) -> Result<(), DiskError> {
     let io = |e| DiskError::io(path, e);
-    fs::remove_file(path.join(IDENTITY)).map_err(io)?;
+    fs::remove_file(path.join(IDENTITY_FILE)).map_err(io)?;
     sync_folder(path)?;
     for entry in fs::read_dir(path).map_err(io)? {
         fs::remove_file(entry.map_err(io)?.path()).map_err(io)?;
--- a/sesamebeam/src/disk/frame.rs
+++ b/sesamebeam/src/disk/frame.rs
@@ -1,8 +1,8 @@
-//! Frames: one record with its length and checksum.
+//! Frames: a payload with its length and checksum.
 //!
-//! One write is one frame. A frame whose sync did not finish can have any of
-//! its bytes missing, in any order, and only the last frame of a folder can be
-//! such a one, since the next is written after the sync.
+//! Each write is one frame. If the sync of a frame did not finish, any of its bytes
+//! can be missing, in any order. Only the last frame of a folder can be torn this
+//! way, because the next one is written after the sync.
 
 use serde::{
     Deserialize,
@@ -14,118 +14,125 @@
     LogPosition, //
 };
 
-/// Bytes before the payload: mark, length, checksum.
-pub(super) const HEADER: usize = 12;
+/// Size of the frame header in bytes: magic number, length and checksum.
+pub(super) const HEADER_LEN: usize = 12;
 
-/// First bytes of a frame, by which a later frame is found behind damage.
-const MARK: [u8; 4] = *b"SBF1";
+/// Magic number at the start of a frame, used to find later frames after corruption.
+const MAGIC: [u8; 4] = *b"SBF1";
 
-/// Largest payload in bytes; a longer length can only be damage.
+/// Maximum payload size in bytes. A larger length field indicates corruption.
 const MAX_PAYLOAD: usize = 1 << 28;
 
-/// What a frame records.
+/// A record in a log frame.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Record {
     /// Term and vote.
     State(HardState),
-    /// Entries from this position on are dropped.
+    /// Entries from this log index on are removed.
     Truncate(u64),
-    /// A snapshot file was synced; a shorter log goes on after its end.
+    /// A snapshot file was synced. If the log ends before the end of the snapshot, it
+    /// continues after it.
     Snapshot(LogPosition),
-    /// Entries that follow on.
+    /// Entries appended to the log.
     Entries(Vec<Entry>),
 }
 
-/// Where a frame lies, which is part of its checksum.
+/// Location of a frame, which is part of its checksum.
 ///
-/// Without it an old frame that the file system gives back at another place,
-/// or a copy of one inside an entry, would pass for a frame.
+/// Otherwise an old frame that the file system returns at another offset, or a copy
+/// of a frame inside an entry, would be accepted as a frame.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Place {
+pub(super) struct FrameLocation {
     /// Incarnation of the data folder.
     pub(super) incarnation: u128,
-    /// Number of the segment.
+    /// Segment number.
     pub(super) segment: u64,
-    /// Offset in the segment.
+    /// Offset in the segment, in bytes.
     pub(super) offset: u64,
 }
 
-/// What is wrong with the bytes at a place.
+/// Error on reading a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Fault {
-    /// There are fewer bytes than a header or its length ask for.
-    Short,
-    /// There is no frame's mark.
-    Mark,
-    /// The length is impossible.
-    Length,
+pub(super) enum FrameError {
+    /// The data ends before the end of the header or payload.
+    Truncated,
+    /// The magic number is missing.
+    BadMagic,
+    /// The length exceeds [`MAX_PAYLOAD`].
+    BadLength,
     /// The checksum does not match.
-    Checksum,
+    BadChecksum,
 }
 
-impl Fault {
-    /// Says what is wrong, for people.
-    pub(super) fn text(self) -> &'static str {
+impl FrameError {
+    /// Returns a description for error messages.
+    pub(super) fn description(self) -> &'static str {
         match self {
-            Fault::Short => "frame is cut short",
-            Fault::Mark => "no frame begins here",
-            Fault::Length => "length is impossible",
-            Fault::Checksum => "checksum does not match",
+            FrameError::Truncated => "frame is truncated",
+            FrameError::BadMagic => "magic number of a frame is missing",
+            FrameError::BadLength => "frame length exceeds the maximum",
+            FrameError::BadChecksum => "frame checksum does not match",
         }
     }
 }
 
 /// Appends a frame to a buffer.
-pub(super) fn write_frame(buf: &mut Vec<u8>, place: Place, payload: &[u8]) {
+pub(super) fn write_frame(buf: &mut Vec<u8>, location: FrameLocation, payload: &[u8]) {
     let len = u32::try_from(payload.len()).unwrap_or(u32::MAX);
-    buf.extend_from_slice(&MARK);
+    buf.extend_from_slice(&MAGIC);
     buf.extend_from_slice(&len.to_le_bytes());
-    buf.extend_from_slice(&checksum(place, payload).to_le_bytes());
+    buf.extend_from_slice(&checksum(location, payload).to_le_bytes());
     buf.extend_from_slice(payload);
 }
 
-/// Reads the frame at the start of `bytes`. Returns its payload.
-pub(super) fn read_frame(bytes: &[u8], place: Place, check: bool) -> Result<&[u8], Fault> {
-    let header = bytes.get(..HEADER).ok_or(Fault::Short)?;
-    if header[..4] != MARK {
-        return Err(Fault::Mark);
+/// Parses the frame at the start of `bytes` and returns its payload.
+pub(super) fn read_frame(
+    bytes: &[u8],
+    location: FrameLocation,
+    verify_checksum: bool,
+) -> Result<&[u8], FrameError> {
+    let header = bytes.get(..HEADER_LEN).ok_or(FrameError::Truncated)?;
+    if header[..4] != MAGIC {
+        return Err(FrameError::BadMagic);
     }
     let len = read_u32(&header[4..8]) as usize;
     if len > MAX_PAYLOAD {
-        return Err(Fault::Length);
+        return Err(FrameError::BadLength);
     }
-    let payload = bytes.get(HEADER..HEADER + len).ok_or(Fault::Short)?;
-    if check && read_u32(&header[8..12]) != checksum(place, payload) {
-        return Err(Fault::Checksum);
+    let payload = bytes
+        .get(HEADER_LEN..HEADER_LEN + len)
+        .ok_or(FrameError::Truncated)?;
+    if verify_checksum && read_u32(&header[8..12]) != checksum(location, payload) {
+        return Err(FrameError::BadChecksum);
     }
     Ok(payload)
 }
 
-/// Returns whether any whole frame begins after the first byte.
-pub(super) fn has_later_frame(bytes: &[u8], place: Place) -> bool {
-    let starts = bytes.windows(MARK.len()).enumerate().skip(1);
-    let marked = starts.filter(|(_, window)| *window == MARK);
-    marked.map(|(at, _)| at).any(|at| {
-        let offset = place.offset + at as u64;
-        let later = Place { offset, ..place };
+/// Returns whether a valid frame starts after the first byte of `bytes`.
+pub(super) fn has_later_frame(bytes: &[u8], location: FrameLocation) -> bool {
+    let starts = bytes.windows(MAGIC.len()).enumerate().skip(1);
+    let candidates = starts.filter(|(_, window)| *window == MAGIC);
+    candidates.map(|(at, _)| at).any(|at| {
+        let offset = location.offset + at as u64;
+        let later = FrameLocation { offset, ..location };
         read_frame(&bytes[at..], later, true).is_ok()
     })
 }
 
-/// Computes the checksum of a payload at a place.
-fn checksum(place: Place, payload: &[u8]) -> u32 {
+/// Computes the checksum of a payload at a location.
+fn checksum(location: FrameLocation, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&place.incarnation.to_le_bytes());
-    hasher.update(&place.segment.to_le_bytes());
-    hasher.update(&place.offset.to_le_bytes());
+    hasher.update(&location.incarnation.to_le_bytes());
+    hasher.update(&location.segment.to_le_bytes());
+    hasher.update(&location.offset.to_le_bytes());
     hasher.update(&(payload.len() as u64).to_le_bytes());
     hasher.update(payload);
     hasher.finalize()
 }
 
-/// Reads a number of four bytes.
+/// Decodes a little-endian `u32`.
 fn read_u32(bytes: &[u8]) -> u32 {
-    let mut word = [0; 4];
-    word.copy_from_slice(&bytes[..4]);
-    u32::from_le_bytes(word)
+    let mut array = [0; 4];
+    array.copy_from_slice(&bytes[..4]);
+    u32::from_le_bytes(array)
 }
--- a/sesamebeam/tests/disk_tail.rs
+++ b/sesamebeam/tests/disk_tail.rs
@@ -1,4 +1,4 @@
-//! The data folder after power cuts, damage and a full disk.
+//! Tests of the data folder after power failures, corruption and a full disk.
 
 use std::{
     fs,
@@ -69,7 +69,7 @@
     Disk::open(dir).map(|(_, saved)| saved)
 }
 
-/// Returns the newest segment.
+/// Returns the path of the newest segment.
 fn newest_segment(dir: &Path) -> PathBuf {
     let names = fs::read_dir(dir).unwrap().map(|e| e.unwrap().path());
     let segments = names.filter(|p| p.extension().is_some_and(|e| e == "seg"));
@@ -97,7 +97,7 @@
         vec![DiskOp::Truncate { from: 4 }, entries(4, 8)],
         vec![snapshot(6)],
         vec![state(2), entries(9, 9)],
-        // A snapshot from the leader takes the place of the whole log.
+        // A snapshot from the leader replaces the whole log.
         vec![DiskOp::Truncate { from: 21 }, snapshot(20)],
         vec![entries(21, 30)],
         vec![snapshot(25), entries(31, 31)],
@@ -112,8 +112,8 @@
     }
 }
 
-/// Writes two synced frames and a third, and returns the segment's bytes before
-/// and after the third.
+/// Writes three frames and returns the path of the segment with its bytes before and
+/// after the third.
 fn three_frames(dir: &Path) -> (PathBuf, Vec<u8>, Vec<u8>) {
     let (mut disk, _) = Disk::open(dir).unwrap();
     disk.write(&[state(1), entries(1, 2)]).unwrap();
@@ -125,7 +125,7 @@
     (path, before, after)
 }
 
-/// Sees that a torn third frame is cut off, and that writing goes on.
+/// Asserts that a torn third frame is truncated and that writes then succeed.
 fn recovers(dir: &Path, what: &str) {
     let (mut disk, saved) = Disk::open(dir).unwrap_or_else(|e| panic!("{what}: {e}"));
     assert_eq!(last_index(&saved), 4, "{what}");
@@ -137,8 +137,8 @@
 
 #[test]
 fn short_write() {
-    // A power cut comes while the last frame is written, at each of its bytes.
-    // Nobody was told that it is synced; it is cut off.
+    // A power failure interrupts the write of the last frame, at each of its bytes.
+    // The frame was not acknowledged as synced, so it is truncated.
     let dir = new_folder();
     let (path, before, after) = three_frames(dir.path());
     for len in before.len()..after.len() {
@@ -149,14 +149,14 @@
 
 #[test]
 fn reordered_write() {
-    // The file has its new length, but from one byte on, or up to it, the frame
-    // was never written and reads as zeros.
+    // The file has its new length, but the end or the start of the frame was never
+    // written and reads as zeros.
     let dir = new_folder();
     let (path, before, after) = three_frames(dir.path());
     for at in before.len() + 1..after.len() {
         let mut zero_end = after.clone();
         zero_end[at..].fill(0);
-        // The last bytes may be zeros anyway; then nothing is torn.
+        // The last bytes of the frame may be zeros; then nothing is torn.
         if zero_end != after {
             fs::write(&path, &zero_end).unwrap();
             recovers(dir.path(), &format!("zeros from {at}"));
@@ -170,8 +170,8 @@
 
 #[test]
 fn damaged_middle() {
-    // A byte of a synced frame has changed. The replica does not start: to go on
-    // without the entry would lose what was acknowledged.
+    // A byte of a synced frame has changed. The replica refuses to start, because
+    // continuing would lose an acknowledged entry.
     let dir = new_folder();
     let (path, _, after) = three_frames(dir.path());
     let last_frame = last_frame(&after);
@@ -190,11 +190,15 @@
             }
             other => panic!("byte {at}: {other:?}"),
         }
-        assert_eq!(fs::read(&path).unwrap(), damaged, "left as it was");
+        assert_eq!(
+            fs::read(&path).unwrap(),
+            damaged,
+            "corrupt file was modified"
+        );
     }
 }
 
-/// Returns where the last of the frames begins.
+/// Returns the offset of the last frame.
 fn last_frame(bytes: &[u8]) -> usize {
     let mark = b"SBF1";
     let starts = bytes.windows(mark.len()).enumerate();
@@ -204,8 +208,8 @@
 
 #[test]
 fn damage_unchecked() {
-    // The same without the checksum: the replica starts with another entry than
-    // the one that was acknowledged.
+    // Without the checksum, the replica would start with a different entry than the
+    // one that was acknowledged.
     let dir = new_folder();
     let (path, _, mut bytes) = three_frames(dir.path());
     let at = bytes.windows(7).position(|w| w == b"entry 3").unwrap();
@@ -222,8 +226,8 @@
 
 #[test]
 fn torn_tail_kept() {
-    // Without cutting off the torn end, the next write lands behind it, and the
-    // folder no longer opens.
+    // If the torn frame were not truncated, the next write would follow it and the
+    // folder could not be opened again.
     let dir = new_folder();
     let (path, before, after) = three_frames(dir.path());
     fs::write(&path, &after[..before.len() + 5]).unwrap();
@@ -240,8 +244,8 @@
 
 #[test]
 fn copied_frame() {
-    // A torn frame whose payload happens to hold the bytes of an earlier frame
-    // is still torn: a frame counts only at its own place.
+    // A torn frame whose payload contains the bytes of an earlier frame is still
+    // detected as torn: a frame is valid only at its original location.
     let dir = new_folder();
     let (path, before, mut after) = three_frames(dir.path());
     let copy = before[before.len() - 40..].to_vec();
@@ -254,8 +258,8 @@
 
 #[test]
 fn full_disk() {
-    // The disk has room for a part of the frame, however long. The write is
-    // refused as full and leaves nothing; with space again it is repeated.
+    // The disk has space for only a part of the frame. The write fails as full and
+    // has no effect; it succeeds when retried with enough space.
     let dir = new_folder();
     let (mut disk, _) = Disk::open(dir.path()).unwrap();
     disk.write(&[state(1), entries(1, 4)]).unwrap();
@@ -272,8 +276,8 @@
 
 #[test]
 fn full_snapshot() {
-    // The system itself reports no space while a snapshot is written. The old
-    // state stays in force, and the write can be repeated.
+    // The operating system reports a full disk while a snapshot is written. The
+    // previous state remains, and the write can be retried.
     let dir = new_folder();
     let (mut disk, _) = Disk::open(dir.path()).unwrap();
     disk.write(&[state(1), entries(1, 6)]).unwrap();
@@ -290,8 +294,8 @@
 
 #[test]
 fn unnamed_snapshot() {
-    // The power goes between the sync of a snapshot and that of the record that
-    // names it. The snapshot counts, and the log goes on after it.
+    // A power failure comes between the sync of a snapshot and that of its record. The
+    // snapshot is used, and the log continues after it.
     for index in [3, 9] {
         let dir = new_folder();
         let (mut disk, _) = Disk::open(dir.path()).unwrap();
@@ -311,7 +315,7 @@
 
 #[test]
 fn one_process() {
-    // A second process is refused while the first has the folder open.
+    // A second process cannot open the folder while the first has it open.
     let dir = new_folder();
     let first = Disk::open(dir.path()).unwrap();
     assert!(matches!(open(dir.path()), Err(DiskError::Locked(_))));
@@ -321,8 +325,8 @@
 
 #[test]
 fn lost_folder() {
-    // A folder that is gone is not made anew by opening it, and one that is
-    // there is not made over.
+    // Opening a missing folder does not create it, and creating an existing folder
+    // fails.
     let dir = tempfile::tempdir().unwrap();
     assert!(matches!(open(dir.path()), Err(DiskError::Missing(_))));
     Disk::create(dir.path(), &IDENTITY).unwrap();
@@ -332,7 +336,7 @@
 
 #[test]
 fn bounded_folder() {
-    // Snapshots let old segments and snapshots go.
+    // Old segments and snapshots are removed after each new snapshot.
     let dir = new_folder();
     let (mut disk, _) = Disk::open(dir.path()).unwrap();
     for round in 0..20 {
