--- a/sesamebeam/src/control.rs
+++ b/sesamebeam/src/control.rs
@@ -163,7 +163,7 @@
 
 /// How a replica obtains its data folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartMode {
     /// Opens a folder that must exist.
     Existing,
     /// Bootstraps the group: each initial replica creates its folder.
@@ -199,7 +199,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the folder is missing, corrupt, in use or belongs to another
+    /// Fails if the folder is missing, damaged, in use or belongs to another
     /// replica, or if the address is in use.
     pub fn open(settings: ControlSettings, creds: &Credentials) -> Result<Self, ControlError> {
         let (disk, saved) = Disk::open(&settings.data)?;
@@ -225,14 +225,14 @@
     /// # Errors
     ///
     /// Fails if a data folder exists already or it cannot be written.
-    pub fn make_folder(
+    pub fn create_data_folder(
         settings: &ControlSettings,
         creds: &Credentials,
-        start: Start,
+        start: StartMode,
     ) -> Result<u128, ControlError> {
         let incarnation = match start {
-            Start::Join | Start::Existing => rand::random(),
-            Start::Init => initial_incarnation(creds.fleet(), settings.node),
+            StartMode::Join | StartMode::Existing => rand::random(),
+            StartMode::Init => initial_incarnation(creds.fleet(), settings.node),
         };
         let identity = Identity {
             group: creds.fleet(),
@@ -252,7 +252,7 @@
     /// # Errors
     ///
     /// Fails if any replica that replies has a committed revision.
-    pub async fn check_unformed(
+    pub async fn check_not_bootstrapped(
         settings: &ControlSettings,
         creds: &Credentials,
     ) -> Result<(), ControlError> {
@@ -265,8 +265,8 @@
         let replies = join_all(others.map(|replica| {
             let caller = pool.get(replica.addr, Some(Role::Control(replica.node)));
             async move {
-                let replies = caller.call(&ControlRequest::Status, STATUS_TIMEOUT).await;
-                let bootstrapped = matches!(replies, Ok(ControlReply::Status(s)) if s.revision > 0);
+                let reply = caller.call(&ControlRequest::Status, STATUS_TIMEOUT).await;
+                let bootstrapped = matches!(reply, Ok(ControlReply::Status(s)) if s.revision > 0);
                 bootstrapped.then_some(replica.node)
             }
         }))
@@ -296,8 +296,8 @@
     /// support.
     pub async fn run(self, cancel: CancellationToken) -> Result<(), ControlError> {
         let (tx, rx) = unbounded_channel();
-        let reply_sender = tx.clone();
-        let notify = move |notice| reply_sender.send(disk_input(notice)).is_ok();
+        let input_tx = tx.clone();
+        let notify = move |notice| input_tx.send(disk_input(notice)).is_ok();
         let disk = DiskThread::start(self.disk, notify).map_err(ControlError::Thread)?;
         let pool = Pool::new(Arc::clone(&self.link), rand::random());
         let start = Instant::now();
--- a/sesamebeam/src/daemon.rs
+++ b/sesamebeam/src/daemon.rs
@@ -20,7 +20,7 @@
     control::{
         Control,
         ControlError,
-        Start, //
+        StartMode, //
     },
     entry::{
         Entry,
@@ -116,7 +116,7 @@
 struct Args {
     settings: PathBuf,
     check: bool,
-    start: Start,
+    start: StartMode,
 }
 
 /// Runs the entry daemon.
@@ -168,9 +168,9 @@
     }
     let start = match (init, join) {
         (true, true) => return Err("--init and --join exclude each other".to_owned()),
-        (true, false) => Start::Init,
-        (false, true) => Start::Join,
-        (false, false) => Start::Existing,
+        (true, false) => StartMode::Init,
+        (false, true) => StartMode::Join,
+        (false, false) => StartMode::Existing,
     };
     Ok(Args {
         settings,
@@ -218,11 +218,11 @@
     // One thread: the task that owns the core never waits behind other work.
     let runtime = Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
-        if args.start == Start::Init {
-            Control::check_unformed(&settings, &creds).await?;
+        if args.start == StartMode::Init {
+            Control::check_not_bootstrapped(&settings, &creds).await?;
         }
-        if args.start != Start::Existing {
-            let incarnation = Control::make_folder(&settings, &creds, args.start)?;
+        if args.start != StartMode::Existing {
+            let incarnation = Control::create_data_folder(&settings, &creds, args.start)?;
             println!("incarnation {incarnation:032x}");
         }
         let stop = CancellationToken::new();
--- a/sesamebeam/src/disk.rs
+++ b/sesamebeam/src/disk.rs
@@ -8,7 +8,7 @@
 //! | `snapshot-I.snap` | one frame with the snapshot up to log index `I` |
 //!
 //! A write is durable once its frame is synced. A power failure can leave a torn
-//! write at the end of the newest segment, which is truncated. Corruption anywhere
+//! write at the end of the newest segment, which is truncated. Damage anywhere
 //! else is an error, because continuing would silently lose acknowledged entries.
 
 mod error;
@@ -36,7 +36,7 @@
 
 pub use error::DiskError;
 pub use folder::Identity;
-pub(crate) use folder::write_whole;
+pub(crate) use folder::write_atomically;
 
 use frame::{
     FrameLocation,
@@ -120,8 +120,8 @@
     }
 
     /// Returns whether a data folder exists at `path`.
-    pub fn is_made(path: impl AsRef<Path>) -> bool {
-        folder::is_made(path.as_ref())
+    pub fn exists(path: impl AsRef<Path>) -> bool {
+        folder::exists(path.as_ref())
     }
 
     /// Removes the contents of a data folder, so that it can be created again.
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the folder is missing, open in another process or corrupt.
+    /// Fails if the folder is missing, open in another process or damaged.
     pub fn open(path: impl AsRef<Path>) -> Result<(Disk, SavedState), DiskError> {
         Disk::open_with(path, Faults::default())
     }
@@ -186,7 +186,7 @@
 
     /// Simulates a disk with this much free space in bytes; `None` removes the limit.
     #[doc(hidden)]
-    pub fn limit_room(&mut self, bytes: Option<usize>) {
+    pub fn limit_free_space(&mut self, bytes: Option<usize>) {
         self.free_space = bytes;
     }
 
@@ -260,7 +260,7 @@
         if let Err(e) = write_limited(file, &buf, &mut self.free_space) {
             // The truncation is synced. Otherwise a power failure could restore the
             // partial frame after the next segment was started, where it would be
-            // reported as corruption.
+            // reported as damage.
             let truncated = file.set_len(segment.len).and_then(|()| file.sync_all());
             let rewound = truncated.and_then(|()| file.seek(SeekFrom::Start(segment.len)));
             rewound.map_err(|_| DiskError::Failed(segment.path.clone()))?;
@@ -307,8 +307,9 @@
     }
 
     /// Appends the record of the newest snapshot, which a power failure between the
-    /// sync of the snapshot and that of its record has lost. Entries that do not
-    /// follow the snapshot are truncated.
+    /// sync of the snapshot and that of its record has lost. Also
+    /// truncates the log after the last entry of `saved`, which removes entries that
+    /// conflict with the snapshot.
     fn append_snapshot_record(&mut self, saved: &SavedState) -> Result<(), DiskError> {
         let Some(end) = self.snapshot_end else {
             return Ok(());
@@ -327,7 +328,7 @@
         let mut buf = Vec::new();
         write_frame(&mut buf, location, &payload);
         let name = format!("{SNAPSHOT_PREFIX}{}{SNAPSHOT_SUFFIX}", snapshot.end.index);
-        folder::write_whole(&self.path, &name, &buf)
+        folder::write_atomically(&self.path, &name, &buf)
     }
 
     /// Opens the last segment for appending.
--- a/sesamebeam/src/disk/error.rs
+++ b/sesamebeam/src/disk/error.rs
@@ -24,13 +24,13 @@
     #[error("{0}: data folder is open in another process")]
     Locked(PathBuf),
     /// Data that was synced cannot be read back.
-    #[error("{path}: corrupt at offset {offset}: {reason}")]
+    #[error("{path}: damaged at offset {offset}: {reason}")]
     Damaged {
-        /// Corrupt file.
+        /// Damaged file.
         path: PathBuf,
-        /// Offset of the corruption in bytes.
+        /// Offset of the damage in bytes.
         offset: u64,
-        /// Description of the corruption.
+        /// Description of the damage.
         reason: &'static str,
     },
     /// The disk is full. The write had no effect and can be retried.
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Creates an error for a corrupt file.
+    /// Creates an error for a damaged file.
     pub(super) fn damaged(path: &Path, offset: u64, reason: &'static str) -> Self {
         DiskError::Damaged {
             path: path.to_path_buf(),
--- a/sesamebeam/src/disk/folder.rs
+++ b/sesamebeam/src/disk/folder.rs
@@ -46,7 +46,8 @@
     /// Replica ID.
     pub node: NodeId,
     /// Incarnation of the folder, which distinguishes a folder that was created again
-    /// after a loss from the original one.
+    /// after a loss from the original one. Random, except that the initial replicas of
+    /// a group derive theirs.
     pub incarnation: u128,
 }
 
@@ -66,7 +67,7 @@
     let payload = postcard::to_stdvec(identity).unwrap_or_default();
     let mut buf = Vec::new();
     write_frame(&mut buf, IDENTITY_LOCATION, &payload);
-    write_whole(path, IDENTITY_FILE, &buf)?;
+    write_atomically(path, IDENTITY_FILE, &buf)?;
     match path.parent() {
         Some(parent) if !parent.as_os_str().is_empty() => sync_folder(parent),
         _ => Ok(()),
@@ -107,7 +108,7 @@
 }
 
 /// Writes and syncs a file atomically, through a temporary file and a rename.
-pub(crate) fn write_whole(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
+pub(crate) fn write_atomically(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
     let part_path = folder.join(format!("{name}{PART_SUFFIX}"));
     let io = |e| DiskError::io(&part_path, e);
     let written = File::create(&part_path).and_then(|mut file| {
@@ -160,7 +161,7 @@
 
 /// Returns whether a data folder exists. The identity file is the first file that is
 /// written to it.
-pub(super) fn is_made(path: &Path) -> bool {
+pub(super) fn exists(path: &Path) -> bool {
     path.join(IDENTITY_FILE).exists()
 }
 
--- a/sesamebeam/src/disk/frame.rs
+++ b/sesamebeam/src/disk/frame.rs
@@ -17,10 +17,10 @@
 /// Size of the frame header in bytes: magic number, length and checksum.
 pub(super) const HEADER_LEN: usize = 12;
 
-/// Magic number at the start of a frame, used to find later frames after corruption.
+/// Magic number at the start of a frame, used to find later frames after damage.
 const MAGIC: [u8; 4] = *b"SBF1";
 
-/// Maximum payload size in bytes. A larger length field indicates corruption.
+/// Maximum payload size in bytes. A larger length field indicates damage.
 const MAX_PAYLOAD: usize = 1 << 28;
 
 /// A record in a log frame.
--- a/sesamebeam/src/group/folder.rs
+++ b/sesamebeam/src/group/folder.rs
@@ -21,7 +21,7 @@
 pub(super) fn current(data: &Path) -> Option<PathBuf> {
     let made = numbers(data).into_iter().rev();
     let mut made = made.map(|n| data.join(n.to_string()));
-    made.find(|path| Disk::is_made(path))
+    made.find(|path| Disk::exists(path))
 }
 
 /// Returns a folder that was never used.
--- a/sesamebeam/src/group/roster.rs
+++ b/sesamebeam/src/group/roster.rs
@@ -87,7 +87,7 @@
     let body = postcard::to_stdvec(servers)?;
     let checksum = crc32fast::hash(&body).to_le_bytes();
     let bytes = [&checksum[..], &body].concat();
-    Ok(disk::write_whole(data.as_ref(), FILE, &bytes)?)
+    Ok(disk::write_atomically(data.as_ref(), FILE, &bytes)?)
 }
 
 /// Writes the newest of what is to be kept until cancelled, each time after the disk
--- a/sesamebeam/src/local.rs
+++ b/sesamebeam/src/local.rs
@@ -54,7 +54,7 @@
     control::{
         Control,
         ControlError,
-        Start, //
+        StartMode, //
     },
     entry::{
         Entry,
@@ -251,7 +251,7 @@
         let settings = LocalSettings::make(plan, root)?;
         let stop = CancellationToken::new();
         for control in &settings.controls {
-            start_control(control.clone(), Start::Init, stop.clone())?;
+            start_control(control.clone(), StartMode::Init, stop.clone())?;
         }
         let mut entries = Vec::new();
         for entry in &settings.entries {
@@ -295,12 +295,12 @@
 /// Fails if its folder cannot be made or it cannot start.
 pub fn start_control(
     settings: ControlSettings,
-    start: Start,
+    start: StartMode,
     stop: CancellationToken,
 ) -> Result<(), LocalError> {
     let creds = Credentials::load(&settings.keys)?;
-    if start != Start::Existing {
-        Control::make_folder(&settings, &creds, start)?;
+    if start != StartMode::Existing {
+        Control::create_data_folder(&settings, &creds, start)?;
     }
     let (tx, rx) = std::sync::mpsc::channel();
     thread::Builder::new()
--- a/sesamebeam/tests/disk_tail.rs
+++ b/sesamebeam/tests/disk_tail.rs
@@ -1,4 +1,4 @@
-//! Tests of the data folder after power failures, corruption and a full disk.
+//! Tests of the data folder after power failures, damage and a full disk.
 
 use std::{
     fs,
@@ -106,9 +106,9 @@
         disk.write(&ops).unwrap();
         expected.write(&ops);
         drop(disk);
-        let (again, saved) = Disk::open(dir.path()).unwrap();
+        let (reopened, saved) = Disk::open(dir.path()).unwrap();
         assert_eq!(saved, expected);
-        disk = again;
+        disk = reopened;
     }
 }
 
@@ -126,13 +126,13 @@
 }
 
 /// Asserts that a torn third frame is truncated and that writes then succeed.
-fn recovers(dir: &Path, what: &str) {
-    let (mut disk, saved) = Disk::open(dir).unwrap_or_else(|e| panic!("{what}: {e}"));
-    assert_eq!(last_index(&saved), 4, "{what}");
+fn assert_recovers(dir: &Path, context: &str) {
+    let (mut disk, saved) = Disk::open(dir).unwrap_or_else(|e| panic!("{context}: {e}"));
+    assert_eq!(last_index(&saved), 4, "{context}");
     disk.write(&[entries(5, 5)]).unwrap();
     drop(disk);
-    let saved = open(dir).unwrap_or_else(|e| panic!("{what}, then written: {e}"));
-    assert_eq!(last_index(&saved), 5, "{what}");
+    let saved = open(dir).unwrap_or_else(|e| panic!("{context}, after another write: {e}"));
+    assert_eq!(last_index(&saved), 5, "{context}");
 }
 
 #[test]
@@ -143,7 +143,7 @@
     let (path, before, after) = three_frames(dir.path());
     for len in before.len()..after.len() {
         fs::write(&path, &after[..len]).unwrap();
-        recovers(dir.path(), &format!("cut at {len}"));
+        assert_recovers(dir.path(), &format!("cut at {len}"));
     }
 }
 
@@ -159,17 +159,17 @@
         // The last bytes of the frame may be zeros; then nothing is torn.
         if zero_end != after {
             fs::write(&path, &zero_end).unwrap();
-            recovers(dir.path(), &format!("zeros from {at}"));
+            assert_recovers(dir.path(), &format!("zeros from {at}"));
         }
         let mut zero_start = after.clone();
         zero_start[before.len()..at].fill(0);
         fs::write(&path, &zero_start).unwrap();
-        recovers(dir.path(), &format!("zeros up to {at}"));
+        assert_recovers(dir.path(), &format!("zeros up to {at}"));
     }
 }
 
 #[test]
-fn damaged_middle() {
+fn damaged_synced_frame() {
     // A byte of a synced frame has changed. The replica refuses to start, because
     // continuing would lose an acknowledged entry.
     let dir = new_folder();
@@ -181,11 +181,11 @@
         fs::write(&path, &damaged).unwrap();
         match open(dir.path()) {
             Err(DiskError::Damaged {
-                path: named,
+                path: damaged_path,
                 offset,
                 ..
             }) => {
-                assert_eq!(named, path);
+                assert_eq!(damaged_path, path);
                 assert!(offset <= at as u64);
             }
             other => panic!("byte {at}: {other:?}"),
@@ -193,21 +193,21 @@
         assert_eq!(
             fs::read(&path).unwrap(),
             damaged,
-            "corrupt file was modified"
+            "damaged file was modified"
         );
     }
 }
 
 /// Returns the offset of the last frame.
 fn last_frame(bytes: &[u8]) -> usize {
-    let mark = b"SBF1";
-    let starts = bytes.windows(mark.len()).enumerate();
-    let marked = starts.filter(|(_, window)| window == mark);
-    marked.map(|(at, _)| at).max().unwrap()
+    let magic = b"SBF1";
+    let starts = bytes.windows(magic.len()).enumerate();
+    let candidates = starts.filter(|(_, window)| window == magic);
+    candidates.map(|(at, _)| at).max().unwrap()
 }
 
 #[test]
-fn damage_unchecked() {
+fn damage_without_checksum() {
     // Without the checksum, the replica would start with a different entry than the
     // one that was acknowledged.
     let dir = new_folder();
@@ -253,7 +253,7 @@
     after.extend_from_slice(&before[..40]);
     after.extend_from_slice(&copy);
     fs::write(&path, &after).unwrap();
-    recovers(dir.path(), "copy of a frame");
+    assert_recovers(dir.path(), "copy of a frame");
 }
 
 #[test]
@@ -263,19 +263,19 @@
     let dir = new_folder();
     let (mut disk, _) = Disk::open(dir.path()).unwrap();
     disk.write(&[state(1), entries(1, 4)]).unwrap();
-    for room in 0..30 {
-        disk.limit_room(Some(room));
+    for free_space in 0..30 {
+        disk.limit_free_space(Some(free_space));
         let refused = disk.write(&[entries(5, 6)]);
         assert!(matches!(refused, Err(DiskError::Full(_))), "{refused:?}");
     }
-    disk.limit_room(None);
+    disk.limit_free_space(None);
     disk.write(&[entries(5, 6)]).unwrap();
     drop(disk);
     assert_eq!(last_index(&open(dir.path()).unwrap()), 6);
 }
 
 #[test]
-fn full_snapshot() {
+fn full_disk_during_snapshot() {
     // The operating system reports a full disk while a snapshot is written. The
     // previous state remains, and the write can be retried.
     let dir = new_folder();
@@ -293,14 +293,14 @@
 }
 
 #[test]
-fn unnamed_snapshot() {
+fn unrecorded_snapshot() {
     // A power failure comes between the sync of a snapshot and that of its record. The
     // snapshot is used, and the log continues after it.
     for index in [3, 9] {
         let dir = new_folder();
         let (mut disk, _) = Disk::open(dir.path()).unwrap();
         disk.write(&[state(1), entries(1, 6)]).unwrap();
-        disk.limit_room(Some(0));
+        disk.limit_free_space(Some(0));
         let refused = disk.write(&[snapshot(index)]);
         assert!(matches!(refused, Err(DiskError::Full(_))), "{refused:?}");
         drop(disk);
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn one_process() {
+fn locked_folder() {
     // A second process cannot open the folder while the first has it open.
     let dir = new_folder();
     let first = Disk::open(dir.path()).unwrap();
@@ -324,14 +324,14 @@
 }
 
 #[test]
-fn lost_folder() {
+fn missing_or_existing_folder() {
     // Opening a missing folder does not create it, and creating an existing folder
     // fails.
     let dir = tempfile::tempdir().unwrap();
     assert!(matches!(open(dir.path()), Err(DiskError::Missing(_))));
     Disk::create(dir.path(), &IDENTITY).unwrap();
-    let again = Disk::create(dir.path(), &IDENTITY);
-    assert!(matches!(again, Err(DiskError::Exists(_))));
+    let created = Disk::create(dir.path(), &IDENTITY);
+    assert!(matches!(created, Err(DiskError::Exists(_))));
 }
 
 #[test]
