--- a/sesamebeam/src/group/replica_dir.rs
+++ b/sesamebeam/src/group/replica_dir.rs
@@ -22,7 +22,7 @@
 pub(super) fn current(data: &Path) -> Option<PathBuf> {
     let paths = numbers(data).into_iter().rev();
     let mut paths = paths.map(|n| data.join(n.to_string()));
-    paths.find(|path| Disk::is_made(path))
+    paths.find(|path| Disk::exists(path))
 }
 
 /// Returns the path of a directory that was never used.
--- a/sesamebeam/src/group/roster.rs
+++ b/sesamebeam/src/group/roster.rs
@@ -88,7 +88,7 @@
     let body = postcard::to_stdvec(servers)?;
     let checksum = crc32fast::hash(&body).to_le_bytes();
     let bytes = [&checksum[..], &body].concat();
-    Ok(disk::write_whole(data.as_ref(), FILE_NAME, &bytes)?)
+    Ok(disk::write_atomically(data.as_ref(), FILE_NAME, &bytes)?)
 }
 
 /// Saves updates until cancelled, one at a time; skips all but the latest while a write
--- a/sesamebeam/tests/disk_tail.rs
+++ b/sesamebeam/tests/disk_tail.rs
@@ -1,4 +1,4 @@
-//! The data folder after power cuts, damage and a full disk.
+//! Tests of the data folder after power failures, damage and a full disk.
 
 use std::{
     fs,
@@ -69,7 +69,7 @@
     Disk::open(dir).map(|(_, saved)| saved)
 }
 
-/// Returns the newest segment.
+/// Returns the path of the newest segment.
 fn newest_segment(dir: &Path) -> PathBuf {
     let names = fs::read_dir(dir).unwrap().map(|e| e.unwrap().path());
     let segments = names.filter(|p| p.extension().is_some_and(|e| e == "seg"));
@@ -97,7 +97,7 @@
         vec![DiskOp::Truncate { from: 4 }, entries(4, 8)],
         vec![snapshot(6)],
         vec![state(2), entries(9, 9)],
-        // A snapshot from the leader takes the place of the whole log.
+        // A snapshot from the leader replaces the whole log.
         vec![DiskOp::Truncate { from: 21 }, snapshot(20)],
         vec![entries(21, 30)],
         vec![snapshot(25), entries(31, 31)],
@@ -106,14 +106,14 @@
         disk.write(&ops).unwrap();
         expected.write(&ops);
         drop(disk);
-        let (again, saved) = Disk::open(dir.path()).unwrap();
+        let (reopened, saved) = Disk::open(dir.path()).unwrap();
         assert_eq!(saved, expected);
-        disk = again;
+        disk = reopened;
     }
 }
 
-/// Writes two synced frames and a third, and returns the segment's bytes before
-/// and after the third.
+/// Writes three frames and returns the path of the segment with its bytes before and
+/// after the third.
 fn three_frames(dir: &Path) -> (PathBuf, Vec<u8>, Vec<u8>) {
     let (mut disk, _) = Disk::open(dir).unwrap();
     disk.write(&[state(1), entries(1, 2)]).unwrap();
@@ -125,53 +125,53 @@
     (path, before, after)
 }
 
-/// Sees that a torn third frame is cut off, and that writing goes on.
-fn recovers(dir: &Path, what: &str) {
-    let (mut disk, saved) = Disk::open(dir).unwrap_or_else(|e| panic!("{what}: {e}"));
-    assert_eq!(last_index(&saved), 4, "{what}");
+/// Asserts that a torn third frame is truncated and that writes then succeed.
+fn assert_recovers(dir: &Path, context: &str) {
+    let (mut disk, saved) = Disk::open(dir).unwrap_or_else(|e| panic!("{context}: {e}"));
+    assert_eq!(last_index(&saved), 4, "{context}");
     disk.write(&[entries(5, 5)]).unwrap();
     drop(disk);
-    let saved = open(dir).unwrap_or_else(|e| panic!("{what}, then written: {e}"));
-    assert_eq!(last_index(&saved), 5, "{what}");
+    let saved = open(dir).unwrap_or_else(|e| panic!("{context}, after another write: {e}"));
+    assert_eq!(last_index(&saved), 5, "{context}");
 }
 
 #[test]
 fn short_write() {
-    // A power cut comes while the last frame is written, at each of its bytes.
-    // Nobody was told that it is synced; it is cut off.
+    // A power failure interrupts the write of the last frame, at each of its bytes.
+    // The frame was not acknowledged as synced, so it is truncated.
     let dir = new_folder();
     let (path, before, after) = three_frames(dir.path());
     for len in before.len()..after.len() {
         fs::write(&path, &after[..len]).unwrap();
-        recovers(dir.path(), &format!("cut at {len}"));
+        assert_recovers(dir.path(), &format!("cut at {len}"));
     }
 }
 
 #[test]
 fn reordered_write() {
-    // The file has its new length, but from one byte on, or up to it, the frame
-    // was never written and reads as zeros.
+    // The file has its new length, but the end or the start of the frame was never
+    // written and reads as zeros.
     let dir = new_folder();
     let (path, before, after) = three_frames(dir.path());
     for at in before.len() + 1..after.len() {
         let mut zero_end = after.clone();
         zero_end[at..].fill(0);
-        // The last bytes may be zeros anyway; then nothing is torn.
+        // The last bytes of the frame may be zeros; then nothing is torn.
         if zero_end != after {
             fs::write(&path, &zero_end).unwrap();
-            recovers(dir.path(), &format!("zeros from {at}"));
+            assert_recovers(dir.path(), &format!("zeros from {at}"));
         }
         let mut zero_start = after.clone();
         zero_start[before.len()..at].fill(0);
         fs::write(&path, &zero_start).unwrap();
-        recovers(dir.path(), &format!("zeros up to {at}"));
+        assert_recovers(dir.path(), &format!("zeros up to {at}"));
     }
 }
 
 #[test]
-fn damaged_middle() {
-    // A byte of a synced frame has changed. The replica does not start: to go on
-    // without the entry would lose what was acknowledged.
+fn damaged_synced_frame() {
+    // A byte of a synced frame has changed. The replica refuses to start, because
+    // continuing would lose an acknowledged entry.
     let dir = new_folder();
     let (path, _, after) = three_frames(dir.path());
     let last_frame = last_frame(&after);
@@ -181,31 +181,35 @@
         fs::write(&path, &damaged).unwrap();
         match open(dir.path()) {
             Err(DiskError::Damaged {
-                path: named,
+                path: damaged_path,
                 offset,
                 ..
             }) => {
-                assert_eq!(named, path);
+                assert_eq!(damaged_path, path);
                 assert!(offset <= at as u64);
             }
             other => panic!("byte {at}: {other:?}"),
         }
-        assert_eq!(fs::read(&path).unwrap(), damaged, "left as it was");
+        assert_eq!(
+            fs::read(&path).unwrap(),
+            damaged,
+            "damaged file was modified"
+        );
     }
 }
 
-/// Returns where the last of the frames begins.
+/// Returns the offset of the last frame.
 fn last_frame(bytes: &[u8]) -> usize {
-    let mark = b"SBF1";
-    let starts = bytes.windows(mark.len()).enumerate();
-    let marked = starts.filter(|(_, window)| window == mark);
-    marked.map(|(at, _)| at).max().unwrap()
+    let magic = b"SBF1";
+    let starts = bytes.windows(magic.len()).enumerate();
+    let candidates = starts.filter(|(_, window)| window == magic);
+    candidates.map(|(at, _)| at).max().unwrap()
 }
 
 #[test]
-fn damage_unchecked() {
-    // The same without the checksum: the replica starts with another entry than
-    // the one that was acknowledged.
+fn damage_without_checksum() {
+    // Without the checksum, the replica would start with a different entry than the
+    // one that was acknowledged.
     let dir = new_folder();
     let (path, _, mut bytes) = three_frames(dir.path());
     let at = bytes.windows(7).position(|w| w == b"entry 3").unwrap();
@@ -222,8 +226,8 @@
 
 #[test]
 fn torn_tail_kept() {
-    // Without cutting off the torn end, the next write lands behind it, and the
-    // folder no longer opens.
+    // If the torn frame were not truncated, the next write would follow it and the
+    // folder could not be opened again.
     let dir = new_folder();
     let (path, before, after) = three_frames(dir.path());
     fs::write(&path, &after[..before.len() + 5]).unwrap();
@@ -240,8 +244,8 @@
 
 #[test]
 fn copied_frame() {
-    // A torn frame whose payload happens to hold the bytes of an earlier frame
-    // is still torn: a frame counts only at its own place.
+    // A torn frame whose payload contains the bytes of an earlier frame is still
+    // detected as torn: a frame is valid only at its original location.
     let dir = new_folder();
     let (path, before, mut after) = three_frames(dir.path());
     let copy = before[before.len() - 40..].to_vec();
@@ -249,31 +253,31 @@
     after.extend_from_slice(&before[..40]);
     after.extend_from_slice(&copy);
     fs::write(&path, &after).unwrap();
-    recovers(dir.path(), "copy of a frame");
+    assert_recovers(dir.path(), "copy of a frame");
 }
 
 #[test]
 fn full_disk() {
-    // The disk has room for a part of the frame, however long. The write is
-    // refused as full and leaves nothing; with space again it is repeated.
+    // The disk has space for only a part of the frame. The write fails as full and
+    // has no effect; it succeeds when retried with enough space.
     let dir = new_folder();
     let (mut disk, _) = Disk::open(dir.path()).unwrap();
     disk.write(&[state(1), entries(1, 4)]).unwrap();
-    for room in 0..30 {
-        disk.limit_room(Some(room));
+    for free_space in 0..30 {
+        disk.limit_free_space(Some(free_space));
         let refused = disk.write(&[entries(5, 6)]);
         assert!(matches!(refused, Err(DiskError::Full(_))), "{refused:?}");
     }
-    disk.limit_room(None);
+    disk.limit_free_space(None);
     disk.write(&[entries(5, 6)]).unwrap();
     drop(disk);
     assert_eq!(last_index(&open(dir.path()).unwrap()), 6);
 }
 
 #[test]
-fn full_snapshot() {
-    // The system itself reports no space while a snapshot is written. The old
-    // state stays in force, and the write can be repeated.
+fn full_disk_during_snapshot() {
+    // The operating system reports a full disk while a snapshot is written. The
+    // previous state remains, and the write can be retried.
     let dir = new_folder();
     let (mut disk, _) = Disk::open(dir.path()).unwrap();
     disk.write(&[state(1), entries(1, 6)]).unwrap();
@@ -289,14 +293,14 @@
 }
 
 #[test]
-fn unnamed_snapshot() {
-    // The power goes between the sync of a snapshot and that of the record that
-    // names it. The snapshot counts, and the log goes on after it.
+fn unrecorded_snapshot() {
+    // A power failure comes between the sync of a snapshot and that of its record. The
+    // snapshot is used, and the log continues after it.
     for index in [3, 9] {
         let dir = new_folder();
         let (mut disk, _) = Disk::open(dir.path()).unwrap();
         disk.write(&[state(1), entries(1, 6)]).unwrap();
-        disk.limit_room(Some(0));
+        disk.limit_free_space(Some(0));
         let refused = disk.write(&[snapshot(index)]);
         assert!(matches!(refused, Err(DiskError::Full(_))), "{refused:?}");
         drop(disk);
@@ -310,8 +314,8 @@
 }
 
 #[test]
-fn one_process() {
-    // A second process is refused while the first has the folder open.
+fn locked_folder() {
+    // A second process cannot open the folder while the first has it open.
     let dir = new_folder();
     let first = Disk::open(dir.path()).unwrap();
     assert!(matches!(open(dir.path()), Err(DiskError::Locked(_))));
@@ -320,19 +324,19 @@
 }
 
 #[test]
-fn lost_folder() {
-    // A folder that is gone is not made anew by opening it, and one that is
-    // there is not made over.
+fn missing_or_existing_folder() {
+    // Opening a missing folder does not create it, and creating an existing folder
+    // fails.
     let dir = tempfile::tempdir().unwrap();
     assert!(matches!(open(dir.path()), Err(DiskError::Missing(_))));
     Disk::create(dir.path(), &IDENTITY).unwrap();
-    let again = Disk::create(dir.path(), &IDENTITY);
-    assert!(matches!(again, Err(DiskError::Exists(_))));
+    let created = Disk::create(dir.path(), &IDENTITY);
+    assert!(matches!(created, Err(DiskError::Exists(_))));
 }
 
 #[test]
 fn bounded_folder() {
-    // Snapshots let old segments and snapshots go.
+    // Old segments and snapshots are removed after each new snapshot.
     let dir = new_folder();
     let (mut disk, _) = Disk::open(dir.path()).unwrap();
     for round in 0..20 {
