--- a/sesamebeam/src/keys.rs
+++ b/sesamebeam/src/keys.rs
@@ -1,5 +1,5 @@
-//! Keys and certificates: the fleet's CA, a certificate for each process, and
-//! the secrets of callers, announcements and session tokens.
+//! Keys and certificates: the fleet's CA, the certificates of processes, and the
+//! secrets for callers, announcements and session tokens.
 
 mod ca;
 mod credentials;
@@ -39,99 +39,100 @@
     },
 };
 
-/// File with the certificate of the fleet's CA.
+/// File name of the fleet CA's certificate.
 pub const CA_FILE: &str = "ca.pem";
 
-/// File with the private key of the fleet's CA; never copied to an instance.
+/// File name of the fleet CA's private key, which is never copied to an instance.
 pub const CA_KEY_FILE: &str = "ca.key.pem";
 
-/// File with the certificate of a process.
+/// File name of a process's certificate.
 pub const CERT_FILE: &str = "cert.pem";
 
-/// File with the private key of a process.
+/// File name of a process's private key.
 pub const KEY_FILE: &str = "key.pem";
 
-/// Why a key or certificate could not be made, read or written.
+/// Error when generating, reading, writing or using a key or certificate.
 #[derive(Debug, Error)]
 pub enum KeyError {
     /// A file could not be read.
     #[error("cannot read {path}: {source}")]
     Read {
-        /// File that was to be read.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Underlying I/O error.
         source: io::Error,
     },
     /// A file could not be written.
     #[error("cannot write {path}: {source}")]
     Write {
-        /// File that was to be written.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Underlying I/O error.
         source: io::Error,
     },
-    /// A file holds no key or certificate.
-    #[error("{path} holds no {wanted} in PEM form")]
+    /// A file does not contain the expected PEM item.
+    #[error("{path} contains no PEM-encoded {expected}")]
     Pem {
-        /// File that was read.
+        /// Path of the file.
         path: PathBuf,
-        /// What it should hold.
-        wanted: &'static str,
+        /// Item that the file must contain.
+        expected: &'static str,
     },
-    /// A name cannot stand in a certificate.
+    /// A role name cannot be used in a certificate.
     #[error("`{0}` is no name for a certificate: 1 to 63 of a-z, 0-9 and `-`, not at an end")]
     Name(SmolStr),
-    /// A certificate names no role of ours.
-    #[error("certificate names no role of this system")]
+    /// A certificate contains no DNS name of a role.
+    #[error("certificate contains no DNS name of a known role")]
     NoRole,
-    /// A certificate could not be made.
-    #[error("cannot make a certificate: {0}")]
+    /// A key or certificate could not be generated or parsed.
+    #[error("cannot generate or parse a key or certificate: {0}")]
     Make(#[from] rcgen::Error),
-    /// The credentials do not fit together.
-    #[error("credentials are not usable: {0}")]
+    /// The TLS library rejected the credentials, such as a key that does not match
+    /// the certificate.
+    #[error("invalid credentials: {0}")]
     Unusable(#[from] rustls::Error),
-    /// The CA certificate cannot vouch for peers.
-    #[error("CA certificate is not usable: {0}")]
+    /// The CA certificate cannot be used to verify peers.
+    #[error("cannot verify peers with the CA certificate: {0}")]
     Verifier(#[from] rustls::server::VerifierBuilderError),
-    /// The TLS version is not available.
-    #[error("TLS 1.3 is not available for QUIC")]
+    /// The crypto provider lacks the cipher suite that QUIC requires.
+    #[error("crypto provider lacks the TLS 1.3 cipher suite required by QUIC")]
     NoInitialCipher(#[from] quinn::crypto::rustls::NoInitialCipherSuite),
 }
 
-/// Writes a file that only its owner can read, refusing to replace one.
+/// Creates a file that only its owner can read.
 ///
 /// # Errors
 ///
-/// Fails if the file exists or cannot be written.
+/// Returns an error if the file already exists or cannot be written.
 pub fn write_private(path: &Path, text: &str) -> Result<(), KeyError> {
-    write(path, text, 0o600)
+    create_file(path, text, 0o600)
 }
 
-/// Writes a file that everybody can read, refusing to replace one.
+/// Creates a file that all users can read.
 ///
 /// # Errors
 ///
-/// Fails if the file exists or cannot be written.
+/// Returns an error if the file already exists or cannot be written.
 pub fn write_public(path: &Path, text: &str) -> Result<(), KeyError> {
-    write(path, text, 0o644)
+    create_file(path, text, 0o644)
 }
 
-fn write(path: &Path, text: &str, mode: u32) -> Result<(), KeyError> {
-    let fault = |source| KeyError::Write {
+fn create_file(path: &Path, text: &str, mode: u32) -> Result<(), KeyError> {
+    let write_error = |source| KeyError::Write {
         path: path.to_owned(),
         source,
     };
-    let mut f = fs::OpenOptions::new()
+    let mut file = fs::OpenOptions::new()
         .write(true)
         .create_new(true)
         .mode(mode)
         .open(path)
-        .map_err(fault)?;
-    f.write_all(text.as_bytes()).map_err(fault)?;
-    f.sync_all().map_err(fault)
+        .map_err(write_error)?;
+    file.write_all(text.as_bytes()).map_err(write_error)?;
+    file.sync_all().map_err(write_error)
 }
 
-fn read(path: &Path) -> Result<String, KeyError> {
+fn read_file(path: &Path) -> Result<String, KeyError> {
     fs::read_to_string(path).map_err(|source| KeyError::Read {
         path: path.to_owned(),
         source,
--- a/sesamebeam/src/keys/ca.rs
+++ b/sesamebeam/src/keys/ca.rs
@@ -23,40 +23,40 @@
     KEY_FILE,
     KeyError,
     Role,
-    read,
+    read_file,
     role::FLEET_NAME,
     write_private,
     write_public, //
 };
 
-/// Years for which the CA's certificate is valid.
-const CA_YEARS: i32 = 10;
+/// Validity of the CA certificate in years.
+const CA_VALIDITY_YEARS: i32 = 10;
 
-/// Years for which a process's certificate is valid.
-const CERT_YEARS: i32 = 2;
+/// Validity of a process's certificate in years.
+const CERT_VALIDITY_YEARS: i32 = 2;
 
-/// The authority that vouches for every process of one fleet.
+/// Certificate authority that issues the certificates of all processes of a fleet.
 pub struct FleetCa {
     cert_pem: String,
     key_pem: String,
     issuer: Issuer<'static, KeyPair>,
 }
 
-/// A certificate with its private key, both in PEM form.
+/// A certificate and its private key, both PEM-encoded.
 #[derive(Clone)]
 pub struct Issued {
-    /// The certificate.
+    /// PEM-encoded certificate.
     pub cert_pem: String,
-    /// The private key.
+    /// PEM-encoded private key.
     pub key_pem: String,
 }
 
 impl FleetCa {
-    /// Makes an authority with a fresh key.
+    /// Generates a CA with a new key.
     ///
     /// # Errors
     ///
-    /// Fails if no key can be made.
+    /// Returns an error if the key or the certificate cannot be generated.
     pub fn make(fleet: &str) -> Result<Self, KeyError> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(Vec::new())?;
@@ -65,63 +65,63 @@
             .push(DnType::CommonName, format!("{fleet} fleet CA"));
         params.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
-        set_validity(&mut params, CA_YEARS);
+        set_validity(&mut params, CA_VALIDITY_YEARS);
         let cert_pem = params.self_signed(&key)?.pem();
         Self::from_pem(cert_pem, key.serialize_pem())
     }
 
-    /// Reads an authority from its folder.
+    /// Reads a CA from a folder.
     ///
     /// # Errors
     ///
-    /// Fails if a file is missing or holds no key or certificate.
+    /// Returns an error if a file is missing or contains no key or certificate.
     pub fn load(folder: &Path) -> Result<Self, KeyError> {
-        let cert_pem = read(&folder.join(CA_FILE))?;
-        let key_pem = read(&folder.join(CA_KEY_FILE))?;
+        let cert_pem = read_file(&folder.join(CA_FILE))?;
+        let key_pem = read_file(&folder.join(CA_KEY_FILE))?;
         Self::from_pem(cert_pem, key_pem)
     }
 
-    /// Writes the authority into a folder, the key readable only by its owner.
+    /// Writes the CA to a folder. Only the owner can read the key file.
     ///
     /// # Errors
     ///
-    /// Fails if the folder has an authority already or cannot be written.
+    /// Returns an error if the folder already contains a CA or cannot be written.
     pub fn save(&self, folder: &Path) -> Result<(), KeyError> {
         write_private(&folder.join(CA_KEY_FILE), &self.key_pem)?;
         write_public(&folder.join(CA_FILE), &self.cert_pem)
     }
 
-    /// Returns the authority's certificate in PEM form.
+    /// Returns the PEM-encoded CA certificate.
     pub fn cert_pem(&self) -> &str {
         &self.cert_pem
     }
 
     /// Issues a certificate for a process.
     ///
-    /// An operator's certificate serves for clients only, so that nobody can
-    /// pose as a replica or an entry with it.
+    /// An operator's certificate is valid for client authentication only, so that it
+    /// cannot be used to impersonate a replica or an entry.
     ///
     /// # Errors
     ///
-    /// Fails if the role's name cannot stand in a certificate.
+    /// Returns an error if the role's name cannot be used in a certificate.
     pub fn issue(&self, role: &Role) -> Result<Issued, KeyError> {
-        // A role that was not parsed may hold any text.
+        // A role that was constructed without parsing may contain an invalid name.
         let role: Role = role.to_string().parse()?;
-        let mut names = vec![role.dns_name()];
-        let mut uses = vec![ExtendedKeyUsagePurpose::ClientAuth];
+        let mut dns_names = vec![role.dns_name()];
+        let mut usages = vec![ExtendedKeyUsagePurpose::ClientAuth];
         if !matches!(role, Role::Operator(_)) {
-            names.push(FLEET_NAME.to_owned());
-            uses.push(ExtendedKeyUsagePurpose::ServerAuth);
+            dns_names.push(FLEET_NAME.to_owned());
+            usages.push(ExtendedKeyUsagePurpose::ServerAuth);
         }
         let key = KeyPair::generate()?;
-        let mut params = CertificateParams::new(names)?;
+        let mut params = CertificateParams::new(dns_names)?;
         params
             .distinguished_name
             .push(DnType::CommonName, role.to_string());
         params.key_usages = vec![KeyUsagePurpose::DigitalSignature];
-        params.extended_key_usages = uses;
+        params.extended_key_usages = usages;
         params.use_authority_key_identifier_extension = true;
-        set_validity(&mut params, CERT_YEARS);
+        set_validity(&mut params, CERT_VALIDITY_YEARS);
         let cert = params.signed_by(&key, &self.issuer)?;
         Ok(Issued {
             cert_pem: cert.pem(),
@@ -141,12 +141,12 @@
 }
 
 impl Issued {
-    /// Writes the certificate, its key and the authority's certificate into the
-    /// key folder of a process.
+    /// Writes the certificate, its key and the CA certificate to the key folder of a
+    /// process.
     ///
     /// # Errors
     ///
-    /// Fails if the folder has a certificate already or cannot be written.
+    /// Returns an error if the folder already contains a certificate or cannot be written.
     pub fn save(&self, folder: &Path, ca: &FleetCa) -> Result<(), KeyError> {
         write_private(&folder.join(KEY_FILE), &self.key_pem)?;
         write_public(&folder.join(CERT_FILE), &self.cert_pem)?;
@@ -154,8 +154,8 @@
     }
 }
 
-/// Sets the validity from the start of the last year on, so that an instance
-/// whose clock is behind accepts a fresh certificate.
+/// Sets the validity period. It starts with the previous year, so that an instance
+/// whose clock is slow accepts a new certificate.
 fn set_validity(params: &mut CertificateParams, years: i32) {
     let year = current_year();
     params.not_before = rcgen::date_time_ymd(year - 1, 1, 1);
@@ -163,7 +163,7 @@
 }
 
 fn current_year() -> i32 {
-    // RFC 3339 puts the year into the first four characters.
+    // An RFC 3339 timestamp starts with the four-digit year.
     let text = humantime::format_rfc3339_seconds(SystemTime::now()).to_string();
     text.get(..4).and_then(|y| y.parse().ok()).unwrap_or(2026)
 }
--- a/sesamebeam/src/keys/credentials.rs
+++ b/sesamebeam/src/keys/credentials.rs
@@ -1,4 +1,4 @@
-//! What a process shows to its peers and checks them by.
+//! TLS credentials with which a process authenticates itself and verifies its peers.
 
 use std::{
     path::Path,
@@ -30,17 +30,18 @@
     KEY_FILE,
     KeyError,
     Role,
-    read, //
+    read_file, //
 };
 
-/// Protocol name in the TLS handshake, so that no other QUIC service answers.
+/// ALPN protocol name, so that connections to other QUIC services fail in the
+/// handshake.
 const ALPN: &[u8] = b"sesamebeam/1";
 
-/// The CA's certificate, a process's own certificate and its private key.
+/// The CA certificate, and the certificate and private key of a process.
 pub struct Credentials {
     role: Role,
-    /// Digest of the fleet's certificate authority.
-    fleet: u128,
+    /// Digest of the fleet's CA certificate.
+    fleet_digest: u128,
     roots: Arc<RootCertStore>,
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
@@ -50,7 +51,7 @@
     fn clone(&self) -> Self {
         Self {
             role: self.role.clone(),
-            fleet: self.fleet,
+            fleet_digest: self.fleet_digest,
             roots: Arc::clone(&self.roots),
             chain: self.chain.clone(),
             key: self.key.clone_key(),
@@ -63,23 +64,23 @@
     ///
     /// # Errors
     ///
-    /// Fails if a file is missing or does not hold what its name says, or if
-    /// the certificate names no role.
+    /// Returns an error if a file is missing or does not contain the expected PEM item,
+    /// or if the certificate contains no role.
     pub fn load(folder: &Path) -> Result<Self, KeyError> {
         let ca = folder.join(CA_FILE);
         let cert = folder.join(CERT_FILE);
         let key = folder.join(KEY_FILE);
-        let ca_der = certificates(&read(&ca)?, &ca)?;
-        let cert_der = certificates(&read(&cert)?, &cert)?;
-        let key_der = private_key(&read(&key)?, &key)?;
+        let ca_der = certificates(&read_file(&ca)?, &ca)?;
+        let cert_der = certificates(&read_file(&cert)?, &cert)?;
+        let key_der = private_key(&read_file(&key)?, &key)?;
         Self::new(ca_der, cert_der, key_der)
     }
 
-    /// Issues credentials in memory, for processes that share an address space.
+    /// Issues credentials without writing files, for several roles within one process.
     ///
     /// # Errors
     ///
-    /// Fails if the role's name cannot stand in a certificate.
+    /// Returns an error if the role's name cannot be used in a certificate.
     pub fn from_fleet(ca: &FleetCa, role: &Role) -> Result<Self, KeyError> {
         let issued = ca.issue(role)?;
         let ca_der = certificates(ca.cert_pem(), Path::new(CA_FILE))?;
@@ -88,17 +89,17 @@
         Self::new(ca_der, cert_der, key_der)
     }
 
-    /// Returns the role that the certificate vouches for.
+    /// Returns the role in the certificate.
     pub fn role(&self) -> &Role {
         &self.role
     }
 
-    /// Returns a number that all processes of one fleet share and no other has.
+    /// Returns the digest of the fleet's CA certificate, which identifies the fleet.
     pub fn fleet(&self) -> u128 {
-        self.fleet
+        self.fleet_digest
     }
 
-    /// Makes the TLS settings for connecting to peers.
+    /// Returns the TLS configuration for connecting to peers.
     pub(crate) fn client(&self) -> Result<QuicClientConfig, KeyError> {
         let mut cfg = ClientConfig::builder_with_provider(provider())
             .with_protocol_versions(&[&TLS13])?
@@ -108,7 +109,7 @@
         Ok(QuicClientConfig::try_from(cfg)?)
     }
 
-    /// Makes the TLS settings for accepting peers, which must show a
+    /// Returns the TLS configuration for accepting peers, which must present a
     /// certificate of the same fleet.
     pub(crate) fn server(&self) -> Result<QuicServerConfig, KeyError> {
         let verifier =
@@ -119,8 +120,8 @@
             .with_client_cert_verifier(verifier)
             .with_single_cert(self.chain.clone(), self.key.clone_key())?;
         cfg.alpn_protocols = vec![ALPN.to_vec()];
-        // A resumed session would keep an identity whose certificate has
-        // expired since; a full handshake a connection is cheap enough.
+        // A resumed session would keep an identity whose certificate has since
+        // expired. A full handshake per connection is cheap enough.
         cfg.send_tls13_tickets = 0;
         Ok(QuicServerConfig::try_from(cfg)?)
     }
@@ -131,14 +132,14 @@
         key: PrivateKeyDer<'static>,
     ) -> Result<Self, KeyError> {
         let mut roots = RootCertStore::empty();
-        let fleet = ca.first().map_or(0, |cert| xxh3_128(cert));
+        let fleet_digest = ca.first().map_or(0, |cert| xxh3_128(cert));
         for cert in ca {
             roots.add(cert)?;
         }
-        let own = chain.first().ok_or(KeyError::NoRole)?;
+        let own_cert = chain.first().ok_or(KeyError::NoRole)?;
         Ok(Self {
-            role: Role::from_certificate(own)?,
-            fleet,
+            role: Role::from_certificate(own_cert)?,
+            fleet_digest,
             roots: Arc::new(roots),
             chain,
             key,
@@ -157,7 +158,7 @@
     if certs.is_empty() {
         return Err(KeyError::Pem {
             path: path.to_owned(),
-            wanted: "certificate",
+            expected: "certificate",
         });
     }
     Ok(certs)
@@ -166,6 +167,6 @@
 fn private_key(pem: &str, path: &Path) -> Result<PrivateKeyDer<'static>, KeyError> {
     PrivateKeyDer::from_pem_slice(pem.as_bytes()).map_err(|_| KeyError::Pem {
         path: path.to_owned(),
-        wanted: "private key",
+        expected: "private key",
     })
 }
--- a/sesamebeam/src/keys/role.rs
+++ b/sesamebeam/src/keys/role.rs
@@ -1,4 +1,4 @@
-//! The role and name that a certificate vouches for.
+//! Roles of processes, as named in their certificates.
 
 use std::{
     fmt,
@@ -14,24 +14,24 @@
 
 use super::KeyError;
 
-/// Name under which every process of a fleet can be reached as a TLS server.
+/// DNS name in the certificates of all TLS servers of a fleet.
 pub(crate) const FLEET_NAME: &str = "sesamebeam.internal";
 
-/// Longest DNS label in bytes (RFC 1035, section 2.3.4).
-const MAX_LABEL: usize = 63;
+/// Maximum length of a DNS label in bytes (RFC 1035, section 2.3.4).
+const MAX_LABEL_BYTES: usize = 63;
 
-/// Who a peer is, out of its certificate.
+/// Role and name of a process, authenticated by its certificate.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
-    /// An entry, by its instance name.
+    /// An entry, identified by its instance name.
     Entry(InstanceId),
-    /// A control replica, by its number.
+    /// A control replica, identified by its node number.
     Control(NodeId),
-    /// An operator, by name.
+    /// An operator, identified by name.
     Operator(SmolStr),
 }
 
-/// Kind of a role, without the name.
+/// A role without its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RoleKind {
     /// An entry.
@@ -52,16 +52,16 @@
         }
     }
 
-    /// Returns the DNS name that stands for the role in a certificate.
+    /// Returns the DNS name that represents the role in a certificate.
     pub(crate) fn dns_name(&self) -> String {
         format!("{self}.{FLEET_NAME}")
     }
 
-    /// Reads the role out of a certificate whose chain was verified before.
+    /// Extracts the role from a certificate whose chain is already verified.
     ///
     /// # Errors
     ///
-    /// Fails if the certificate names no role of ours.
+    /// Returns an error if the certificate contains no DNS name of a role.
     pub(crate) fn from_certificate(cert: &CertificateDer<'_>) -> Result<Self, KeyError> {
         let cert = webpki::EndEntityCert::try_from(cert).map_err(|_| KeyError::NoRole)?;
         cert.valid_dns_names()
@@ -85,24 +85,24 @@
     type Err = KeyError;
 
     fn from_str(text: &str) -> Result<Self, KeyError> {
-        let fault = || KeyError::Name(text.into());
-        let (kind, name) = text.split_once('.').ok_or_else(fault)?;
-        if !is_label(name) {
-            return Err(fault());
+        let invalid_name = || KeyError::Name(text.into());
+        let (kind, name) = text.split_once('.').ok_or_else(invalid_name)?;
+        if !is_dns_label(name) {
+            return Err(invalid_name());
         }
         match kind {
             "entry" => Ok(Self::Entry(name.into())),
-            "control" => Ok(Self::Control(name.parse().map_err(|_| fault())?)),
+            "control" => Ok(Self::Control(name.parse().map_err(|_| invalid_name())?)),
             "operator" => Ok(Self::Operator(name.into())),
-            _ => Err(fault()),
+            _ => Err(invalid_name()),
         }
     }
 }
 
-fn is_label(name: &str) -> bool {
-    let plain = |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit() || c == b'-';
-    (1..=MAX_LABEL).contains(&name.len())
-        && name.bytes().all(plain)
+fn is_dns_label(name: &str) -> bool {
+    let is_allowed = |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit() || c == b'-';
+    (1..=MAX_LABEL_BYTES).contains(&name.len())
+        && name.bytes().all(is_allowed)
         && !name.starts_with('-')
         && !name.ends_with('-')
 }
--- a/sesamebeam/src/keys/secret.rs
+++ b/sesamebeam/src/keys/secret.rs
@@ -1,4 +1,4 @@
-//! Random secrets: keys of organisations, of announcements, of session tokens.
+//! Random secrets: organisation keys, announcement keys and session-token secrets.
 
 use std::fmt::Write;
 
@@ -9,19 +9,21 @@
 };
 use smol_str::SmolStr;
 
-/// Random bytes in a secret.
+/// Number of random bytes in a secret.
 const SECRET_BYTES: usize = 32;
 
-/// A random secret as text: a prefix that names its use, then hex digits.
+/// A random secret in text form: a prefix that identifies its use, followed by hex
+/// digits.
 #[derive(Clone)]
 pub struct Secret {
     text: String,
 }
 
 impl Secret {
-    /// Makes a secret from the operating system's random numbers.
+    /// Generates a secret with the thread-local random number generator, which the
+    /// operating system seeds.
     ///
-    /// The prefix lets a scanner of repositories and logs recognise it.
+    /// The prefix lets secret scanners recognise it in repositories and logs.
     pub fn make(prefix: &str) -> Self {
         let mut buf = [0_u8; SECRET_BYTES];
         rand::rng().fill_bytes(&mut buf);
@@ -30,7 +32,7 @@
         }
     }
 
-    /// Returns the secret itself.
+    /// Returns the secret in plain text.
     pub fn reveal(&self) -> &str {
         &self.text
     }
@@ -43,8 +45,8 @@
 
 /// Returns the hex SHA-256 of a key.
 ///
-/// A plain hash is enough, because a key has 256 random bits: there is no list
-/// of likely keys to try.
+/// An unsalted fast hash is sufficient: a key has 256 random bits, so a dictionary
+/// attack is not possible.
 pub fn hash_of(key: &str) -> SmolStr {
     hex(&Sha256::digest(key.as_bytes())).into()
 }
--- a/sesamebeam/src/logging.rs
+++ b/sesamebeam/src/logging.rs
@@ -1,10 +1,9 @@
-//! Log lines.
+//! Logging through a bounded queue and a writer thread.
 //!
-//! A line is `time=… level=… at=… message`, where the message is `key=value`
-//! words as far as a program reads it. Lines go through a bounded queue to a
-//! thread that writes them. When the queue is full, lines are dropped and
-//! counted: a reader of standard error that has stopped, or a slow disk, must
-//! not hold requests up, and a queue without bound would fill the memory.
+//! A line has the form `time=… level=… at=… message`. The machine-readable part of
+//! the message consists of `key=value` pairs. Lines are dropped and counted while the
+//! queue is full: a stopped reader of standard error or a slow disk must not delay
+//! requests, and an unbounded queue would exhaust memory.
 
 mod json;
 
@@ -50,40 +49,41 @@
     LogSettings, //
 };
 
-/// Size at which a log file is closed and the next one begun, in bytes.
-const FILE_BYTES: u64 = 64 << 20;
+/// Size in bytes at which a log file is rotated.
+const MAX_FILE_BYTES: u64 = 64 << 20;
 
-/// Closed log files that are kept.
-const FILES_KEPT: usize = 8;
+/// Number of rotated log files to keep.
+const MAX_ROTATED_FILES: usize = 8;
 
-/// Longest line in bytes; the rest is cut off.
-const LINE_BYTES: usize = 4096;
+/// Length in bytes beyond which a line is truncated.
+const MAX_LINE_BYTES: usize = 4096;
 
-/// Longest wait at the end for lines that are still queued.
-const LAST_LINES: Duration = Duration::from_secs(2);
+/// Timeout at shutdown for writing the queued lines.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause between two looks, at the end, whether the queue has room.
-const LAST_PAUSE: Duration = Duration::from_millis(5);
+/// Interval at shutdown between checks whether the queue has room.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why logging could not be started.
+/// Error when starting the logger.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// The log files cannot be opened, or there is a logger already.
-    #[error("cannot start logging: {0}")]
+    /// The log files cannot be opened, or a logger is already installed.
+    #[error("cannot start the logger: {0}")]
     Start(#[from] FlexiLoggerError),
-    /// There is no thread for it.
-    #[error("cannot start the thread that writes log lines: {0}")]
+    /// The writer thread cannot be spawned.
+    #[error("cannot spawn the log writer thread: {0}")]
     Thread(#[from] io::Error),
 }
 
-/// Logging that runs. Dropped, it writes what is queued and ends.
+/// Handle of the running logger. Dropping it writes the queued lines and stops the
+/// writer thread.
 pub struct Logging {
     queue: Arc<LogQueue>,
     _handle: LoggerHandle,
 }
 
 impl Logging {
-    /// Returns the number of lines dropped since the start.
+    /// Returns the number of lines dropped since the start because the queue was full.
     pub fn dropped(&self) -> u64 {
         self.queue.dropped.load(Ordering::Relaxed)
     }
@@ -95,11 +95,11 @@
     }
 }
 
-/// Starts logging for the whole process.
+/// Installs the logger of the process.
 ///
 /// # Errors
 ///
-/// Fails if the folder cannot be written, or logging was started before.
+/// Returns an error if the folder cannot be written or a logger is already installed.
 pub fn start(settings: &LogSettings) -> Result<Logging, LogError> {
     let queue = Arc::new(match &settings.folder {
         None => LogQueue::start(io::stderr(), settings.queue)?,
@@ -108,9 +108,9 @@
             let (file, _handle) = FileLogWriter::builder(spec)
                 .append()
                 .rotate(
-                    Criterion::Size(FILE_BYTES),
+                    Criterion::Size(MAX_FILE_BYTES),
                     Naming::Numbers,
-                    Cleanup::KeepLogFiles(FILES_KEPT),
+                    Cleanup::KeepLogFiles(MAX_ROTATED_FILES),
                 )
                 .try_build_with_handle()?;
             LogQueue::start(file, settings.queue)?
@@ -125,14 +125,19 @@
     })
 }
 
-/// Starts logging as lines of JSON to standard output, for platforms that
+/// Installs a logger that writes lines of JSON to standard output, for platforms that
 /// collect it.
 ///
 /// # Errors
 ///
-/// Fails if the logger or its thread cannot be started.
+/// Returns an error if a logger is already installed or the writer thread cannot be
+/// spawned.
 pub fn start_json(queue: usize) -> Result<Logging, LogError> {
-    let queue = Arc::new(LogQueue::start_with(io::stdout(), queue, json::dropped)?);
+    let queue = Arc::new(LogQueue::start_with(
+        io::stdout(),
+        queue,
+        json::dropped_line,
+    )?);
     let handle = Logger::try_with_str(filter(LogLevel::Info))?
         .log_to_writer(Box::new(json::Writer::new(Arc::clone(&queue))))
         .start()?;
@@ -142,8 +147,9 @@
     })
 }
 
-/// Returns the filter of a level. The libraries' own lines say nothing that an
-/// operator can act on, and come by the datagram.
+/// Returns the filter specification of a level. Lines of the QUIC and TLS libraries
+/// are restricted: they contain nothing that an operator can act on, and some are
+/// written for each datagram.
 fn filter(level: LogLevel) -> String {
     let level = match level {
         LogLevel::Error => "error",
@@ -155,46 +161,47 @@
     format!("{level}, quinn=warn, quinn_proto=error, rustls=warn")
 }
 
-/// A bounded queue of lines before a thread that writes them.
+/// A bounded queue of lines with a writer thread.
 pub struct LogQueue {
     tx: SyncSender<Line>,
     dropped: Arc<AtomicU64>,
-    /// Tells when the thread has written everything before [`Line::Last`].
+    /// Receives a message when the writer thread has ended.
     done: Mutex<Receiver<()>>,
 }
 
-/// What the writing thread gets.
+/// Message to the writer thread.
 enum Line {
-    /// A line with its end.
+    /// A line, including the line break.
     Text(String),
-    /// Nothing comes after it.
-    Last,
+    /// The writer thread ends after the lines before this.
+    Stop,
 }
 
 impl LogQueue {
-    /// Starts the thread.
+    /// Starts the writer thread.
     ///
     /// # Errors
     ///
-    /// Fails if there is no further thread.
-    pub fn start(to: impl Write + Send + 'static, capacity: usize) -> io::Result<Self> {
-        Self::start_with(to, capacity, dropped_line)
+    /// Returns an error if the thread cannot be spawned.
+    pub fn start(output: impl Write + Send + 'static, capacity: usize) -> io::Result<Self> {
+        Self::start_with(output, capacity, dropped_line)
     }
 
-    /// Starts with a line of another form for the number of dropped lines.
+    /// Starts the writer thread with a custom format for the line that reports the number
+    /// of dropped lines.
     fn start_with(
-        to: impl Write + Send + 'static,
+        output: impl Write + Send + 'static,
         capacity: usize,
         dropped_line: fn(u64) -> String,
     ) -> io::Result<Self> {
         let (tx, rx) = sync_channel(capacity);
         let (done_tx, done) = sync_channel(1);
         let dropped = Arc::new(AtomicU64::new(0));
-        let seen = Arc::clone(&dropped);
+        let counter = Arc::clone(&dropped);
         thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || {
-                write_all(to, &rx, &seen, dropped_line);
+                write_lines(output, &rx, &counter, dropped_line);
                 let _ = done_tx.send(());
             })?;
         Ok(Self {
@@ -204,30 +211,31 @@
         })
     }
 
-    /// Queues a line, or drops and counts it if the queue is full.
+    /// Enqueues a line. Drops and counts it if the queue is full.
     pub fn push(&self, line: String) {
         if let Err(TrySendError::Full(_)) = self.tx.try_send(Line::Text(line)) {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Returns the number of lines dropped since the start.
+    /// Returns the number of lines dropped since the start because the queue was full.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Waits, for a bounded time, until what is queued is written.
+    /// Stops the writer thread and waits until it has written the queued lines, or until
+    /// [`SHUTDOWN_TIMEOUT`] expires.
     pub fn finish(&self) {
-        let until = Instant::now() + LAST_LINES;
-        while let Err(TrySendError::Full(_)) = self.tx.try_send(Line::Last) {
-            // A queue that stays full is before a writer that has stopped.
-            if Instant::now() >= until {
+        let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
+        while let Err(TrySendError::Full(_)) = self.tx.try_send(Line::Stop) {
+            // A queue that stays full means that the output is blocked.
+            if Instant::now() >= deadline {
                 return;
             }
-            thread::sleep(LAST_PAUSE);
+            thread::sleep(SHUTDOWN_POLL_INTERVAL);
         }
         let done = self.done.lock().unwrap_or_else(PoisonError::into_inner);
-        let _ = done.recv_timeout(until.saturating_duration_since(Instant::now()));
+        let _ = done.recv_timeout(deadline.saturating_duration_since(Instant::now()));
     }
 }
 
@@ -236,26 +244,26 @@
     format_line("WARN", module_path!(), &message)
 }
 
-fn write_all(
-    mut to: impl Write,
+fn write_lines(
+    mut output: impl Write,
     rx: &Receiver<Line>,
     dropped: &AtomicU64,
     dropped_line: fn(u64) -> String,
 ) {
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(Line::Text(line)) = rx.recv() {
-        // There is nobody to tell of a failure to write.
-        let _ = to.write_all(line.as_bytes());
+        // There is no other output to report a write failure to.
+        let _ = output.write_all(line.as_bytes());
         let total = dropped.load(Ordering::Relaxed);
-        if total > told {
-            let _ = to.write_all(dropped_line(total - told).as_bytes());
-            told = total;
+        if total > reported {
+            let _ = output.write_all(dropped_line(total - reported).as_bytes());
+            reported = total;
         }
     }
-    let _ = to.flush();
+    let _ = output.flush();
 }
 
-/// Hands records of the `log` crate to the queue.
+/// Formats records of the `log` crate and enqueues them.
 struct QueueWriter(Arc<LogQueue>);
 
 impl LogWriter for QueueWriter {
@@ -271,17 +279,17 @@
     }
 }
 
-/// Writes one line, with its end.
+/// Formats a line, including the line break.
 ///
-/// Control characters are escaped. Parts of a message come from callers, who
-/// could else begin a line of their own and so forge one.
+/// Control characters are escaped. Parts of a message come from callers, who could
+/// otherwise forge log lines with embedded line breaks.
 pub fn format_line(level: &str, at: &str, message: &str) -> String {
     let time = humantime::format_rfc3339_millis(SystemTime::now());
     let mut line = String::with_capacity(message.len() + 80);
-    // Writing to a string does not fail.
+    // Writing to a string never fails.
     let _ = write!(line, "time={time} level={level} at={at} ");
     for c in message.chars() {
-        if line.len() >= LINE_BYTES {
+        if line.len() >= MAX_LINE_BYTES {
             line.push_str("...");
             break;
         }
--- a/sesamebeam/src/logging/json.rs
+++ b/sesamebeam/src/logging/json.rs
@@ -1,5 +1,5 @@
-//! Log lines as JSON objects: time, level, module, event, and a field for each
-//! value.
+//! Log lines as JSON objects with the time, level, module and event, and a field for
+//! each key-value pair of the record.
 
 use std::{
     io,
@@ -26,7 +26,7 @@
 
 use super::LogQueue;
 
-/// Hands lines to the queue.
+/// Formats records of the `log` crate as JSON and enqueues them.
 pub(super) struct Writer(Arc<LogQueue>);
 
 impl Writer {
@@ -38,10 +38,10 @@
 impl LogWriter for Writer {
     fn write(&self, _now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
         let event = record.args().to_string();
-        let mut line = start(record.level().as_str(), record.target(), event);
-        // Collecting the fields does not fail; a value without text is null.
-        let _ = record.key_values().visit(&mut Fields(&mut line));
-        self.0.push(finish(line));
+        let mut line = begin_line(record.level().as_str(), record.target(), event);
+        // Collecting the fields never fails; a number that JSON cannot represent becomes null.
+        let _ = record.key_values().visit(&mut FieldCollector(&mut line));
+        self.0.push(end_line(line));
         Ok(())
     }
 
@@ -50,17 +50,17 @@
     }
 }
 
-/// Makes the line that tells how many were dropped.
-pub(super) fn dropped(count: u64) -> String {
-    let mut line = start("WARN", module_path!(), "lines dropped".to_owned());
+/// Formats the line that reports the number of dropped lines.
+pub(super) fn dropped_line(count: u64) -> String {
+    let mut line = begin_line("WARN", module_path!(), "lines dropped".to_owned());
     line.insert("count".to_owned(), count.into());
-    finish(line)
+    end_line(line)
 }
 
-/// Collects the fields of a record.
-struct Fields<'a>(&'a mut Map<String, Json>);
+/// Visitor that adds the key-value pairs of a record to a JSON object.
+struct FieldCollector<'a>(&'a mut Map<String, Json>);
 
-impl<'kvs> VisitSource<'kvs> for Fields<'_> {
+impl<'kvs> VisitSource<'kvs> for FieldCollector<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         let json = if let Some(n) = value.to_u64() {
             n.into()
@@ -76,7 +76,7 @@
     }
 }
 
-fn start(level: &str, at: &str, event: String) -> Map<String, Json> {
+fn begin_line(level: &str, at: &str, event: String) -> Map<String, Json> {
     let time = humantime::format_rfc3339_millis(SystemTime::now());
     let mut line = Map::new();
     line.insert("time".to_owned(), time.to_string().into());
@@ -86,7 +86,7 @@
     line
 }
 
-fn finish(line: Map<String, Json>) -> String {
+fn end_line(line: Map<String, Json>) -> String {
     let mut text = Json::Object(line).to_string();
     text.push('\n');
     text
--- a/sesamebeam/src/settings.rs
+++ b/sesamebeam/src/settings.rs
@@ -1,7 +1,7 @@
-//! Settings of the daemons and of the command line, in TOML.
+//! TOML settings of the daemons and the command line.
 //!
-//! An unknown key is refused with its place and a suggestion. Paths in a file
-//! are relative to the file's folder.
+//! An unknown key is an error that reports its position and a similar known key.
+//! Relative paths in a settings file are resolved against the file's folder.
 
 mod control;
 mod entry;
@@ -54,64 +54,65 @@
     TomlFile, //
 };
 
-/// A control replica and where its link listens.
+/// Number and address of a control replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replica {
-    /// Number of the replica.
+    /// Node number of the replica.
     pub node: NodeId,
-    /// Address of its link.
+    /// UDP address that the replica's link listens on.
     pub addr: SocketAddr,
 }
 
-/// An entry and where its link listens.
+/// Name, failure domain and address of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerEntry {
-    /// Name of the entry.
+    /// Instance name of the entry.
     pub instance: InstanceId,
     /// Failure domain of the entry.
     pub domain: DomainId,
-    /// Address of its link.
+    /// UDP address that the entry's link listens on.
     pub addr: SocketAddr,
 }
 
-/// Where metrics go.
+/// Destination and naming of metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MetricsSettings {
-    /// UDP address of a StatsD server; none sends no metrics.
+    /// UDP address of a StatsD server. Without one, no metrics are sent.
     pub addr: Option<SocketAddr>,
-    /// Text in front of each metric's name, before the role.
+    /// Prefix of each metric name, placed before the role.
     pub prefix: SmolStr,
 }
 
-/// Where log lines go.
+/// Level, destination and queue size of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Least level that is written: `error`, `warn`, `info`, `debug` or `trace`.
+    /// Minimum level of lines to write: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: LogLevel,
-    /// Folder of rotated log files; none writes to standard error.
+    /// Folder for rotated log files. Without one, lines go to standard error.
     pub folder: Option<PathBuf>,
-    /// Lines that may wait to be written; more are dropped and counted.
+    /// Maximum number of lines waiting to be written; further lines are dropped and
+    /// counted.
     pub queue: usize,
 }
 
-/// Least level of log lines that are written.
+/// Minimum level of log lines to write.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// Only what needs somebody to act.
+    /// Only conditions that require an operator to act.
     Error,
-    /// Also what may need somebody to act.
+    /// Also conditions that may require an operator to act.
     Warn,
-    /// Also each request and each change of state.
+    /// Also each request and each state change.
     #[default]
     Info,
-    /// Also single steps.
+    /// Also the individual steps of an operation.
     Debug,
-    /// Everything.
+    /// All lines.
     Trace,
 }
 
@@ -125,21 +126,23 @@
     }
 }
 
-/// Reads a settings file and checks it.
-fn read<T: DeserializeOwned>(
+/// Reads and validates a settings file.
+fn read_settings<T: DeserializeOwned>(
     path: &Path,
     check: impl Fn(&T) -> Vec<Fault>,
 ) -> Result<T, FileError> {
     TomlFile::read(path)?.parse(check)
 }
 
-/// Makes a path absolute that was relative to a settings file.
-fn resolve(settings: &Path, path: &mut PathBuf) {
+/// Resolves a path against the folder of the settings file.
+fn resolve_path(settings: &Path, path: &mut PathBuf) {
     if let Some(folder) = settings.parent() {
         *path = folder.join(&*path);
     }
 }
 
+/// Adds a fault for an empty list of replicas, and for each replica with an invalid or
+/// duplicate number or address.
 fn check_replicas(key: &'static str, replicas: &[Replica], faults: &mut Vec<Fault>) {
     if replicas.is_empty() {
         faults.push(Fault::new(
@@ -147,25 +150,25 @@
             "no control replica is listed",
         ));
     }
-    for (at, replica) in replicas.iter().enumerate() {
+    for (index, replica) in replicas.iter().enumerate() {
         let path = |name| {
             [
                 PathSegment::Key(key),
-                PathSegment::Index(at),
+                PathSegment::Index(index),
                 PathSegment::Key(name),
             ]
         };
-        let before = &replicas[..at];
+        let preceding = &replicas[..index];
         if replica.node == 0 {
             faults.push(Fault::new(&path("node"), "replica numbers start at 1"));
         }
-        if before.iter().any(|other| other.node == replica.node) {
+        if preceding.iter().any(|other| other.node == replica.node) {
             faults.push(Fault::new(
                 &path("node"),
                 format!("control replica {} is listed twice", replica.node),
             ));
         }
-        if before.iter().any(|other| other.addr == replica.addr) {
+        if preceding.iter().any(|other| other.addr == replica.addr) {
             faults.push(Fault::new(
                 &path("addr"),
                 format!("two control replicas have the address {}", replica.addr),
@@ -174,10 +177,14 @@
     }
 }
 
-/// Adds a fault if a time is zero.
-fn check_times(table: &'static str, times: &[(&'static str, Duration)], faults: &mut Vec<Fault>) {
-    for (key, time) in times {
-        if time.is_zero() {
+/// Adds a fault for each duration that is zero.
+fn check_durations(
+    table: &'static str,
+    durations: &[(&'static str, Duration)],
+    faults: &mut Vec<Fault>,
+) {
+    for (key, duration) in durations {
+        if duration.is_zero() {
             faults.push(Fault::new(
                 &[PathSegment::Key(table), PathSegment::Key(key)],
                 format!("`{key}` is zero"),
--- a/sesamebeam/src/settings/control.rs
+++ b/sesamebeam/src/settings/control.rs
@@ -29,75 +29,76 @@
     LogSettings,
     MetricsSettings,
     Replica,
+    check_durations,
     check_replicas,
-    check_times,
-    read,
-    resolve, //
+    read_settings,
+    resolve_path, //
 };
 use crate::toml_file::FileError;
 
-/// Settings of one control replica.
+/// Settings of a control replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// Number of the replica, as its certificate has it.
+    /// Node number of the replica, which must match the certificate.
     pub node: NodeId,
-    /// Failure domain that the replica runs in.
+    /// Failure domain of the replica.
     pub domain: DomainId,
-    /// Folder for everything that must survive.
+    /// Folder for durable data.
     pub data: PathBuf,
-    /// Address of the link (UDP).
+    /// Listening address of the link (UDP).
     pub listen: SocketAddr,
-    /// Replicas of the group when it is first made, this one included.
+    /// Initial members of the control group, including this replica.
     #[serde(rename = "replica")]
     pub replicas: Vec<Replica>,
     /// Folder with `ca.pem`, `cert.pem` and `key.pem`.
     pub keys: PathBuf,
-    /// Leases and timeouts.
+    /// Leases, timeouts and intervals.
     #[serde(default)]
     pub timings: ControlTimings,
-    /// How long records are kept and how many.
+    /// Limits on the age and number of records.
     #[serde(default)]
     pub retention: Retention,
-    /// The weight store's rate.
+    /// Throughput of the weight store.
     #[serde(default)]
     pub weight_store: WeightStore,
-    /// Where metrics go.
+    /// Destination and naming of metrics.
     #[serde(default)]
     pub metrics: MetricsSettings,
-    /// Where log lines go.
+    /// Level, destination and queue size of the log.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Leases and timeouts of a control replica.
+/// Leases, timeouts and intervals of a control replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlTimings {
-    /// Time between two heartbeats of the leader.
+    /// Interval between heartbeats of the leader.
     #[serde(with = "humantime_serde")]
     pub heartbeat: Duration,
-    /// Shortest silence of the leader after which a replica stands for election.
+    /// Minimum election timeout: time without a message from the leader after which a
+    /// replica starts an election.
     #[serde(with = "humantime_serde")]
     pub election_min: Duration,
-    /// Longest silence of the leader after which a replica stands for election.
+    /// Maximum election timeout.
     #[serde(with = "humantime_serde")]
     pub election_max: Duration,
-    /// Bound on the drift between two instances' monotonic clocks, as a share.
+    /// Maximum relative drift between the monotonic clocks of two instances.
     pub clock_drift: f64,
-    /// Length of the configuration lease that an entry gets.
+    /// Duration of the configuration lease granted to an entry.
     #[serde(with = "humantime_serde")]
     pub config_lease: Duration,
-    /// Longest wait for a quorum before a caller is told that there is none.
+    /// Timeout for a commit, after which the client is told that there is no quorum.
     #[serde(with = "humantime_serde")]
     pub commit_timeout: Duration,
-    /// Longest time that a datagram may still be on its way.
+    /// Maximum time that a datagram spends in the network.
     #[serde(with = "humantime_serde")]
     pub network_bound: Duration,
-    /// Time between two reviews of roll-outs by the leader.
+    /// Interval between the leader's reviews of roll-outs.
     #[serde(with = "humantime_serde")]
     pub review_every: Duration,
-    /// Log entries between two snapshots.
+    /// Number of log entries between snapshots.
     pub snapshot_every: u64,
 }
 
@@ -117,40 +118,44 @@
     }
 }
 
-/// How long records are kept and how many.
+/// Limits on the age and number of records.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Retention {
-    /// Time that a claim is kept after it ended, and after which an open claim
-    /// counts as unknown.
+    /// Time for which an ended claim is kept, and after which an open claim becomes
+    /// unknown.
     #[serde(with = "humantime_serde")]
     pub claims: Duration,
-    /// Time that a session's pin is kept after its last use.
+    /// Time for which a session's pin is kept after its last use.
     #[serde(with = "humantime_serde")]
     pub pins: Duration,
-    /// Time that a billing entry is kept; an open one is kept until settled.
+    /// Time for which a charged or void billing entry is kept. An open one is kept until
+    /// it is settled.
     #[serde(with = "humantime_serde")]
     pub bills: Duration,
-    /// Time that a verdict on an operator's change is kept.
+    /// Time for which the verdict on an operator's change is kept.
     #[serde(with = "humantime_serde")]
     pub verdicts: Duration,
-    /// Time that a crash counts against the requests that it took down.
+    /// Time for which a crash counts against the requests that were running on the
+    /// backend server.
     #[serde(with = "humantime_serde")]
     pub crashes: Duration,
-    /// Time that a fingerprint stays quarantined.
+    /// Time for which a fingerprint stays quarantined.
     #[serde(with = "humantime_serde")]
     pub quarantine: Duration,
-    /// Most claims kept; a further one is denied.
+    /// Maximum number of claims. A further claim replaces the oldest one that ended at
+    /// least an hour ago, and is denied if there is none.
     pub max_claims: u32,
-    /// Most pins kept; a further one is denied.
+    /// Maximum number of pins; further ones are denied.
     pub max_pins: u32,
-    /// Most billing entries kept; a further claim is denied.
+    /// Maximum number of billing entries; further claims are denied.
     pub max_bills: u32,
-    /// Most verdicts kept; the oldest goes first.
+    /// Maximum number of verdicts; the oldest is removed first.
     pub max_verdicts: u32,
-    /// Largest answer that is kept for resends, in bytes.
+    /// Maximum size in bytes of an answer body that is kept for resent requests.
     pub body_bytes: u32,
-    /// Bytes of answers kept together; the oldest goes first.
+    /// Maximum total size of the kept answer bodies in bytes; the oldest is removed
+    /// first.
     pub answer_bytes: u64,
 }
 
@@ -198,11 +203,11 @@
     }
 }
 
-/// The weight store, as far as loads are paced by it.
+/// Throughput of the weight store, which limits how fast versions are loaded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct WeightStore {
-    /// Bytes a second that the store gives over all loads.
+    /// Total throughput in bytes per second, shared by all concurrent loads.
     pub bytes_per_second: u64,
 }
 
@@ -215,22 +220,22 @@
 }
 
 impl ControlSettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read or has a fault.
+    /// Returns an error if the file cannot be read, is not valid TOML or fails validation.
     pub fn read(path: &Path) -> Result<Self, FileError> {
-        let mut settings: Self = read(path, Self::check)?;
-        resolve(path, &mut settings.data);
-        resolve(path, &mut settings.keys);
+        let mut settings: Self = read_settings(path, Self::check)?;
+        resolve_path(path, &mut settings.data);
+        resolve_path(path, &mut settings.keys);
         if let Some(folder) = &mut settings.log.folder {
-            resolve(path, folder);
+            resolve_path(path, folder);
         }
         Ok(settings)
     }
 
-    /// Lists every fault of the settings.
+    /// Returns all faults of the settings.
     pub fn check(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         check_replicas("replica", &self.replicas, &mut faults);
@@ -259,14 +264,14 @@
 
     fn check_timings(&self, faults: &mut Vec<Fault>) {
         let t = &self.timings;
-        let times = [
+        let durations = [
             ("heartbeat", t.heartbeat),
             ("election_min", t.election_min),
             ("config_lease", t.config_lease),
             ("commit_timeout", t.commit_timeout),
             ("review_every", t.review_every),
         ];
-        check_times("timings", &times, faults);
+        check_durations("timings", &durations, faults);
         let path = |key| [PathSegment::Key("timings"), PathSegment::Key(key)];
         if t.election_min < t.heartbeat * 3 {
             faults.push(Fault::new(
--- a/sesamebeam/src/settings/entry.rs
+++ b/sesamebeam/src/settings/entry.rs
@@ -30,99 +30,99 @@
     MetricsSettings,
     PeerEntry,
     Replica,
+    check_durations,
     check_replicas,
-    check_times,
-    read,
-    resolve, //
+    read_settings,
+    resolve_path, //
 };
 use crate::{
     keys::Role,
     toml_file::FileError, //
 };
 
-/// Settings of one entry.
+/// Settings of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Name of the instance, as its certificate has it.
+    /// Instance name, which must match the certificate.
     pub instance: InstanceId,
-    /// Failure domain that the instance runs in.
+    /// Failure domain of the instance.
     pub domain: DomainId,
-    /// Addresses that it listens on.
+    /// Listening addresses.
     pub listen: EntryListen,
     /// Control replicas.
     pub control: Vec<Replica>,
-    /// Other entries.
+    /// The other entries.
     #[serde(default, rename = "peer")]
     pub peers: Vec<PeerEntry>,
     /// Folder with `ca.pem`, `cert.pem` and `key.pem`.
     pub keys: PathBuf,
-    /// Hex SHA-256 of the key that backend servers show when they announce.
+    /// Hex SHA-256 of the key that backend servers authenticate announcements with.
     pub announce_key_sha256: SmolStr,
-    /// File with the secret that signs session tokens, the same at every entry.
+    /// File with the secret that signs session tokens. All entries must share it.
     pub session_secret: PathBuf,
-    /// Address of the rating service; none rates nothing.
+    /// Address of the rating service. Without one, answers are not rated.
     #[serde(default)]
     pub rating: Option<SocketAddr>,
-    /// Where metrics go.
+    /// Destination and naming of metrics.
     #[serde(default)]
     pub metrics: MetricsSettings,
-    /// Where log lines go.
+    /// Level, destination and queue size of the log.
     #[serde(default)]
     pub log: LogSettings,
-    /// Bounds on what callers and backend servers may use.
+    /// Limits on the resources that callers and backend servers may use.
     #[serde(default)]
     pub limits: EntryLimits,
-    /// Leases and timeouts.
+    /// Leases, timeouts and intervals.
     #[serde(default)]
     pub timings: EntryTimings,
 }
 
-/// Addresses that an entry listens on.
+/// Listening addresses of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryListen {
-    /// Callers' HTTP.
+    /// HTTP requests of callers.
     pub callers: SocketAddr,
     /// Announcements of backend servers.
     pub announcements: SocketAddr,
-    /// Link to our own processes (UDP).
+    /// Link to the other entries, the control replicas and operators (UDP).
     pub link: SocketAddr,
 }
 
-/// Bounds on what callers and backend servers may use.
+/// Limits on the resources that callers and backend servers may use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EntryLimits {
-    /// Largest head of a request in bytes.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// Largest body of a request in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Longest time until the head of a request has arrived.
+    /// Timeout for receiving a request head.
     #[serde(with = "humantime_serde")]
     pub header_timeout: Duration,
-    /// Longest time until the body of a request has arrived.
+    /// Timeout for receiving a request body.
     #[serde(with = "humantime_serde")]
     pub body_timeout: Duration,
-    /// Connections of callers that may be open.
+    /// Maximum number of open connections from callers.
     pub connections: usize,
-    /// Requests that may be admitted and not yet answered.
+    /// Maximum number of admitted requests that are not yet answered.
     pub in_flight: usize,
-    /// Requests that may wait for a backend server.
+    /// Maximum number of requests waiting for a backend server.
     pub queued: usize,
-    /// Idle connections kept to each backend server.
+    /// Maximum number of idle connections kept open to each backend server.
     pub idle_per_server: usize,
-    /// Largest announcement in bytes.
+    /// Maximum size of an announcement in bytes.
     pub announcement_bytes: usize,
-    /// Largest answer in bytes that is kept for resends of a request that runs
-    /// at most once.
+    /// Maximum size in bytes of an answer that is kept to be replayed when a request
+    /// that runs at most once is resent.
     pub answer_bytes: usize,
-    /// Decisions kept for `explain`.
+    /// Number of routing decisions kept for `explain`.
     pub explained: usize,
-    /// Threads that serve requests; 0 takes one for each core.
+    /// Number of threads that serve requests; 0 means one per core.
     ///
-    /// With more threads than the load needs, nearly every event wakes another
-    /// sleeping thread, which costs more than the event itself.
+    /// With more threads than the load requires, almost every event wakes a sleeping
+    /// thread, which costs more than handling the event.
     pub workers: usize,
 }
 
@@ -145,40 +145,42 @@
     }
 }
 
-/// Leases and timeouts of an entry.
+/// Leases, timeouts and intervals of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EntryTimings {
-    /// Pause before a renewal of the configuration lease that failed is
-    /// repeated; one that succeeds is followed by the next at once.
+    /// Delay before a failed renewal of the configuration lease is retried. A successful
+    /// renewal is followed by the next one immediately.
     #[serde(with = "humantime_serde")]
     pub renew_pause: Duration,
-    /// Longest wait for an answer of a control replica.
+    /// Timeout of a request to a control replica.
     #[serde(with = "humantime_serde")]
     pub control_timeout: Duration,
-    /// Time after a backend server's announcement until it counts as gone.
+    /// Time after its last announcement at which a backend server is considered gone.
     #[serde(with = "humantime_serde")]
     pub server_lease: Duration,
-    /// Time, from before a claim was asked for, within which it must be sent.
+    /// Time after requesting a claim within which the request must be sent. It is
+    /// measured from before the claim is requested.
     #[serde(with = "humantime_serde")]
     pub claim_window: Duration,
-    /// Longest wait for a connection to a backend server.
+    /// Timeout for connecting to a backend server.
     #[serde(with = "humantime_serde")]
     pub connect_timeout: Duration,
-    /// Longest silence of a stream before it is probed by a new connection.
+    /// Time without data on a stream after which the backend server is probed over a new
+    /// connection.
     #[serde(with = "humantime_serde")]
     pub progress_timeout: Duration,
-    /// Longest wait for the answer to a probe.
+    /// Timeout of a probe.
     #[serde(with = "humantime_serde")]
     pub probe_timeout: Duration,
-    /// Time between two messages to the other entries of the failure domain.
+    /// Interval between messages to the other entries of the failure domain.
     #[serde(with = "humantime_serde")]
     pub spread_every: Duration,
-    /// Time between two reports of evidence to the control group.
+    /// Interval between reports of evidence to the control group.
     #[serde(with = "humantime_serde")]
     pub evidence_every: Duration,
-    /// Time between not being ready and closing the listeners in a planned
-    /// stop, for the balancer to notice.
+    /// Delay in a planned stop between reporting not ready and closing the listeners, so
+    /// that the load balancer notices in time.
     #[serde(with = "humantime_serde")]
     pub drain_notice: Duration,
 }
@@ -201,22 +203,22 @@
 }
 
 impl EntrySettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read or has a fault.
+    /// Returns an error if the file cannot be read, is not valid TOML or fails validation.
     pub fn read(path: &Path) -> Result<Self, FileError> {
-        let mut settings: Self = read(path, Self::check)?;
-        resolve(path, &mut settings.keys);
-        resolve(path, &mut settings.session_secret);
+        let mut settings: Self = read_settings(path, Self::check)?;
+        resolve_path(path, &mut settings.keys);
+        resolve_path(path, &mut settings.session_secret);
         if let Some(folder) = &mut settings.log.folder {
-            resolve(path, folder);
+            resolve_path(path, folder);
         }
         Ok(settings)
     }
 
-    /// Lists every fault of the settings.
+    /// Returns all faults of the settings.
     pub fn check(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         if let Err(e) = format!("entry.{}", self.instance).parse::<Role>() {
@@ -236,10 +238,10 @@
     }
 
     fn check_peers(&self, faults: &mut Vec<Fault>) {
-        for (at, peer) in self.peers.iter().enumerate() {
+        for (index, peer) in self.peers.iter().enumerate() {
             let path = [
                 PathSegment::Key("peer"),
-                PathSegment::Index(at),
+                PathSegment::Index(index),
                 PathSegment::Key("instance"),
             ];
             if peer.instance == self.instance {
@@ -248,7 +250,7 @@
                     format!("entry `{}` lists itself as a peer", self.instance),
                 ));
             }
-            if self.peers[..at]
+            if self.peers[..index]
                 .iter()
                 .any(|other| other.instance == peer.instance)
             {
@@ -262,31 +264,31 @@
 
     fn check_limits(&self, faults: &mut Vec<Fault>) {
         let limits = &self.limits;
-        let bounds = [
+        let maximums = [
             ("head_bytes", limits.head_bytes),
             ("body_bytes", limits.body_bytes),
             ("connections", limits.connections),
             ("in_flight", limits.in_flight),
             ("announcement_bytes", limits.announcement_bytes),
         ];
-        for (key, bound) in bounds {
-            if bound == 0 {
+        for (key, maximum) in maximums {
+            if maximum == 0 {
                 faults.push(Fault::new(
                     &[PathSegment::Key("limits"), PathSegment::Key(key)],
                     format!("`{key}` is zero, so that nothing could be served"),
                 ));
             }
         }
-        let times = [
+        let durations = [
             ("header_timeout", limits.header_timeout),
             ("body_timeout", limits.body_timeout),
         ];
-        check_times("limits", &times, faults);
+        check_durations("limits", &durations, faults);
     }
 
     fn check_timings(&self, faults: &mut Vec<Fault>) {
         let t = &self.timings;
-        let times = [
+        let durations = [
             ("renew_pause", t.renew_pause),
             ("control_timeout", t.control_timeout),
             ("server_lease", t.server_lease),
@@ -297,6 +299,6 @@
             ("spread_every", t.spread_every),
             ("evidence_every", t.evidence_every),
         ];
-        check_times("timings", &times, faults);
+        check_durations("timings", &durations, faults);
     }
 }
--- a/sesamebeam/src/settings/operator.rs
+++ b/sesamebeam/src/settings/operator.rs
@@ -1,4 +1,4 @@
-//! Settings of the operators' command line.
+//! Settings of the operator command line.
 
 use std::{
     path::{
@@ -17,14 +17,14 @@
 use super::{
     PeerEntry,
     Replica,
+    check_durations,
     check_replicas,
-    check_times,
-    read,
-    resolve, //
+    read_settings,
+    resolve_path, //
 };
 use crate::toml_file::FileError;
 
-/// Settings of one operator.
+/// Settings of an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
@@ -32,31 +32,31 @@
     pub keys: PathBuf,
     /// Control replicas.
     pub control: Vec<Replica>,
-    /// Entries, for `explain` and `report burn`.
+    /// Entries that `explain` and `report burn` query.
     #[serde(default, rename = "entry")]
     pub entries: Vec<PeerEntry>,
-    /// Longest wait for an answer.
+    /// Timeout of a request to a control replica or an entry.
     #[serde(with = "humantime_serde", default = "default_timeout")]
     pub timeout: Duration,
 }
 
 impl OperatorSettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read or has a fault.
+    /// Returns an error if the file cannot be read, is not valid TOML or fails validation.
     pub fn read(path: &Path) -> Result<Self, FileError> {
-        let mut settings: Self = read(path, Self::check)?;
-        resolve(path, &mut settings.keys);
+        let mut settings: Self = read_settings(path, Self::check)?;
+        resolve_path(path, &mut settings.keys);
         Ok(settings)
     }
 
-    /// Lists every fault of the settings.
+    /// Returns all faults of the settings.
     pub fn check(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
         check_replicas("control", &self.control, &mut faults);
-        check_times("timeout", &[("timeout", self.timeout)], &mut faults);
+        check_durations("timeout", &[("timeout", self.timeout)], &mut faults);
         faults
     }
 }
--- a/sesamebeam/tests/keys.rs
+++ b/sesamebeam/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Keys and certificates.
+//! Tests keys, certificates and secrets.
 
 use std::os::unix::fs::PermissionsExt;
 
@@ -13,31 +13,39 @@
 use yare::parameterized;
 
 #[test]
-fn saved_credentials() {
+fn credentials_saved_and_loaded() {
     let folder = tempfile::tempdir().unwrap();
     let ca = FleetCa::make("vazna").unwrap();
     ca.save(folder.path()).unwrap();
     let ca = FleetCa::load(folder.path()).unwrap();
 
-    let own = tempfile::tempdir().unwrap();
+    let process_folder = tempfile::tempdir().unwrap();
     let role = Role::Entry("hall-devin-1".into());
-    ca.issue(&role).unwrap().save(own.path(), &ca).unwrap();
+    ca.issue(&role)
+        .unwrap()
+        .save(process_folder.path(), &ca)
+        .unwrap();
 
-    let creds = Credentials::load(own.path()).unwrap();
+    let creds = Credentials::load(process_folder.path()).unwrap();
     assert_eq!(*creds.role(), role);
-    let mode = own.path().join("key.pem").metadata().unwrap().permissions();
+    let mode = process_folder
+        .path()
+        .join("key.pem")
+        .metadata()
+        .unwrap()
+        .permissions();
     assert_eq!(mode.mode() & 0o777, 0o600);
 }
 
 #[test]
-fn nothing_replaced() {
+fn existing_ca_not_overwritten() {
     let folder = tempfile::tempdir().unwrap();
     let ca = FleetCa::make("vazna").unwrap();
     ca.save(folder.path()).unwrap();
-    let again = FleetCa::make("vazna").unwrap().save(folder.path());
-    assert!(matches!(again, Err(KeyError::Write { .. })), "{again:?}");
-    let kept = std::fs::read_to_string(folder.path().join("ca.pem")).unwrap();
-    assert_eq!(kept, ca.cert_pem());
+    let second = FleetCa::make("vazna").unwrap().save(folder.path());
+    assert!(matches!(second, Err(KeyError::Write { .. })), "{second:?}");
+    let ca_file = std::fs::read_to_string(folder.path().join("ca.pem")).unwrap();
+    assert_eq!(ca_file, ca.cert_pem());
 }
 
 #[parameterized(
@@ -60,14 +68,14 @@
 }
 
 #[test]
-fn bad_name_refused() {
+fn invalid_name_rejected() {
     let ca = FleetCa::make("vazna").unwrap();
     let issued = ca.issue(&Role::Entry("two words".into()));
     assert!(matches!(issued, Err(KeyError::Name(_))));
 }
 
 #[test]
-fn missing_file_named() {
+fn missing_file_in_error() {
     let folder = tempfile::tempdir().unwrap();
     let e = Credentials::load(folder.path()).err().unwrap();
     assert!(e.to_string().contains("ca.pem"), "{e}");
--- a/sesamebeam/tests/logging.rs
+++ b/sesamebeam/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines.
+//! Tests the log queue, the format of lines and log files.
 
 use std::{
     io::{
@@ -21,15 +21,15 @@
     settings::LogSettings,
 };
 
-/// Collects what is written, after it was allowed to go on.
-struct Gated {
+/// Writer that blocks each write until the gate lets it pass, and collects the output.
+struct GatedWriter {
     gate: mpsc::Receiver<()>,
     text: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Gated {
+impl Write for GatedWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        // An error means that the gate stays open from now on.
+        // An error means that the gate is open permanently.
         let _ = self.gate.recv();
         self.text.lock().unwrap().extend_from_slice(buf);
         Ok(buf.len())
@@ -41,36 +41,37 @@
 }
 
 #[test]
-fn stopped_reader() {
-    // Nobody reads standard error, so that its pipe is full and the writing
-    // thread stands still. Requests go on logging: what finds the queue full is
-    // dropped at once. When the reader goes on, it is told how much it missed.
+fn blocked_output_drops_lines() {
+    // The reader of standard error has stopped, so the pipe is full and the writer
+    // thread is blocked. Logging must not block requests: lines are dropped while
+    // the queue is full. When the reader continues, the log reports how many lines
+    // were dropped.
     let (open, gate) = mpsc::channel();
     let text = Arc::new(Mutex::new(Vec::new()));
-    let to = Gated {
+    let output = GatedWriter {
         gate,
         text: Arc::clone(&text),
     };
-    let queue = LogQueue::start(to, 10).unwrap();
+    let queue = LogQueue::start(output, 10).unwrap();
     for n in 0..1000 {
         queue.push(format!("line {n}\n"));
     }
     let dropped = queue.dropped();
-    // The thread may have taken one line off the queue.
+    // The writer thread may already have taken one line off the queue.
     assert!((989..=990).contains(&dropped), "{dropped}");
 
     drop(open);
     queue.finish();
     let text = String::from_utf8(text.lock().unwrap().clone()).unwrap();
     assert!(text.starts_with("line 0\n"), "{text}");
-    let told = format!("event=lines_dropped count={dropped}\n");
-    assert_eq!(text.matches(&told).count(), 1, "{text}");
+    let report = format!("event=lines_dropped count={dropped}\n");
+    assert_eq!(text.matches(&report).count(), 1, "{text}");
 }
 
 #[test]
-fn forged_line() {
-    // A caller puts a line break into a name that is logged, and after it a
-    // line that looks like ours. It stays within its own line.
+fn line_break_escaped() {
+    // A caller sends a name with a line break and the text of a forged log line.
+    // Escaping keeps the name within one line.
     let line = format_line("INFO", "here", "org=a\ntime=0 level=ERROR\u{1b}[31m é");
     assert_eq!(line.matches('\n').count(), 1, "{line}");
     assert!(
@@ -81,20 +82,21 @@
 }
 
 #[test]
-fn long_line_cut() {
+fn long_line_truncated() {
     let line = format_line("INFO", "here", &"x".repeat(1 << 20));
     assert!(line.len() < 5000);
     assert!(line.ends_with("...\n"));
 }
 
 #[test]
-fn file_written() {
+fn log_file_written() {
     let folder = tempfile::tempdir().unwrap();
     let settings = LogSettings {
         folder: Some(folder.path().join("log")),
         ..LogSettings::default()
     };
-    // The one logger of this test's process.
+    // A process can install only one logger, so no other test of this file may
+    // install one.
     let logging = logging::start(&settings).unwrap();
     log::info!("event=test number={}", 7);
     log::debug!("event=hidden");
@@ -113,7 +115,7 @@
 }
 
 #[test]
-fn folder_unusable() {
+fn invalid_folder_rejected() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("file");
     std::fs::write(&file, "").unwrap();
--- a/sesamebeam/tests/settings.rs
+++ b/sesamebeam/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemons.
+//! Tests reading and validating settings files.
 
 use std::path::Path;
 
@@ -31,7 +31,8 @@
 replica = [{ node = 1, addr = "127.0.0.1:4" }]
 "#;
 
-/// Writes a text to a file and reads it; the message of a fault has no folder.
+/// Writes the settings to a temporary file and reads it. The folder is removed from
+/// error messages.
 fn read<T>(text: &str, read: impl Fn(&Path) -> Result<T, FileError>) -> Result<T, String> {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("settings.toml");
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn defaults_stand() {
+fn defaults_valid() {
     let entry = read(ENTRY, EntrySettings::read).unwrap();
     assert!(entry.keys.is_absolute() && entry.keys.ends_with("keys"));
     assert_eq!(entry.limits, Default::default());
@@ -51,9 +52,9 @@
     let control = read(CONTROL, ControlSettings::read).unwrap();
     assert_eq!(control.timings, Default::default());
     assert!(control.data.ends_with("data"));
-    let kept = Retention::default();
+    let retention = Retention::default();
     assert_eq!(
-        command::Retention::from(&kept),
+        command::Retention::from(&retention),
         command::Retention::default()
     );
 }
@@ -69,9 +70,9 @@
     bad_level = { "[log]\nlevel = \"inf\"\n" },
     broken = { "[log\n" },
 )]
-fn entry_faults(more: &str) {
-    let e = read(&format!("{ENTRY}{more}"), EntrySettings::read).unwrap_err();
-    insta::with_settings!({ snapshot_suffix => insta_name(more), omit_expression => true }, {
+fn entry_faults(added: &str) {
+    let e = read(&format!("{ENTRY}{added}"), EntrySettings::read).unwrap_err();
+    insta::with_settings!({ snapshot_suffix => snapshot_suffix(added), omit_expression => true }, {
         insta::assert_snapshot!("entry_fault", e);
     });
 }
@@ -83,18 +84,18 @@
     store = { "[weight_store]\nbytes_per_second = 0\n" },
     twice = { "[[replica]]\nnode = 2\naddr = \"127.0.0.1:4\"\n" },
 )]
-fn control_faults(more: &str) {
-    // An inline array cannot be extended, so the other form stands here.
+fn control_faults(added: &str) {
+    // An inline array cannot be extended by a `[[replica]]` table.
     let text = CONTROL.replace("replica = [{ node = 1, addr = \"127.0.0.1:4\" }]\n", "");
-    let text = format!("{text}[[replica]]\nnode = 1\naddr = \"127.0.0.1:4\"\n{more}");
+    let text = format!("{text}[[replica]]\nnode = 1\naddr = \"127.0.0.1:4\"\n{added}");
     let e = read(&text, ControlSettings::read).unwrap_err();
-    insta::with_settings!({ snapshot_suffix => insta_name(more), omit_expression => true }, {
+    insta::with_settings!({ snapshot_suffix => snapshot_suffix(added), omit_expression => true }, {
         insta::assert_snapshot!("control_fault", e);
     });
 }
 
 #[test]
-fn node_unlisted() {
+fn node_not_listed() {
     let text = CONTROL.replace("node = 1\ndomain", "node = 7\ndomain");
     let e = read(&text, ControlSettings::read).unwrap_err();
     insta::assert_snapshot!(e, @"settings.toml:1:8: control replica 7 is not among the replicas");
@@ -115,11 +116,11 @@
     );
 }
 
-/// Makes a file name of what a case adds.
-fn insta_name(more: &str) -> String {
-    let keep = |c: char| c.is_ascii_alphanumeric() || c == '_';
-    let words: Vec<_> = more
-        .split(|c| !keep(c))
+/// Derives a snapshot suffix from the settings that a case adds.
+fn snapshot_suffix(added: &str) -> String {
+    let is_kept = |c: char| c.is_ascii_alphanumeric() || c == '_';
+    let words: Vec<_> = added
+        .split(|c| !is_kept(c))
         .filter(|word| !word.is_empty())
         .collect();
     words.join("-")
