--- a/sesamebeam/src/cli/keys.rs
+++ b/sesamebeam/src/cli/keys.rs
@@ -35,7 +35,7 @@
     match command {
         KeysCommand::Ca { fleet, out: folder } => {
             make_folder(folder)?;
-            FleetCa::make(fleet)?.save(folder)?;
+            FleetCa::generate(fleet)?.save(folder)?;
             out.line(format!(
                 "wrote ca.pem and ca.key.pem to {}",
                 folder.display()
@@ -54,10 +54,10 @@
                 folder.display()
             ))?;
         }
-        KeysCommand::Organisation => show(&Secret::make("sbo"), "key_sha256", out)?,
-        KeysCommand::Announce => show(&Secret::make("sba"), "announce_key_sha256", out)?,
+        KeysCommand::Organisation => show(&Secret::generate("sbo"), "key_sha256", out)?,
+        KeysCommand::Announce => show(&Secret::generate("sba"), "announce_key_sha256", out)?,
         KeysCommand::Session { out: file } => {
-            write_private(file, Secret::make("sbs").reveal())?;
+            write_private(file, Secret::generate("sbs").reveal())?;
             out.line(format!("wrote a session secret to {}", file.display()))?;
         }
     }
--- a/sesamebeam/src/client.rs
+++ b/sesamebeam/src/client.rs
@@ -40,7 +40,7 @@
     settings::{
         OperatorSettings,
         PeerEntry,
-        Replica, //
+        ReplicaAddress, //
     },
 };
 
@@ -80,7 +80,7 @@
 pub struct Client {
     pool: Pool,
     role: Role,
-    control: Vec<Replica>,
+    control: Vec<ReplicaAddress>,
     timeout: Duration,
 }
 
@@ -226,7 +226,7 @@
 
 /// The search for a replica that answers.
 struct Search {
-    replicas: Vec<Replica>,
+    replicas: Vec<ReplicaAddress>,
     /// Position of the replica that is asked next.
     at: usize,
     /// Replicas asked since the last pause.
@@ -237,7 +237,7 @@
 }
 
 impl Search {
-    fn new(replicas: &[Replica]) -> Self {
+    fn new(replicas: &[ReplicaAddress]) -> Self {
         Self {
             replicas: replicas.to_vec(),
             at: 0,
@@ -248,7 +248,7 @@
     }
 
     /// Returns the replica to be asked next; none when the time is over.
-    async fn next(&mut self, until: Instant) -> Option<Replica> {
+    async fn next(&mut self, until: Instant) -> Option<ReplicaAddress> {
         // A leader that was named and points elsewhere again must not keep the
         // search going round without a pause.
         if self.asked > self.replicas.len() {
@@ -270,7 +270,7 @@
 
     /// Follows the hint to the leader, also to one that the settings do not
     /// list: it may have taken the place of a lost replica.
-    fn not_leader(&mut self, asked: &Replica, hint: Option<LeaderHint>) {
+    fn not_leader(&mut self, asked: &ReplicaAddress, hint: Option<LeaderHint>) {
         self.last = smol_str::format_smolstr!("replica {} does not lead", asked.node);
         let Some(hint) = hint.filter(|hint| hint.node != asked.node) else {
             return self.advance();
@@ -280,7 +280,7 @@
             (Some(at), _) => self.at = at,
             (None, Some(addr)) => {
                 self.at = self.replicas.len();
-                self.replicas.push(Replica {
+                self.replicas.push(ReplicaAddress {
                     node: hint.node,
                     addr,
                 });
--- a/sesamebeam/src/control.rs
+++ b/sesamebeam/src/control.rs
@@ -201,7 +201,7 @@
     pub fn open(settings: ControlSettings, creds: &Credentials) -> Result<Self, ControlError> {
         let (disk, saved) = Disk::open(&settings.data)?;
         let identity = disk.identity();
-        if identity.node != settings.node || identity.group != creds.fleet() {
+        if identity.node != settings.node || identity.group != creds.fleet_digest() {
             return Err(ControlError::NotOurs {
                 found: identity.node,
                 group: identity.group,
@@ -229,10 +229,10 @@
     ) -> Result<u128, ControlError> {
         let incarnation = match start {
             Start::Join | Start::Existing => rand::random(),
-            Start::Init => first_incarnation(creds.fleet(), settings.node),
+            Start::Init => first_incarnation(creds.fleet_digest(), settings.node),
         };
         let identity = Identity {
-            group: creds.fleet(),
+            group: creds.fleet_digest(),
             node: settings.node,
             incarnation,
         };
--- a/sesamebeam/src/entry/announce.rs
+++ b/sesamebeam/src/entry/announce.rs
@@ -40,7 +40,7 @@
         self,
         AnswerBody, //
     },
-    keys::hash_of,
+    keys::sha256_hex,
     settings::EntryLimits,
 };
 
@@ -105,7 +105,7 @@
         .get(header::AUTHORIZATION)
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.strip_prefix("Bearer "))
-        .map(hash_of)
+        .map(sha256_hex)
         .unwrap_or_default();
     if !bool::from(shown.as_bytes().ct_eq(key_sha256.as_bytes())) {
         return problem::bad(
--- a/sesamebeam/src/entry/asks.rs
+++ b/sesamebeam/src/entry/asks.rs
@@ -28,7 +28,7 @@
     Pool,
     Role, //
 };
-use crate::settings::Replica;
+use crate::settings::ReplicaAddress;
 
 /// Pause before the replicas are asked once more.
 const ROUND_PAUSE: Duration = Duration::from_millis(30);
@@ -53,7 +53,7 @@
 
 impl Asks {
     /// Takes the replicas of the settings.
-    pub(crate) fn new(pool: Pool, replicas: &[Replica]) -> Self {
+    pub(crate) fn new(pool: Pool, replicas: &[ReplicaAddress]) -> Self {
         let replicas = replicas
             .iter()
             .map(|replica| {
--- a/sesamebeam/src/entry/callers.rs
+++ b/sesamebeam/src/entry/callers.rs
@@ -91,7 +91,7 @@
         },
         sse, //
     },
-    keys::hash_of,
+    keys::sha256_hex,
     settings::EntryLimits,
 };
 
@@ -429,7 +429,7 @@
             .get(header::AUTHORIZATION)
             .and_then(|v| v.to_str().ok())
             .and_then(|v| v.strip_prefix("Bearer "))
-            .map(hash_of);
+            .map(sha256_hex);
         let known = self.tools.hub.with(|core| {
             let org = hash.and_then(|hash| core.view().organisation_by_key(&hash));
             (org.map(|org| org.name.clone()), core.view().revision())
--- a/sesamebeam/src/keys.rs
+++ b/sesamebeam/src/keys.rs
@@ -26,7 +26,7 @@
 pub use self::{
     ca::{
         FleetCa,
-        Issued, //
+        IssuedCert, //
     },
     credentials::Credentials,
     role::{
@@ -35,7 +35,7 @@
     },
     secret::{
         Secret,
-        hash_of, //
+        sha256_hex, //
     },
 };
 
@@ -72,7 +72,7 @@
     },
     /// A file does not contain the expected PEM item.
     #[error("{path} contains no PEM-encoded {expected}")]
-    Pem {
+    MissingPemItem {
         /// Path of the file.
         path: PathBuf,
         /// Item that the file must contain.
@@ -80,17 +80,17 @@
     },
     /// A role name cannot be used in a certificate.
     #[error("`{0}` is no name for a certificate: 1 to 63 of a-z, 0-9 and `-`, not at an end")]
-    Name(SmolStr),
+    InvalidName(SmolStr),
     /// A certificate contains no DNS name of a role.
     #[error("certificate contains no DNS name of a known role")]
     NoRole,
     /// A key or certificate could not be generated or parsed.
     #[error("cannot generate or parse a key or certificate: {0}")]
-    Make(#[from] rcgen::Error),
+    Certificate(#[from] rcgen::Error),
     /// The TLS library rejected the credentials, such as a key that does not match
     /// the certificate.
     #[error("invalid credentials: {0}")]
-    Unusable(#[from] rustls::Error),
+    InvalidCredentials(#[from] rustls::Error),
     /// The CA certificate cannot be used to verify peers.
     #[error("cannot verify peers with the CA certificate: {0}")]
     Verifier(#[from] rustls::server::VerifierBuilderError),
--- a/sesamebeam/src/keys/ca.rs
+++ b/sesamebeam/src/keys/ca.rs
@@ -44,7 +44,7 @@
 
 /// A certificate and its private key, both PEM-encoded.
 #[derive(Clone)]
-pub struct Issued {
+pub struct IssuedCert {
     /// PEM-encoded certificate.
     pub cert_pem: String,
     /// PEM-encoded private key.
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// Returns an error if the key or the certificate cannot be generated.
-    pub fn make(fleet: &str) -> Result<Self, KeyError> {
+    pub fn generate(fleet: &str) -> Result<Self, KeyError> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(Vec::new())?;
         params
@@ -104,7 +104,7 @@
     /// # Errors
     ///
     /// Returns an error if the role's name cannot be used in a certificate.
-    pub fn issue(&self, role: &Role) -> Result<Issued, KeyError> {
+    pub fn issue(&self, role: &Role) -> Result<IssuedCert, KeyError> {
         // A role that was constructed without parsing may contain an invalid name.
         let role: Role = role.to_string().parse()?;
         let mut dns_names = vec![role.dns_name()];
@@ -123,7 +123,7 @@
         params.use_authority_key_identifier_extension = true;
         set_validity(&mut params, CERT_VALIDITY_YEARS);
         let cert = params.signed_by(&key, &self.issuer)?;
-        Ok(Issued {
+        Ok(IssuedCert {
             cert_pem: cert.pem(),
             key_pem: key.serialize_pem(),
         })
@@ -140,7 +140,7 @@
     }
 }
 
-impl Issued {
+impl IssuedCert {
     /// Writes the certificate, its key and the CA certificate to the key folder of a
     /// process.
     ///
--- a/sesamebeam/src/keys/credentials.rs
+++ b/sesamebeam/src/keys/credentials.rs
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// Returns an error if the role's name cannot be used in a certificate.
-    pub fn from_fleet(ca: &FleetCa, role: &Role) -> Result<Self, KeyError> {
+    pub fn from_ca(ca: &FleetCa, role: &Role) -> Result<Self, KeyError> {
         let issued = ca.issue(role)?;
         let ca_der = certificates(ca.cert_pem(), Path::new(CA_FILE))?;
         let cert_der = certificates(&issued.cert_pem, Path::new(CERT_FILE))?;
@@ -95,12 +95,12 @@
     }
 
     /// Returns the digest of the fleet's CA certificate, which identifies the fleet.
-    pub fn fleet(&self) -> u128 {
+    pub fn fleet_digest(&self) -> u128 {
         self.fleet_digest
     }
 
     /// Returns the TLS configuration for connecting to peers.
-    pub(crate) fn client(&self) -> Result<QuicClientConfig, KeyError> {
+    pub(crate) fn client_config(&self) -> Result<QuicClientConfig, KeyError> {
         let mut cfg = ClientConfig::builder_with_provider(provider())
             .with_protocol_versions(&[&TLS13])?
             .with_root_certificates(Arc::clone(&self.roots))
@@ -111,7 +111,7 @@
 
     /// Returns the TLS configuration for accepting peers, which must present a
     /// certificate of the same fleet.
-    pub(crate) fn server(&self) -> Result<QuicServerConfig, KeyError> {
+    pub(crate) fn server_config(&self) -> Result<QuicServerConfig, KeyError> {
         let verifier =
             WebPkiClientVerifier::builder_with_provider(Arc::clone(&self.roots), provider())
                 .build()?;
@@ -156,7 +156,7 @@
         .collect::<Result<_, _>>()
         .unwrap_or_default();
     if certs.is_empty() {
-        return Err(KeyError::Pem {
+        return Err(KeyError::MissingPemItem {
             path: path.to_owned(),
             expected: "certificate",
         });
@@ -165,7 +165,7 @@
 }
 
 fn private_key(pem: &str, path: &Path) -> Result<PrivateKeyDer<'static>, KeyError> {
-    PrivateKeyDer::from_pem_slice(pem.as_bytes()).map_err(|_| KeyError::Pem {
+    PrivateKeyDer::from_pem_slice(pem.as_bytes()).map_err(|_| KeyError::MissingPemItem {
         path: path.to_owned(),
         expected: "private key",
     })
--- a/sesamebeam/src/keys/role.rs
+++ b/sesamebeam/src/keys/role.rs
@@ -85,7 +85,7 @@
     type Err = KeyError;
 
     fn from_str(text: &str) -> Result<Self, KeyError> {
-        let invalid_name = || KeyError::Name(text.into());
+        let invalid_name = || KeyError::InvalidName(text.into());
         let (kind, name) = text.split_once('.').ok_or_else(invalid_name)?;
         if !is_dns_label(name) {
             return Err(invalid_name());
--- a/sesamebeam/src/keys/secret.rs
+++ b/sesamebeam/src/keys/secret.rs
@@ -24,7 +24,7 @@
     /// operating system seeds.
     ///
     /// The prefix lets secret scanners recognise it in repositories and logs.
-    pub fn make(prefix: &str) -> Self {
+    pub fn generate(prefix: &str) -> Self {
         let mut buf = [0_u8; SECRET_BYTES];
         rand::rng().fill_bytes(&mut buf);
         Self {
@@ -39,7 +39,7 @@
 
     /// Returns the hex SHA-256 under which the secret is stored.
     pub fn hash(&self) -> SmolStr {
-        hash_of(&self.text)
+        sha256_hex(&self.text)
     }
 }
 
@@ -47,7 +47,7 @@
 ///
 /// An unsalted fast hash is sufficient: a key has 256 random bits, so a dictionary
 /// attack is not possible.
-pub fn hash_of(key: &str) -> SmolStr {
+pub fn sha256_hex(key: &str) -> SmolStr {
     hex(&Sha256::digest(key.as_bytes())).into()
 }
 
--- a/sesamebeam/src/link.rs
+++ b/sesamebeam/src/link.rs
@@ -195,9 +195,9 @@
         timings: LinkTimings,
     ) -> Result<Self, LinkError> {
         let transport = Arc::new(transport(timings));
-        let mut server = ServerConfig::with_crypto(Arc::new(creds.server()?));
+        let mut server = ServerConfig::with_crypto(Arc::new(creds.server_config()?));
         server.transport_config(Arc::clone(&transport));
-        let mut client = ClientConfig::new(Arc::new(creds.client()?));
+        let mut client = ClientConfig::new(Arc::new(creds.client_config()?));
         client.transport_config(transport);
         let endpoint =
             Endpoint::server(server, addr).map_err(|source| LinkError::Bind { addr, source })?;
--- a/sesamebeam/src/local.rs
+++ b/sesamebeam/src/local.rs
@@ -65,7 +65,7 @@
         FleetCa,
         KeyError,
         Role,
-        hash_of, //
+        sha256_hex, //
     },
     settings::{
         ControlSettings,
@@ -78,7 +78,7 @@
         MetricsSettings,
         OperatorSettings,
         PeerEntry,
-        Replica,
+        ReplicaAddress,
         Retention,
         WeightStore, //
     },
@@ -163,7 +163,7 @@
     ///
     /// Fails if keys cannot be made or written, or there is no free port.
     pub fn make(plan: &LocalPlan, root: &Path) -> Result<Self, LocalError> {
-        let ca = FleetCa::make("local")?;
+        let ca = FleetCa::generate("local")?;
         ca.save(&folder(root, "ca")?)?;
         let replicas = replicas(plan)?;
         let entries = entry_addrs(plan)?;
@@ -207,7 +207,7 @@
                     .cloned()
                     .collect(),
                 keys,
-                announce_key_sha256: hash_of(ANNOUNCE_KEY),
+                announce_key_sha256: sha256_hex(ANNOUNCE_KEY),
                 session_secret: secret.clone(),
                 rating: plan.rating,
                 metrics: MetricsSettings::default(),
@@ -422,10 +422,10 @@
         .collect()
 }
 
-fn replicas(plan: &LocalPlan) -> Result<Vec<Replica>, LocalError> {
+fn replicas(plan: &LocalPlan) -> Result<Vec<ReplicaAddress>, LocalError> {
     (1..=plan.domains.len())
         .map(|node| {
-            Ok(Replica {
+            Ok(ReplicaAddress {
                 node: node as NodeId,
                 addr: free_udp()?,
             })
--- a/sesamebeam/src/logging.rs
+++ b/sesamebeam/src/logging.rs
@@ -91,7 +91,7 @@
 
 impl Drop for Logging {
     fn drop(&mut self) {
-        self.queue.finish();
+        self.queue.stop();
     }
 }
 
@@ -224,8 +224,8 @@
     }
 
     /// Stops the writer thread and waits until it has written the queued lines, or until
-    /// [`SHUTDOWN_TIMEOUT`] expires.
-    pub fn finish(&self) {
+    /// a timeout expires.
+    pub fn stop(&self) {
         let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
         while let Err(TrySendError::Full(_)) = self.tx.try_send(Line::Stop) {
             // A queue that stays full means that the output is blocked.
--- a/sesamebeam/src/settings.rs
+++ b/sesamebeam/src/settings.rs
@@ -57,7 +57,7 @@
 /// Number and address of a control replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Replica {
+pub struct ReplicaAddress {
     /// Node number of the replica.
     pub node: NodeId,
     /// UDP address that the replica's link listens on.
@@ -143,7 +143,7 @@
 
 /// Adds a fault for an empty list of replicas, and for each replica with an invalid or
 /// duplicate number or address.
-fn check_replicas(key: &'static str, replicas: &[Replica], faults: &mut Vec<Fault>) {
+fn check_replicas(key: &'static str, replicas: &[ReplicaAddress], faults: &mut Vec<Fault>) {
     if replicas.is_empty() {
         faults.push(Fault::new(
             &[PathSegment::Key(key)],
--- a/sesamebeam/src/settings/control.rs
+++ b/sesamebeam/src/settings/control.rs
@@ -28,7 +28,7 @@
 use super::{
     LogSettings,
     MetricsSettings,
-    Replica,
+    ReplicaAddress,
     check_durations,
     check_replicas,
     read_settings,
@@ -50,7 +50,7 @@
     pub listen: SocketAddr,
     /// Initial members of the control group, including this replica.
     #[serde(rename = "replica")]
-    pub replicas: Vec<Replica>,
+    pub replicas: Vec<ReplicaAddress>,
     /// Folder with `ca.pem`, `cert.pem` and `key.pem`.
     pub keys: PathBuf,
     /// Leases, timeouts and intervals.
--- a/sesamebeam/src/settings/entry.rs
+++ b/sesamebeam/src/settings/entry.rs
@@ -29,7 +29,7 @@
     LogSettings,
     MetricsSettings,
     PeerEntry,
-    Replica,
+    ReplicaAddress,
     check_durations,
     check_replicas,
     read_settings,
@@ -51,7 +51,7 @@
     /// Listening addresses.
     pub listen: EntryListen,
     /// Control replicas.
-    pub control: Vec<Replica>,
+    pub control: Vec<ReplicaAddress>,
     /// The other entries.
     #[serde(default, rename = "peer")]
     pub peers: Vec<PeerEntry>,
--- a/sesamebeam/src/settings/operator.rs
+++ b/sesamebeam/src/settings/operator.rs
@@ -16,7 +16,7 @@
 
 use super::{
     PeerEntry,
-    Replica,
+    ReplicaAddress,
     check_durations,
     check_replicas,
     read_settings,
@@ -31,7 +31,7 @@
     /// Folder with `ca.pem`, `cert.pem` and `key.pem`.
     pub keys: PathBuf,
     /// Control replicas.
-    pub control: Vec<Replica>,
+    pub control: Vec<ReplicaAddress>,
     /// Entries that `explain` and `report burn` query.
     #[serde(default, rename = "entry")]
     pub entries: Vec<PeerEntry>,
--- a/sesamebeam/tests/cli_keys.rs
+++ b/sesamebeam/tests/cli_keys.rs
@@ -10,7 +10,7 @@
     keys::{
         Credentials,
         Role,
-        hash_of, //
+        sha256_hex, //
     },
 };
 
@@ -46,7 +46,7 @@
         let ran = run(&["keys", command, "--json"]);
         let made: serde_json::Value = serde_json::from_str(&ran.out).unwrap();
         let key = made["key"].as_str().unwrap();
-        assert_eq!(made["sha256"], hash_of(key).as_str());
+        assert_eq!(made["sha256"], sha256_hex(key).as_str());
         let ran = run(&["keys", command]);
         assert!(ran.out.contains("key_sha256 = \""), "{}", ran.out);
     }
--- a/sesamebeam/tests/edge/serving.rs
+++ b/sesamebeam/tests/edge/serving.rs
@@ -8,7 +8,7 @@
 use sesamebeam::{
     client::Client,
     entry::Entry,
-    keys::hash_of,
+    keys::sha256_hex,
     local::{
         LocalFleet,
         LocalPlan,
@@ -58,7 +58,7 @@
     /// Starts a fleet with this file, in which `KEY_HASH` stands for the key.
     pub(crate) async fn start(file: &str, plan: LocalPlan, base: RunnerConfig) -> Self {
         let fleet: Fleet =
-            toml::from_str(&file.replace("KEY_HASH", &hash_of(ORG_KEY))).expect("a fleet file");
+            toml::from_str(&file.replace("KEY_HASH", &sha256_hex(ORG_KEY))).expect("a fleet file");
         let root = TempDir::new().expect("a folder");
         let cancel = CancellationToken::new();
         let local = LocalFleet::start(&plan, root.path())
--- a/sesamebeam/tests/examples.rs
+++ b/sesamebeam/tests/examples.rs
@@ -10,7 +10,7 @@
 
 use sesamebeam::{
     fleet_file::FleetFile,
-    keys::hash_of,
+    keys::sha256_hex,
     settings::{
         ControlSettings,
         EntrySettings,
@@ -59,7 +59,7 @@
     assert_eq!(fleet.organisations.len(), 10);
     assert!(fleet.organisations.iter().any(|org| org.share > 1.0));
     for org in &fleet.organisations {
-        assert_eq!(org.key_sha256, hash_of(&format!("example-{}", org.name)));
+        assert_eq!(org.key_sha256, sha256_hex(&format!("example-{}", org.name)));
     }
 }
 
@@ -132,7 +132,7 @@
         let mut known: BTreeSet<_> = entry.peers.iter().map(|peer| peer.addr).collect();
         assert!(known.insert(entry.listen.link));
         assert_eq!(known, links);
-        assert_eq!(entry.announce_key_sha256, hash_of("example-announce"));
+        assert_eq!(entry.announce_key_sha256, sha256_hex("example-announce"));
     }
     assert_eq!(
         operator
--- a/sesamebeam/tests/fakes/daemons.rs
+++ b/sesamebeam/tests/fakes/daemons.rs
@@ -33,7 +33,7 @@
     settings::{
         OperatorSettings,
         PeerEntry,
-        Replica, //
+        ReplicaAddress, //
     },
 };
 use sesamebeam_core::message::wire;
@@ -67,7 +67,7 @@
 
 impl Fleet {
     pub(crate) fn new() -> Self {
-        let ca = FleetCa::make("test").unwrap();
+        let ca = FleetCa::generate("test").unwrap();
         let folder = tempfile::tempdir().unwrap();
         let role = Role::Operator("rosa".into());
         ca.issue(&role).unwrap().save(folder.path(), &ca).unwrap();
@@ -92,7 +92,7 @@
     {
         let node = self.settings.control.len() as u64 + 1;
         let addr = self.start(Role::Control(node), answer);
-        self.settings.control.push(Replica { node, addr });
+        self.settings.control.push(ReplicaAddress { node, addr });
     }
 
     /// Starts an entry that answers with `answer`.
@@ -119,7 +119,7 @@
         let addr = socket.local_addr().unwrap();
         // The socket stays bound, so that the port is not given to another test.
         std::mem::forget(socket);
-        self.settings.control.push(Replica { node, addr });
+        self.settings.control.push(ReplicaAddress { node, addr });
     }
 
     pub(crate) fn set_timeout(&mut self, timeout: std::time::Duration) {
@@ -155,7 +155,7 @@
         Q: DeserializeOwned,
         A: Serialize + Send + Sync,
     {
-        let creds = Credentials::from_fleet(&self.ca, &role).unwrap();
+        let creds = Credentials::from_ca(&self.ca, &role).unwrap();
         let (tx, rx) = mpsc::channel();
         thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
--- a/sesamebeam/tests/keys.rs
+++ b/sesamebeam/tests/keys.rs
@@ -8,14 +8,14 @@
     KeyError,
     Role,
     Secret,
-    hash_of, //
+    sha256_hex, //
 };
 use yare::parameterized;
 
 #[test]
 fn credentials_saved_and_loaded() {
     let folder = tempfile::tempdir().unwrap();
-    let ca = FleetCa::make("vazna").unwrap();
+    let ca = FleetCa::generate("vazna").unwrap();
     ca.save(folder.path()).unwrap();
     let ca = FleetCa::load(folder.path()).unwrap();
 
@@ -40,9 +40,9 @@
 #[test]
 fn existing_ca_not_overwritten() {
     let folder = tempfile::tempdir().unwrap();
-    let ca = FleetCa::make("vazna").unwrap();
+    let ca = FleetCa::generate("vazna").unwrap();
     ca.save(folder.path()).unwrap();
-    let second = FleetCa::make("vazna").unwrap().save(folder.path());
+    let second = FleetCa::generate("vazna").unwrap().save(folder.path());
     assert!(matches!(second, Err(KeyError::Write { .. })), "{second:?}");
     let ca_file = std::fs::read_to_string(folder.path().join("ca.pem")).unwrap();
     assert_eq!(ca_file, ca.cert_pem());
@@ -69,9 +69,9 @@
 
 #[test]
 fn invalid_name_rejected() {
-    let ca = FleetCa::make("vazna").unwrap();
+    let ca = FleetCa::generate("vazna").unwrap();
     let issued = ca.issue(&Role::Entry("two words".into()));
-    assert!(matches!(issued, Err(KeyError::Name(_))));
+    assert!(matches!(issued, Err(KeyError::InvalidName(_))));
 }
 
 #[test]
@@ -83,11 +83,11 @@
 
 #[test]
 fn secrets_hashed() {
-    let secret = Secret::make("sbo");
-    assert_eq!(secret.hash(), hash_of(secret.reveal()));
-    assert_ne!(secret.hash(), Secret::make("sbo").hash());
+    let secret = Secret::generate("sbo");
+    assert_eq!(secret.hash(), sha256_hex(secret.reveal()));
+    assert_ne!(secret.hash(), Secret::generate("sbo").hash());
     assert_eq!(
-        hash_of("abc"),
+        sha256_hex("abc"),
         "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad"
     );
 }
--- a/sesamebeam/tests/link.rs
+++ b/sesamebeam/tests/link.rs
@@ -41,7 +41,7 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn fleet() -> sesamebeam::keys::FleetCa {
-    sesamebeam::keys::FleetCa::make("test").unwrap()
+    sesamebeam::keys::FleetCa::generate("test").unwrap()
 }
 
 fn loopback() -> SocketAddr {
@@ -49,7 +49,7 @@
 }
 
 fn link(ca: &sesamebeam::keys::FleetCa, role: Role) -> Arc<Link> {
-    let creds = Credentials::from_fleet(ca, &role).unwrap();
+    let creds = Credentials::from_ca(ca, &role).unwrap();
     Arc::new(Link::bind(loopback(), &creds).unwrap())
 }
 
@@ -293,7 +293,7 @@
     assert!(failed.is_err());
     drop(first);
 
-    let creds = Credentials::from_fleet(&ca, &Role::Control(1)).unwrap();
+    let creds = Credentials::from_ca(&ca, &Role::Control(1)).unwrap();
     let second = soon(async {
         loop {
             match Link::bind(addr, &creds) {
@@ -331,7 +331,7 @@
         idle: Duration::from_secs(600),
         keep_alive: Duration::from_secs(300),
     };
-    let creds = Credentials::from_fleet(&ca, &entry("a")).unwrap();
+    let creds = Credentials::from_ca(&ca, &entry("a")).unwrap();
     let client = Arc::new(Link::bind_with(loopback(), &creds, timings).unwrap());
     let caller = Caller::new(Arc::clone(&client), relay.addr, None, 7);
     assert_eq!(caller.call::<u64, u64>(&1, PATIENCE).await.unwrap(), 2);
@@ -365,7 +365,7 @@
         idle: Duration::from_secs(600),
         keep_alive: Duration::from_secs(300),
     };
-    let creds = Credentials::from_fleet(&ca, &Role::Control(2)).unwrap();
+    let creds = Credentials::from_ca(&ca, &Role::Control(2)).unwrap();
     let client = Arc::new(Link::bind_with(loopback(), &creds, timings).unwrap());
     let caller = Caller::new(Arc::clone(&client), relay.addr, None, 7);
     let (sent, first) =
--- a/sesamebeam/tests/logging.rs
+++ b/sesamebeam/tests/logging.rs
@@ -61,7 +61,7 @@
     assert!((989..=990).contains(&dropped), "{dropped}");
 
     drop(open);
-    queue.finish();
+    queue.stop();
     let text = String::from_utf8(text.lock().unwrap().clone()).unwrap();
     assert!(text.starts_with("line 0\n"), "{text}");
     let report = format!("event=lines_dropped count={dropped}\n");
--- a/sesamebeam/tests/real/fleet.rs
+++ b/sesamebeam/tests/real/fleet.rs
@@ -31,7 +31,7 @@
 use sesamebeam::{
     keys::{
         Credentials,
-        hash_of, //
+        sha256_hex, //
     },
     link::{
         Link,
@@ -335,7 +335,7 @@
 
 /// Reads the fleet file with the test's own key.
 pub(crate) fn fleet() -> Fleet {
-    toml::from_str(&FLEET.replace("KEY_HASH", &hash_of(ORG_KEY))).expect("a fleet file")
+    toml::from_str(&FLEET.replace("KEY_HASH", &sha256_hex(ORG_KEY))).expect("a fleet file")
 }
 
 /// Waits until something is so.
--- a/sesamebeam_bench/src/commit/links.rs
+++ b/sesamebeam_bench/src/commit/links.rs
@@ -40,9 +40,9 @@
 
 pub(super) async fn run() -> Result<Vec<Found>, CommitError> {
     println!("\na silent link between two processes");
-    let ca = FleetCa::make("links").map_err(sesamebeam::link::LinkError::from)?;
+    let ca = FleetCa::generate("links").map_err(sesamebeam::link::LinkError::from)?;
     let open = |name: &str| {
-        let creds = Credentials::from_fleet(&ca, &Role::Entry(name.into()))?;
+        let creds = Credentials::from_ca(&ca, &Role::Entry(name.into()))?;
         Link::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), &creds)
     };
     let (from, to) = (open("from")?, Arc::new(open("to")?));
--- a/sesamebeam_bench/src/commit/subscribers.rs
+++ b/sesamebeam_bench/src/commit/subscribers.rs
@@ -379,7 +379,7 @@
     large.organisations = (0..ORGANISATIONS)
         .map(|number| Organisation {
             name: format_smolstr!("organisation-{number}"),
-            key_sha256: sesamebeam::keys::hash_of(&format!("key-{number}")),
+            key_sha256: sesamebeam::keys::sha256_hex(&format!("key-{number}")),
             allow: all.iter().skip(number % 3).step_by(3).cloned().collect(),
             ..org.clone()
         })
--- a/sesamebeam_bench/src/group.rs
+++ b/sesamebeam_bench/src/group.rs
@@ -30,7 +30,7 @@
         Pool,
         Role, //
     },
-    settings::Replica,
+    settings::ReplicaAddress,
 };
 use sesamebeam_core::{
     fleet::Fleet,
@@ -89,8 +89,8 @@
     /// # Errors
     ///
     /// Fails if no certificate can be made or no socket opened.
-    pub fn open(ca: &FleetCa, role: &Role, replicas: &[Replica]) -> Result<Self, LinkError> {
-        let creds = Credentials::from_fleet(ca, role)?;
+    pub fn open(ca: &FleetCa, role: &Role, replicas: &[ReplicaAddress]) -> Result<Self, LinkError> {
+        let creds = Credentials::from_ca(ca, role)?;
         let from = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let link = Arc::new(Link::bind(from, &creds)?);
         let pool = Pool::new(Arc::clone(&link), 1);
--- a/sesamebeam_bench/src/load/bed.rs
+++ b/sesamebeam_bench/src/load/bed.rs
@@ -10,7 +10,7 @@
 };
 
 use sesamebeam::{
-    keys::hash_of,
+    keys::sha256_hex,
     link::Role,
     local::{
         ANNOUNCE_KEY,
@@ -241,7 +241,7 @@
 ///
 /// Fails if it has a fault.
 pub fn fleet(slots: usize) -> Result<Fleet, toml::de::Error> {
-    let mut fleet: Fleet = toml::from_str(&FLEET.replace("KEY_HASH", &hash_of(ORG_KEY)))?;
+    let mut fleet: Fleet = toml::from_str(&FLEET.replace("KEY_HASH", &sha256_hex(ORG_KEY)))?;
     for pool in &mut fleet.pools {
         pool.slots = u32::try_from(slots).unwrap_or(u32::MAX);
     }
