--- a/sesamebeam/src/entry/callers.rs
+++ b/sesamebeam/src/entry/callers.rs
@@ -6,7 +6,7 @@
         atomic::{
             AtomicBool,
             Ordering, //
-        }, //
+        },
     },
     time::Duration,
 };
@@ -91,7 +91,7 @@
         },
         sse, //
     },
-    keys::hash_of,
+    keys::sha256_hex,
     settings::EntryLimits,
 };
 
@@ -453,7 +453,7 @@
             .get(header::AUTHORIZATION)
             .and_then(|v| v.to_str().ok())
             .and_then(|v| v.strip_prefix("Bearer "))
-            .map(hash_of);
+            .map(sha256_hex);
         let known = self.context.hub.with(|core| {
             let org = hash.and_then(|hash| core.view().organisation_by_key(&hash));
             (org.map(|org| org.name.clone()), core.view().revision())
--- a/sesamebeam/src/entry/control_client.rs
+++ b/sesamebeam/src/entry/control_client.rs
@@ -19,16 +19,18 @@
         ControlReply,
         ControlRequest,
         LeaderHint, //
-    }, //
+    },
 };
 use tokio::time::sleep;
 
-use crate::link::{
-    PeerClient,
-    PeerPool,
-    Role, //
+use crate::{
+    link::{
+        PeerClient,
+        PeerPool,
+        Role, //
+    },
+    settings::ReplicaAddress,
 };
-use crate::settings::Replica;
 
 /// Pause before the replicas are tried again.
 const RETRY_PAUSE: Duration = Duration::from_millis(30);
@@ -53,7 +55,7 @@
 
 impl ControlClient {
     /// Creates a client for the replicas listed in the settings.
-    pub(crate) fn new(pool: PeerPool, replicas: &[Replica]) -> Self {
+    pub(crate) fn new(pool: PeerPool, replicas: &[ReplicaAddress]) -> Self {
         let replicas = replicas
             .iter()
             .map(|replica| {
--- a/sesamebeam/tests/edge/serving.rs
+++ b/sesamebeam/tests/edge/serving.rs
@@ -8,7 +8,7 @@
 use sesamebeam::{
     client::Client,
     entry::Entry,
-    keys::hash_of,
+    keys::sha256_hex,
     local::{
         LocalFleet,
         LocalPlan,
@@ -26,7 +26,7 @@
             ControlReply,
             ControlRequest,
             Status, //
-        }, //
+        },
     },
 };
 use sesamebeam_fakes::RunnerConfig;
@@ -59,7 +59,7 @@
     /// the hash of [`ORG_KEY`].
     pub(crate) async fn start(file: &str, plan: LocalPlan, base: RunnerConfig) -> Self {
         let fleet: Fleet =
-            toml::from_str(&file.replace("KEY_HASH", &hash_of(ORG_KEY))).expect("a fleet file");
+            toml::from_str(&file.replace("KEY_HASH", &sha256_hex(ORG_KEY))).expect("a fleet file");
         let root = TempDir::new().expect("a folder");
         let cancel = CancellationToken::new();
         let local = LocalFleet::start(&plan, root.path())
--- a/sesamebeam/tests/real/fleet.rs
+++ b/sesamebeam/tests/real/fleet.rs
@@ -31,7 +31,7 @@
 use sesamebeam::{
     keys::{
         Credentials,
-        hash_of, //
+        sha256_hex, //
     },
     link::{
         Link,
@@ -343,7 +343,7 @@
 
 /// Returns the fleet configuration with the hash of [`ORG_KEY`].
 pub(crate) fn fleet() -> Fleet {
-    toml::from_str(&FLEET.replace("KEY_HASH", &hash_of(ORG_KEY))).expect("a fleet file")
+    toml::from_str(&FLEET.replace("KEY_HASH", &sha256_hex(ORG_KEY))).expect("a fleet file")
 }
 
 /// Waits until a condition holds.
