--- a/sesamebeam/src/entry/upstream.rs
+++ b/sesamebeam/src/entry/upstream.rs
@@ -399,7 +399,7 @@
     };
     match (state.state.as_str(), incarnation) {
         ("never", Some(incarnation)) => ServerKnows::Never {
-            life: ServerIncarnation {
+            incarnation: ServerIncarnation {
                 addr: server,
                 incarnation,
             },
@@ -483,7 +483,7 @@
                 addr: dispatch.server.addr,
                 incarnation,
             };
-            OpenOutcome::Ended(AttemptReport::NotThere(ServerKnows::Never { life }))
+            OpenOutcome::Ended(AttemptReport::NotThere(ServerKnows::Never { incarnation: life }))
         }
         _ => unknown,
     }
--- a/sesamebeam/src/gateway/attempt.rs
+++ b/sesamebeam/src/gateway/attempt.rs
@@ -265,7 +265,7 @@
     /// Returns whether the budget allows another send, and spends it.
     pub(super) fn may_repeat_in_budget(&self) -> bool {
         let now = self.gateway.now();
-        self.gateway.router().try_repeat(now, &self.plan)
+        self.gateway.router().try_retry(now, &self.plan)
     }
 
     /// Keeps a connection for the next request, for as long as its server says.
--- a/sesamebeam/src/gateway/feed.rs
+++ b/sesamebeam/src/gateway/feed.rs
@@ -250,14 +250,14 @@
     /// Carries out what is due.
     fn look(&mut self) {
         let now = self.gateway.now();
-        let holding = self.gateway.router().holding();
+        let holding = self.gateway.router().local_summary();
         for order in self.subscription.poll(now, &holding) {
             log::info!(
                 order:? = order, config:? = holding.config, index = holding.index,
                 servers = holding.servers;
                 "control replica asked"
             );
-            let held = self.gateway.router().held();
+            let held = self.gateway.router().sync_state();
             match order {
                 SubscriptionAction::Follow(addr) => {
                     self.send(addr, FromEntry::Follow(held));
@@ -329,7 +329,7 @@
                 }
             }
             ToEntry::Heartbeat(summary) => {
-                let holding = gateway.router().holding();
+                let holding = gateway.router().local_summary();
                 self.subscription
                     .summary_received(now, addr, summary, &holding);
             }
@@ -380,7 +380,7 @@
                 gateway.router().set_doubts(doubts);
             }
             ToEntry::Limits(limits) => self.learn_limits(addr, &limits),
-            ToEntry::Unreachable(told) => gateway.router().apply_unreached(now, &told),
+            ToEntry::Unreachable(told) => gateway.router().apply_unreachable(now, &told),
             ToEntry::Quarantined(fingerprints) => gateway.router().set_quarantined(fingerprints),
             ToEntry::RetainedSessions(kept, all) => gateway.router().pin_sessions(now, &kept, all),
         }
--- a/sesamebeam_core/src/control.rs
+++ b/sesamebeam_core/src/control.rs
@@ -9,7 +9,7 @@
 //! Three rules prevent two leaders from contradicting each other:
 //!
 //! - A leader answers renewals and issues orders only while it holds its lease
-//!   from the other replicas. When it is cut off, it stops before another
+//!   from the other replicas. In a network partition, it stops before another
 //!   replica can lead.
 //! - A new leader does not know the leases that its predecessor granted to
 //!   entries. It assumes that they are held until one entry lease after the
--- a/sesamebeam_core/src/control/applied_times.rs
+++ b/sesamebeam_core/src/control/applied_times.rs
@@ -68,14 +68,14 @@
     /// Returns whether a dispatch window and the network bound after it are over.
     pub(super) fn is_window_over(
         &self,
-        opening: &ClaimGrant,
+        grant: &ClaimGrant,
         network_bound: Duration,
         now: MonoTime,
     ) -> bool {
         let pos = self
             .batches
-            .partition_point(|batch| batch.last_index < opening.granted_at);
+            .partition_point(|batch| batch.last_index < grant.granted_at);
         let batch = self.batches.get(pos);
-        batch.is_some_and(|batch| now >= batch.last_at + opening.window + network_bound)
+        batch.is_some_and(|batch| now >= batch.last_at + grant.window + network_bound)
     }
 }
--- a/sesamebeam_core/src/control/claims.rs
+++ b/sesamebeam_core/src/control/claims.rs
@@ -37,11 +37,11 @@
                 && self.window_over(&req.key)
                 && self.claimant_gone(&view.claimant)
         });
-        let opening = self.state.grant(&req.key);
-        let command = match (retakable, opening) {
-            (Some(_), Some(opening)) => Command::Retake(Retake {
+        let grant = self.state.grant(&req.key);
+        let command = match (retakable, grant) {
+            (Some(_), Some(grant)) => Command::Retake(Retake {
                 claim: req,
-                granted_at: opening.granted_at,
+                granted_at: grant.granted_at,
             }),
             _ => Command::Claim(req),
         };
@@ -71,13 +71,13 @@
         if self.cfg.faults.ignore_windows {
             return true;
         }
-        let Some(mut opening) = self.state.grant(key) else {
+        let Some(mut grant) = self.state.grant(key) else {
             return false;
         };
-        opening.window = self.cfg.scaled_for_drift(opening.window);
+        grant.window = self.cfg.scaled_for_drift(grant.window);
         let network_bound = self.cfg.scaled_for_drift(self.cfg.network_bound);
         self.applied_times
-            .is_window_over(&opening, network_bound, self.now)
+            .is_window_over(&grant, network_bound, self.now)
     }
 
     /// Returns whether a claimant can no longer hold a lease. Never returns true
--- a/sesamebeam_core/src/control/leader.rs
+++ b/sesamebeam_core/src/control/leader.rs
@@ -1,4 +1,4 @@
-//! Tasks of the leader: clock, retention, roll-outs and orders.
+//! Tasks of the leader: clock, retention, rollouts and orders.
 
 use std::time::Duration;
 
--- a/sesamebeam_core/src/control/message.rs
+++ b/sesamebeam_core/src/control/message.rs
@@ -184,7 +184,7 @@
     InForce(Revision),
     /// A version is held in the whole fleet.
     Held(VersionId),
-    /// The state of a roll-out has changed.
+    /// The state of a rollout has changed.
     Rollout {
         /// Version that is being rolled out.
         version: VersionId,
--- a/sesamebeam_core/src/control/pending.rs
+++ b/sesamebeam_core/src/control/pending.rs
@@ -68,7 +68,7 @@
     Retention,
     /// Records a revision as in force.
     InForce,
-    /// Moves a roll-out to its next state.
+    /// Moves a rollout to its next state.
     Rollout(VersionId),
     /// Sends an order to an engine.
     Order(ServerAddr),
--- a/sesamebeam_core/src/entry/attempts.rs
+++ b/sesamebeam_core/src/entry/attempts.rs
@@ -337,7 +337,12 @@
             // claim may be taken over. Before that, it could cancel the request
             // on arrival, and another caller would lose its response.
             let over = view.window_over && view.claimant_gone;
-            if known != (ServerKnows::Never { life: view.target }) || !over {
+            if known
+                != (ServerKnows::Never {
+                    incarnation: view.target,
+                })
+                || !over
+            {
                 return self.attach_failed(now, id, view);
             }
             let action = EntryAction::Cancel {
@@ -348,7 +353,12 @@
             req.phase = Phase::CancellingOther(view);
             return self.actions.push(action);
         }
-        if known == (ServerKnows::Never { life: run.server }) && req.at_most_once {
+        if known
+            == (ServerKnows::Never {
+                incarnation: run.server,
+            })
+            && req.at_most_once
+        {
             // The request was lost or is still in transit. The cancel prevents
             // a run if it arrives late.
             req.phase = Phase::CancellingOwn(run.server);
--- a/sesamebeam_core/src/entry/choose.rs
+++ b/sesamebeam_core/src/entry/choose.rs
@@ -157,8 +157,8 @@
         (out, any)
     }
 
-    /// Returns whether a request digest is quarantined for crashing backend
-    /// servers.
+    /// Returns whether a request fingerprint is quarantined for crashing
+    /// backend servers.
     pub(super) fn is_quarantined(&self, digest: Digest) -> bool {
         self.suspects.status(digest) == SuspectStatus::Quarantined
     }
@@ -271,7 +271,7 @@
             .iter()
             .copied()
             .chain(self.suspects.occupied_servers(digest))
-            .map(|life| life.addr)
+            .map(|incarnation| incarnation.addr)
             .collect();
         let version = req.version().cloned();
         let pool = req.pool.clone();
@@ -334,8 +334,8 @@
         // Only runs observed from their start give a duration.
         let whole = end == AttemptEnd::Whole && run.kind == DispatchKind::Run;
         let took = whole.then(|| now.saturating_sub(run.since));
-        // Uses `alone` as of the start: if the digest was cleared meanwhile, the
-        // backend server would otherwise stay reserved for it.
+        // Uses `alone` as of the start: if the fingerprint was cleared
+        // meanwhile, the backend server would otherwise stay reserved for it.
         self.balance.finished(run.server.addr, run.alone, took);
         match end {
             AttemptEnd::Whole | AttemptEnd::Alive => {
@@ -449,7 +449,7 @@
 }
 
 /// Returns the hash key that decides whether a request falls into the share of a
-/// roll-out. All requests of a session have the same key.
+/// rollout. All requests of a session have the same key.
 fn rollout_key(req: &super::request::Request) -> Vec<u8> {
     use super::event::SessionRef;
 
--- a/sesamebeam_core/src/entry/claims.rs
+++ b/sesamebeam_core/src/entry/claims.rs
@@ -257,7 +257,11 @@
         };
         match req.phase.clone() {
             Phase::CancellingOwn(target) => {
-                if known == (ServerKnows::Never { life: target }) {
+                if known
+                    == (ServerKnows::Never {
+                        incarnation: target,
+                    })
+                {
                     self.abandon_claim(now, id);
                 } else {
                     self.refuse_outcome_unknown(now, id);
@@ -283,7 +287,10 @@
         view: ClaimView,
         known: ServerKnows,
     ) {
-        let never = known == (ServerKnows::Never { life: view.target });
+        let never = known
+            == (ServerKnows::Never {
+                incarnation: view.target,
+            });
         let over = view.window_over && view.claimant_gone;
         if never && over && view.state == ClaimState::Open {
             if let Some(req) = self.requests.get_mut(&id) {
--- a/sesamebeam_core/src/entry/event.rs
+++ b/sesamebeam_core/src/entry/event.rs
@@ -227,7 +227,7 @@
     /// It never received the id, and will not run it after a cancel.
     Never {
         /// Incarnation that gave this reply.
-        life: ServerIncarnation,
+        incarnation: ServerIncarnation,
     },
     /// It received the id, but no longer has the response.
     Gone,
@@ -453,9 +453,9 @@
         /// Reason.
         why: SmolStr,
     },
-    /// A request digest is quarantined fleet-wide.
+    /// A request fingerprint is quarantined fleet-wide.
     Quarantined {
-        /// Request digest.
+        /// Request fingerprint.
         fingerprint: Digest,
     },
     /// Invalid input was ignored.
--- a/sesamebeam_core/src/entry/finish.rs
+++ b/sesamebeam_core/src/entry/finish.rs
@@ -114,16 +114,13 @@
     /// Handles the rating of a sampled response.
     pub(super) fn handle_rating(&mut self, now: MonoTime, rating: &Rating) {
         match self.quality.rate(now, rating) {
-            RatingOutcome::Counted {
-                good,
-                escalated: redo,
-            } => {
+            RatingOutcome::Counted { good, escalated } => {
                 if let Some((org, class)) = self.sampled.swap_remove(&rating.request) {
                     self.burn.record_rating(now, &org, &class, good);
                 }
                 // The second step of a cascade only gets hard requests, so it is
                 // compared with a baseline of its own.
-                let seen = if redo {
+                let seen = if escalated {
                     Observation::Escalated { good }
                 } else {
                     Observation::Rated { good }
@@ -277,7 +274,8 @@
             version: version.clone(),
         }));
         // The control group holds the version fleet-wide. The other entries are
-        // informed directly, since they may be cut off from the control group.
+        // informed directly, since a network partition may separate them from
+        // the control group.
         self.send_to_entries(
             super::event::Recipients::All,
             crate::message::peer::PeerMessage::Alarm {
--- a/sesamebeam_core/src/entry/lease.rs
+++ b/sesamebeam_core/src/entry/lease.rs
@@ -124,10 +124,10 @@
 
     /// Returns the timeout of a renewal.
     ///
-    /// A leader replies within a third of the lease. A leader that is cut off
-    /// never replies, and waiting for it longer than the lease would lose the
-    /// lease although another replica leads by then. Half of the lease leaves the
-    /// other half to reach the new leader.
+    /// A leader replies within a third of the lease. A leader behind a network
+    /// partition never replies, and waiting for it longer than the lease would
+    /// lose the lease although another replica leads by then. Half of the lease
+    /// leaves the other half to reach the new leader.
     fn renewal_timeout(&self) -> Duration {
         match self.last_lease {
             Some(lease) => self.cfg.renew_timeout.min(lease / 2),
--- a/sesamebeam_core/src/entry/membership.rs
+++ b/sesamebeam_core/src/entry/membership.rs
@@ -54,7 +54,7 @@
             return;
         }
         let announced = self.servers.announce(now, announcement);
-        let life = ServerIncarnation {
+        let incarnation = ServerIncarnation {
             addr: announcement.addr,
             incarnation: announcement.incarnation,
         };
@@ -78,7 +78,7 @@
             }
             Announced::New | Announced::Reconnected => {
                 self.actions.push(EntryAction::Notice(Notice::ServerUp {
-                    server: life,
+                    server: incarnation,
                     pool: announcement.pool.clone(),
                 }));
             }
@@ -178,12 +178,12 @@
     pub(super) fn server_unreachable(
         &mut self,
         now: MonoTime,
-        life: &ServerIncarnation,
+        incarnation: &ServerIncarnation,
         refused: bool,
     ) {
-        self.balance.avoid(now, life.addr);
+        self.balance.avoid(now, incarnation.addr);
         if refused {
-            self.server_died(now, *life);
+            self.server_died(now, *incarnation);
         }
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// Reports the backend servers that announced themselves here to the control
-    /// group, which orders engines to load the versions that a roll-out needs.
+    /// group, which orders engines to load the versions that a rollout needs.
     pub(super) fn report_servers(&mut self, now: MonoTime) {
         self.next_servers = now + self.cfg.servers_every;
         let list: Vec<Announcement> = std::mem::take(&mut self.unreported)
@@ -229,15 +229,15 @@
 
     /// Handles the end of a backend server's incarnation once. It is proved by a
     /// new incarnation or a refused connection.
-    fn server_died(&mut self, now: MonoTime, life: ServerIncarnation) {
-        if self.dead_incarnations.contains(&life) {
+    fn server_died(&mut self, now: MonoTime, incarnation: ServerIncarnation) {
+        if self.dead_incarnations.contains(&incarnation) {
             return;
         }
-        self.dead_incarnations.push_back(life);
+        self.dead_incarnations.push_back(incarnation);
         super::keep_newest(&mut self.dead_incarnations, super::MAX_CRASH_RECORDS);
-        let candidates = self.crash_candidates(&life);
-        self.count_crash(now, &life);
-        let Some(report) = self.suspects.record_crash(now, life, &candidates) else {
+        let candidates = self.crash_candidates(&incarnation);
+        self.count_crash(now, &incarnation);
+        let Some(report) = self.suspects.record_crash(now, incarnation, &candidates) else {
             return;
         };
         let suspects = report.suspects.clone();
@@ -258,10 +258,10 @@
     /// Counts a crash once for each version that ran. Counting it for each request
     /// would let the requests beside the faulty one add up as evidence against
     /// their version.
-    fn count_crash(&mut self, now: MonoTime, life: &ServerIncarnation) {
+    fn count_crash(&mut self, now: MonoTime, incarnation: &ServerIncarnation) {
         let mut ran: IndexMap<VersionId, ClassId> = IndexMap::new();
         for req in self.requests.values() {
-            for run in req.running.iter().filter(|run| run.server == *life) {
+            for run in req.running.iter().filter(|run| run.server == *incarnation) {
                 if let Some(version) = &run.version {
                     ran.entry(version.clone()).or_insert(req.class.clone());
                 }
@@ -272,18 +272,18 @@
         }
     }
 
-    /// Returns the digests of the requests that may have crashed a backend server:
-    /// those running on it and those that broke shortly before.
-    fn crash_candidates(&self, life: &ServerIncarnation) -> Vec<Digest> {
+    /// Returns the fingerprints of the requests that may have crashed a backend
+    /// server: those running on it and those that broke shortly before.
+    fn crash_candidates(&self, incarnation: &ServerIncarnation) -> Vec<Digest> {
         let running = self
             .requests
             .values()
-            .filter(|req| req.running.iter().any(|run| run.server == *life))
+            .filter(|req| req.running.iter().any(|run| run.server == *incarnation))
             .map(|req| req.arrival.digest);
         let lost = self
             .broken_attempts
             .iter()
-            .filter(|(_, server, _)| server == life)
+            .filter(|(_, server, _)| server == incarnation)
             .map(|(_, _, digest)| *digest);
         running.chain(lost).collect()
     }
--- a/sesamebeam_core/src/entry/view.rs
+++ b/sesamebeam_core/src/entry/view.rs
@@ -192,12 +192,12 @@
         Some((model.versions.get(version)?, &model.pool))
     }
 
-    /// Finds the roll-out of a version.
+    /// Finds the rollout of a version.
     pub fn rollout(&self, full: &str) -> Option<&Rollout> {
         self.fleet.rollouts.get(*self.index.rollouts.get(full)?)
     }
 
-    /// Returns whether a request digest is quarantined.
+    /// Returns whether a request fingerprint is quarantined.
     pub fn quarantined(&self, digest: Digest) -> bool {
         self.index.quarantine.contains(&digest)
     }
@@ -223,9 +223,9 @@
 
     /// Returns the availability of a version that is rolling out.
     ///
-    /// Such a version is more likely to be withdrawn, and an entry that is cut off
-    /// would not learn of it. It is therefore unavailable once the lease has
-    /// expired, unless the organisation opts out.
+    /// Such a version is more likely to be withdrawn, and an entry behind a
+    /// network partition would not learn of it. It is therefore unavailable
+    /// once the lease has expired, unless the organisation opts out.
     fn rolling(&self, now: MonoTime, org: usize, full: &str) -> Availability {
         let when_cut = self.fleet.organisations[org].when_cut;
         if !self.lease_held(now) && when_cut == WhenCut::SettledOnly {
--- a/sesamebeam_core/src/fleet.rs
+++ b/sesamebeam_core/src/fleet.rs
@@ -42,7 +42,7 @@
     /// Organisations and the versions that they may use.
     #[serde(default, rename = "organisation")]
     pub organisations: Vec<Organisation>,
-    /// Roll-outs of versions.
+    /// Rollouts of versions.
     #[serde(default, rename = "rollout")]
     pub rollouts: Vec<Rollout>,
 }
@@ -98,7 +98,7 @@
     #[default]
     Settled,
     /// Being rolled out; receives only the share of work of its current
-    /// roll-out step.
+    /// rollout step.
     Rolling,
     /// Accepts no new work.
     Withdrawn,
@@ -178,13 +178,13 @@
     /// Objectives by class of requests.
     #[serde(default, rename = "target")]
     pub targets: Vec<Target>,
-    /// Whether versions in a roll-out are used after the configuration lease
-    /// has ended in a failure domain that is cut off.
+    /// Whether versions in a rollout are used after the configuration lease
+    /// has ended because of a network partition.
     #[serde(default)]
     pub when_cut: WhenCut,
 }
 
-/// Versions that an organisation may use in a failure domain that is cut off.
+/// Versions that an organisation may use in a failure domain during a network partition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WhenCut {
@@ -219,7 +219,7 @@
     pub whole: f64,
 }
 
-/// A roll-out of one version.
+/// A rollout of one version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollout {
@@ -262,7 +262,7 @@
         Some((model, version))
     }
 
-    /// Finds the roll-out of a version.
+    /// Finds the rollout of a version.
     pub fn rollout(&self, full: &str) -> Option<&Rollout> {
         self.rollouts.iter().find(|r| r.version == full)
     }
--- a/sesamebeam_core/src/fleet/check/rollouts.rs
+++ b/sesamebeam_core/src/fleet/check/rollouts.rs
@@ -1,4 +1,4 @@
-//! Checks of roll-outs.
+//! Checks of rollouts.
 
 use super::{
     Faults,
--- a/sesamebeam_core/src/gateway/balance.rs
+++ b/sesamebeam_core/src/gateway/balance.rs
@@ -116,7 +116,7 @@
     /// Failure rate of its answers, as a moving average.
     failure_rate: f64,
     /// Pause after failed connections, during which it gets no requests.
-    pause: RetryDelay,
+    retry_delay: RetryDelay,
     /// When it last responded.
     last_response_at: MonoTime,
     /// Long prompts that it has not processed yet.
@@ -183,7 +183,7 @@
 #[derive(Debug, Default)]
 pub struct LoadBalancer {
     servers: HashMap<ServerId, ServerStats>,
-    paths: Reachability,
+    reachability: Reachability,
     /// Loads to report to the other entries.
     unreported_loads: Loads,
     /// Unreported counts of good and bad answers.
@@ -213,7 +213,8 @@
             .or_default();
         stats.in_flight += 1;
         stats.domain = chosen.announcement.domain.clone();
-        self.paths.record_attempt(now, &chosen.announcement.domain);
+        self.reachability
+            .record_attempt(now, &chosen.announcement.domain);
         if params.prefill_time >= prefill::LONG_PREFILL {
             self.record_prefill(now, &chosen.announcement.id, params.prefill_time);
         }
@@ -224,8 +225,8 @@
     pub fn record_response(&mut self, now: MonoTime, id: &ServerId, load: Option<Load>) {
         let stats = self.servers.entry(id.clone()).or_default();
         stats.last_response_at = now;
-        stats.pause = RetryDelay::default();
-        self.paths.record_response(&stats.domain);
+        stats.retry_delay = RetryDelay::default();
+        self.reachability.record_response(&stats.domain);
         if let Some(load) = load {
             let load = ServerLoad::new(id, load);
             stats.own_report = Some(stats.make_report(now, load));
@@ -316,7 +317,7 @@
     /// When a failure domain was partitioned, each of 295 entries had to detect that
     /// itself, and again after each pause: 1,260 requests waited for connections that
     /// failed within six seconds.
-    pub fn apply_unreached(
+    pub fn apply_unreachable(
         &mut self,
         now: MonoTime,
         id: &ServerId,
@@ -330,11 +331,11 @@
         {
             return;
         }
-        if stats.pause.is_over(now) {
-            stats.pause.start_next(now, MAX_PAUSE);
+        if stats.retry_delay.is_over(now) {
+            stats.retry_delay.start_next(now, MAX_PAUSE);
         }
         if !is_down {
-            self.paths.record_unreachable(now, domain, id);
+            self.reachability.record_unreachable(now, domain, id);
         }
     }
 
@@ -349,7 +350,7 @@
     /// this failure domain, until it responds.
     pub fn record_overdue(&mut self, now: MonoTime, id: &ServerId) {
         let stats = self.servers.entry(id.clone()).or_default();
-        stats.pause.extend_to(now, OVERDUE_PAUSE);
+        stats.retry_delay.extend_to(now, OVERDUE_PAUSE);
         self.unreached.push((loads::key(id), true));
     }
 
@@ -383,7 +384,7 @@
             }
             Outcome::Down => {
                 self.unreached.push((loads::key(id), true));
-                stats.pause.start_next(now, MAX_PAUSE);
+                stats.retry_delay.start_next(now, MAX_PAUSE);
             }
             Outcome::Unreachable | Outcome::Silent => {
                 // Busy engines send nothing for seconds: a report to other entries could
@@ -391,8 +392,8 @@
                 if outcome == Outcome::Unreachable {
                     self.unreached.push((loads::key(id), false));
                 }
-                stats.pause.start_next(now, MAX_PAUSE);
-                self.paths.record_unreachable(now, &stats.domain, id);
+                stats.retry_delay.start_next(now, MAX_PAUSE);
+                self.reachability.record_unreachable(now, &stats.domain, id);
             }
             Outcome::Refused | Outcome::Dropped => {}
         }
@@ -401,8 +402,11 @@
     /// Returns whether a backend server is neither paused nor behind a partition.
     pub fn is_reachable(&self, now: MonoTime, known: &ServerRecord) -> bool {
         let stats = self.servers.get(&known.announcement.id);
-        let is_unpaused = stats.is_none_or(|s| s.pause.is_over(now));
-        is_unpaused && !self.paths.is_avoided(now, &known.announcement.domain)
+        let is_unpaused = stats.is_none_or(|s| s.retry_delay.is_over(now));
+        is_unpaused
+            && !self
+                .reachability
+                .is_avoided(now, &known.announcement.domain)
     }
 
     /// Returns the mean share of occupied slots of backend servers.
@@ -573,7 +577,7 @@
     /// has not decayed.
     fn is_relevant(&self, now: MonoTime) -> bool {
         let was_observed =
-            self.last_response_at > MonoTime::ZERO || self.pause != RetryDelay::default();
+            self.last_response_at > MonoTime::ZERO || self.retry_delay != RetryDelay::default();
         let is_prefilling = !self.prefill_queue.remaining(now).is_zero();
         let shared = self.shared_report;
         was_observed || is_prefilling || shared.is_some_and(|s| now < s.at + SHARED_REPORT_LIFETIME)
--- a/sesamebeam_core/src/gateway/coordinator/publisher.rs
+++ b/sesamebeam_core/src/gateway/coordinator/publisher.rs
@@ -171,7 +171,7 @@
         if !quarantined.is_empty() {
             self.push(this_entry.clone(), ToEntry::Quarantined(quarantined));
         }
-        let doubts = self.pool.doubts().to_vec();
+        let doubts = self.outliers.doubts().to_vec();
         self.push(this_entry.clone(), ToEntry::Doubts(doubts));
         if !self.limits.is_empty() {
             let limits = self.limits.current(self.now);
@@ -212,9 +212,9 @@
             .add_evidence(self.now, &self.store, &report.evidence);
         self.loads.merge(self.now, report.loads.iter().copied());
         self.limits.apply(self.now, report.limits.iter().copied());
-        self.pool.record(report.outcomes.iter().copied());
+        self.outliers.record(report.outcomes.iter().copied());
         self.waits.add(self.now, report.waits.iter().copied());
-        self.shortages.record(self.now, report.work.iter().copied());
+        self.admission.record(self.now, report.work.iter().copied());
         self.count_crashes(&report.crashes);
         for sessions in &report.retained_sessions {
             self.retain_sessions(sessions);
@@ -267,7 +267,7 @@
         }
         if let Some(loads) = self.loads.take_due(self.now, self.directory.count()) {
             let waits = self.waits.means(self.now);
-            let shares = self.shortages.shares(self.now);
+            let shares = self.admission.shares(self.now);
             self.log_shares(&shares);
             let loads = ToEntry::Loads {
                 loads,
@@ -276,8 +276,8 @@
             };
             self.push(self.publisher.followers(), loads);
         }
-        if self.pool.evaluate(self.now, &self.directory) {
-            let doubts = self.pool.doubts().to_vec();
+        if self.outliers.evaluate(self.now, &self.directory) {
+            let doubts = self.outliers.doubts().to_vec();
             self.log(LogEvent::Doubts(doubts.clone()));
             self.push(self.publisher.followers(), ToEntry::Doubts(doubts));
         }
--- a/sesamebeam_core/src/gateway/messages.rs
+++ b/sesamebeam_core/src/gateway/messages.rs
@@ -145,8 +145,8 @@
     /// Good and bad responses of backend servers.
     pub outcomes: Vec<AnswerCounts>,
     /// Backend servers that could not be reached from a failure domain. They are only
-    /// passed on within that domain, because a server that is cut off from one domain may
-    /// be reachable from another.
+    /// passed on within that domain, because a server that is partitioned from one domain
+    /// may be reachable from another.
     pub unreachable: Vec<UnreachableServer>,
     /// Waiting times until the first event.
     pub waits: Vec<WaitTotal>,
--- a/sesamebeam_core/src/gateway/router.rs
+++ b/sesamebeam_core/src/gateway/router.rs
@@ -100,7 +100,7 @@
     /// Retry budget.
     pub budget: RetryBudgetConfig,
     /// Upper bound on the share of a service's requests that a new version may serve
-    /// while its roll-out can still be rolled back.
+    /// while its rollout can still be rolled back.
     pub exposure_share: f64,
     /// Idle time after which a session counts as ended.
     pub session_pause: Duration,
@@ -166,7 +166,7 @@
     /// First model of the cascade; none if the caller names a model.
     pub model: Option<ModelId>,
     /// Cost of a model run, in tokens that are paid for, for each token of the answer.
-    pub expense: f64,
+    pub relative_cost: f64,
     /// Prompt prefix shared with other requests.
     shared_prefix: Option<PromptPart>,
     /// Prompt tokens that no other request shares.
@@ -196,7 +196,7 @@
     /// Identifier of the backend server.
     pub id: ServerId,
     /// Start time of the chosen incarnation.
-    pub born: StartTime,
+    pub started_at: StartTime,
     /// Address of the backend server.
     pub addr: SocketAddr,
     /// Version that the backend server runs.
@@ -212,7 +212,7 @@
     pub fn incarnation(&self) -> ServerIncarnation {
         ServerIncarnation {
             id: self.id.clone(),
-            started_at: self.born,
+            started_at: self.started_at,
         }
     }
 }
@@ -235,10 +235,10 @@
     balancer: LoadBalancer,
     budget: RetryBudget,
     cascade: Cascade,
-    tallies: ResponseCounts,
-    suspects: Quarantine,
+    response_counts: ResponseCounts,
+    quarantine: Quarantine,
     sessions: Sessions,
-    lengths: PromptLengths,
+    prompt_lengths: PromptLengths,
     prefill_times: PrefillTimes,
     /// When expired state is removed next.
     cleanup_at: MonoTime,
@@ -262,9 +262,9 @@
             admission: Admission::default(),
             balancer: LoadBalancer::default(),
             cascade: Cascade::default(),
-            tallies: ResponseCounts::default(),
-            suspects: Quarantine::default(),
-            lengths: PromptLengths::default(),
+            response_counts: ResponseCounts::default(),
+            quarantine: Quarantine::default(),
+            prompt_lengths: PromptLengths::default(),
             prefill_times: PrefillTimes::default(),
             cleanup_at: MonoTime::ZERO,
         }
@@ -311,7 +311,7 @@
         self.is_config_current = true;
     }
 
-    /// Applies roll-outs and evacuations as of an index of the replicated log. Returns
+    /// Applies rollouts and evacuations as of an index of the replicated log. Returns
     /// whether anything changed.
     pub fn set_orders(&mut self, now: MonoTime, index: LogIndex, orders: Orders) -> bool {
         if index < self.log_index {
@@ -403,12 +403,12 @@
         let model = route.models.first().filter(|_| is_model_open).cloned();
         Ok(Plan {
             engine_rank: self
-                .lengths
+                .prompt_lengths
                 .engine_rank(&table, route, rank, head.prompt_tokens),
             route: route.clone(),
             organisation,
             model,
-            expense: cascade::relative_cost(head.prompt_tokens, head.response_tokens),
+            relative_cost: cascade::relative_cost(head.prompt_tokens, head.response_tokens),
             shared_prefix: head.shared_part().copied(),
             unshared_tokens: head.unshared_tokens(),
             session: head.session.clone(),
@@ -449,12 +449,12 @@
             sizes,
             asked,
             answer.confidence,
-            plan.expense,
+            plan.relative_cost,
         );
         if !attempts_left {
             return Decision::Keep;
         }
-        if matches!(step, Decision::Ask(_)) && !self.try_repeat(now, plan) {
+        if matches!(step, Decision::Ask(_)) && !self.try_retry(now, plan) {
             return Decision::Keep;
         }
         step
@@ -501,7 +501,8 @@
 
     /// Returns the confidence at which an answer is currently kept.
     pub fn confidence_threshold(&self, now: MonoTime, plan: &Plan) -> f64 {
-        self.cascade.threshold(now, &plan.service, plan.expense)
+        self.cascade
+            .threshold(now, &plan.service, plan.relative_cost)
     }
 
     /// Records the time from a send to the first byte of a successful answer.
@@ -513,7 +514,7 @@
         took: Duration,
     ) {
         let in_canary = self.is_rollout_target(&plan.service, &choice.version);
-        self.tallies
+        self.response_counts
             .record_first_byte(&plan.sender(choice), model, took, in_canary);
     }
 
@@ -526,7 +527,7 @@
         pace: Duration,
     ) {
         let in_canary = self.is_rollout_target(&plan.service, &choice.version);
-        self.tallies
+        self.response_counts
             .record_event_interval(&plan.sender(choice), model, pace, in_canary);
     }
 
@@ -558,28 +559,30 @@
         };
         self.balancer.record_outcome(now, &choice.id, outcome);
         self.record_session(now, plan, choice);
-        self.tallies.record_outcome(&plan.sender(choice), outcome);
+        self.response_counts
+            .record_outcome(&plan.sender(choice), outcome);
     }
 
     /// Marks the chosen incarnation as gone because another process answers at its
     /// address.
     pub fn mark_replaced(&mut self, now: MonoTime, choice: &Choice) {
-        self.directory.mark_gone(now, &choice.id, Some(choice.born));
+        self.directory
+            .mark_gone(now, &choice.id, Some(choice.started_at));
     }
 
     /// Returns whether the chosen incarnation is still the current one of its backend
     /// server.
     fn is_current_incarnation(&self, choice: &Choice) -> bool {
         let known = self.directory.get(&choice.id);
-        known.is_none_or(|k| k.announcement.started_at == choice.born)
+        known.is_none_or(|k| k.announcement.started_at == choice.started_at)
     }
 
-    /// Records sessions that must stay on the versions from before a roll-out.
+    /// Records sessions that must stay on the versions from before a rollout.
     pub fn pin_sessions(&mut self, now: MonoTime, kept: &RetainedSessions, all: bool) {
         self.sessions.exclude(now, kept, all);
     }
 
-    /// Returns how long each roll-out has been running.
+    /// Returns how long each rollout has been running.
     pub fn rollout_ages(&self, now: MonoTime) -> Vec<RolloutAge> {
         self.sessions.ages(now)
     }
@@ -587,7 +590,7 @@
     /// Sets the fingerprints that the control replicas have quarantined for crashing
     /// backend servers.
     pub fn set_quarantined(&mut self, fingerprints: impl IntoIterator<Item = Digest>) {
-        self.suspects.add(fingerprints);
+        self.quarantine.add(fingerprints);
     }
 
     /// Checks whether a request may run.
@@ -596,7 +599,7 @@
     ///
     /// Fails if the fingerprint is quarantined.
     pub fn check_fingerprint(&self, fingerprint: Digest) -> Result<(), Refusal> {
-        match self.suspects.may_run(fingerprint) {
+        match self.quarantine.may_run(fingerprint) {
             true => Ok(()),
             false => Err(Refusal::Quarantined),
         }
@@ -604,12 +607,12 @@
 
     /// Records that a request completed.
     pub fn record_completion(&mut self, fingerprint: Digest) {
-        self.suspects.record_completion(fingerprint);
+        self.quarantine.record_completion(fingerprint);
     }
 
     /// Records that a request was running when its backend server crashed.
     pub fn record_crash(&mut self, fingerprint: Digest, choice: &Choice) {
-        self.suspects
+        self.quarantine
             .record_crash(fingerprint, choice.incarnation());
     }
 
--- a/sesamebeam_core/src/gateway/router/canary.rs
+++ b/sesamebeam_core/src/gateway/router/canary.rs
@@ -1,4 +1,4 @@
-//! Versions of a service that a request may use during a roll-out.
+//! Versions of a service that a request may use during a rollout.
 
 use super::{
     Plan,
@@ -78,7 +78,7 @@
     }
 
     /// Returns the number of backend servers of a service that do not run the target
-    /// version of its roll-out.
+    /// version of its rollout.
     fn count_stable(&self, service: &str) -> usize {
         let groups = self.open_groups(service);
         let stable = groups.filter(|g| !self.is_rollout_target(service, g.version));
--- a/sesamebeam_core/src/gateway/router/capacity.rs
+++ b/sesamebeam_core/src/gateway/router/capacity.rs
@@ -25,7 +25,7 @@
     }
 
     /// Returns whether the retry budget allows another send of a request, and charges it.
-    pub fn try_repeat(&mut self, now: MonoTime, plan: &Plan) -> bool {
+    pub fn try_retry(&mut self, now: MonoTime, plan: &Plan) -> bool {
         self.budget.try_retry(now, &plan.service)
     }
 
--- a/sesamebeam_core/src/gateway/router/choosing.rs
+++ b/sesamebeam_core/src/gateway/router/choosing.rs
@@ -120,7 +120,7 @@
         self.limits.record_send(now, &chosen.announcement.id);
         let choice = Choice {
             id: chosen.announcement.id.clone(),
-            born: chosen.announcement.started_at,
+            started_at: chosen.announcement.started_at,
             addr: chosen.announcement.addr,
             version: chosen.announcement.version.clone(),
             prefill_time,
--- a/sesamebeam_core/src/gateway/router/exchange.rs
+++ b/sesamebeam_core/src/gateway/router/exchange.rs
@@ -24,7 +24,7 @@
 
 impl Router {
     /// Returns the versions and digests of the control state that this entry has.
-    pub fn held(&mut self) -> SyncState {
+    pub fn sync_state(&mut self) -> SyncState {
         SyncState {
             config: self.version(),
             servers: self.directory.digests().clone(),
@@ -33,7 +33,7 @@
     }
 
     /// Returns a summary of the control state that this entry has.
-    pub fn holding(&mut self) -> LocalSummary {
+    pub fn local_summary(&mut self) -> LocalSummary {
         LocalSummary {
             config: self.version(),
             index: self.log_index,
@@ -77,14 +77,14 @@
 
     /// Applies reports of other entries in this failure domain about unreachable backend
     /// servers.
-    pub fn apply_unreached(&mut self, now: MonoTime, reports: &[UnreachableServer]) {
+    pub fn apply_unreachable(&mut self, now: MonoTime, reports: &[UnreachableServer]) {
         for unreached in reports.iter().filter(|u| u.from == self.cfg.domain) {
             for announcement in self
                 .directory
                 .with_key(unreached.server)
                 .map(|k| &k.announcement)
             {
-                self.balancer.apply_unreached(
+                self.balancer.apply_unreachable(
                     now,
                     &announcement.id,
                     &announcement.domain,
@@ -109,7 +109,7 @@
             unreachable: self.take_unreached(),
             waits: self.cascade.take_unreported(),
             work: self.admission.take_unreported(),
-            crashes: self.suspects.take_crashes(),
+            crashes: self.quarantine.take_crashes(),
             retained_sessions: self.sessions.take_unreported(),
             rollout_ages: Vec::new(),
         }
@@ -127,10 +127,10 @@
         servers.into_iter().map(unreached).collect()
     }
 
-    /// Takes the answer counts of services whose roll-out can still be rolled back.
+    /// Takes the answer counts of services whose rollout can still be rolled back.
     /// Counts of other services are not evaluated.
     fn take_evidence(&mut self) -> Vec<Evidence> {
-        let mut evidence = self.tallies.take();
+        let mut evidence = self.response_counts.take();
         evidence.retain(|counts| self.is_watched(&counts.service));
         evidence
     }
--- a/sesamebeam_core/src/gateway/router/retry_after.rs
+++ b/sesamebeam_core/src/gateway/router/retry_after.rs
@@ -31,7 +31,7 @@
     /// the first would be rejected again. As all entries do the same, the rate of
     /// returning callers stays within the limits. After a requested pause, callers are
     /// spread at random (see
-    /// [`RequestedPause::spread`](crate::policy::backoff::RequestedPause::spread)).
+    /// [`RequestedPause::jitter`](crate::policy::backoff::RequestedPause::jitter)).
     pub fn retry_after(
         &mut self,
         now: MonoTime,
--- a/sesamebeam_core/src/gateway/subscription.rs
+++ b/sesamebeam_core/src/gateway/subscription.rs
@@ -4,8 +4,8 @@
 //! An entry prefers a replica in its own failure domain: updates from there cause no
 //! traffic between failure domains and don't depend on the network between them. All
 //! other connected replicas send a summary of their state twice a second. If the followed
-//! replica is cut off from the control group, these summaries show that the entry lags
-//! behind, and the entry requests the missing state from a replica that is ahead.
+//! replica is partitioned from the control group, these summaries show that the entry
+//! lags behind, and the entry requests the missing state from a replica that is ahead.
 
 use std::{
     collections::BTreeMap,
--- a/sesamebeam_core/src/message/command.rs
+++ b/sesamebeam_core/src/message/command.rs
@@ -56,7 +56,7 @@
     Crash(CrashReport),
     /// Adds evidence of one entry about a version.
     Evidence(Evidence),
-    /// Moves a roll-out to another state, as decided by the leader.
+    /// Moves a rollout to another state, as decided by the leader.
     Rollout(RolloutStep),
     /// Records an order to an engine before it is sent.
     Order(Order),
@@ -218,7 +218,7 @@
     pub hold: bool,
 }
 
-/// State of a roll-out.
+/// State of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutState {
     /// Waiting for enough backend servers to load the version.
@@ -231,12 +231,12 @@
     Done,
 }
 
-/// Transition of a roll-out that the leader decided on.
+/// Transition of a rollout that the leader decided on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutStep {
     /// Version that is rolled out.
     pub version: VersionId,
-    /// Current state; the step has no effect if the roll-out is in another
+    /// Current state; the step has no effect if the rollout is in another
     /// state.
     pub from: RolloutState,
     /// Next state.
--- a/sesamebeam_core/src/message/control.rs
+++ b/sesamebeam_core/src/message/control.rs
@@ -158,7 +158,7 @@
     pub classes: Vec<Class>,
     /// Organisations that are new or changed.
     pub organisations: Vec<Organisation>,
-    /// Roll-outs that are new or changed.
+    /// Rollouts that are new or changed.
     pub rollouts: Vec<Rollout>,
     /// Names of the removed parts.
     pub removed: Vec<RemovedPart>,
@@ -178,7 +178,7 @@
     Classes(Vec<SmolStr>),
     /// Order of the organisations.
     Organisations(Vec<SmolStr>),
-    /// Order of the roll-outs.
+    /// Order of the rollouts.
     Rollouts(Vec<SmolStr>),
 }
 
@@ -193,7 +193,7 @@
     Class(SmolStr),
     /// An organisation.
     Organisation(SmolStr),
-    /// A roll-out.
+    /// A rollout.
     Rollout(SmolStr),
 }
 
@@ -204,18 +204,18 @@
     pub at: LogIndex,
     /// Versions held fleet-wide because of evidence.
     pub held: Vec<VersionId>,
-    /// State of each roll-out.
+    /// State of each rollout.
     pub rollouts: Vec<RolloutView>,
     /// Fingerprints of quarantined requests, which crash backend servers.
     pub quarantine: Vec<Digest>,
 }
 
-/// View of a roll-out for entries and operators.
+/// View of a rollout for entries and operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutView {
     /// Version that is rolled out.
     pub version: VersionId,
-    /// State of the roll-out.
+    /// State of the rollout.
     pub state: RolloutState,
     /// Share of eligible requests that the version may receive (0 to 1).
     pub share: f64,
--- a/sesamebeam_core/src/policy.rs
+++ b/sesamebeam_core/src/policy.rs
@@ -28,7 +28,7 @@
     pub quality: quality::QualityConfig,
     /// Selection of versions and cascades.
     pub plan: plan::PlanConfig,
-    /// Staged exposure of versions during roll-outs, and automatic holds.
+    /// Staged exposure of versions during rollouts, and automatic holds.
     pub exposure: exposure::ExposureConfig,
     /// Load balancing over backend servers.
     pub balance: balance::BalanceConfig,
--- a/sesamebeam_core/src/policy/exposure.rs
+++ b/sesamebeam_core/src/policy/exposure.rs
@@ -1,4 +1,4 @@
-//! Staged exposure of versions during roll-outs, and automatic holds.
+//! Staged exposure of versions during rollouts, and automatic holds.
 //!
 //! A version that is rolling out first receives routine idempotent requests.
 //! Urgent requests and non-idempotent requests follow once there is enough
@@ -60,7 +60,7 @@
     /// Whether the sequential test holds versions.
     pub sequential_test: bool,
     /// Upper bound of the probability that a test holds a good version during
-    /// its roll-out.
+    /// its rollout.
     pub false_hold_probability: f64,
     /// Number of observations of one version within which the CUSUM part of a
     /// test, which restarts continually, keeps that bound.
@@ -154,7 +154,7 @@
     Held,
     /// The version is withdrawn or unknown.
     Withdrawn,
-    /// The request is outside the current share of the roll-out.
+    /// The request is outside the current share of the rollout.
     NotYet,
     /// The version does not have enough evidence for this class yet.
     Untrusted,
@@ -224,7 +224,7 @@
         self.versions = versions;
     }
 
-    /// Applies the control group's state: fleet-wide holds and roll-out shares.
+    /// Applies the control group's state: fleet-wide holds and rollout shares.
     pub fn apply_live(&mut self, live: &LiveState) {
         for (version, trust) in &mut self.versions {
             trust.fleet_hold = live.held.contains(version);
@@ -250,7 +250,7 @@
     ///
     /// `draw_key` is the name of the session, or the request identifier if
     /// there is no session. A session thus stays on the same side of a
-    /// roll-out's share.
+    /// rollout's share.
     pub fn permit(&self, version: &str, class: &Class, draw_key: &[u8], pinned: bool) -> Permit {
         let Some(trust) = self.versions.get(version) else {
             return Permit::Withdrawn;
--- a/sesamebeam_core/src/policy/exposure/evidence.rs
+++ b/sesamebeam_core/src/policy/exposure/evidence.rs
@@ -16,7 +16,7 @@
 /// enough". For a good version the ratio is a supermartingale, so the
 /// probability that it ever exceeds 1/p is at most p (Ville's inequality),
 /// regardless of how often it is checked. `log_ratio` is its logarithm since
-/// the start of the roll-out. `cusum` is reset whenever it would fall below
+/// the start of the rollout. `cusum` is reset whenever it would fall below
 /// zero (Page's CUSUM), which detects a version that degrades after a long good
 /// period; a limit of ln(n/p) keeps the probability of a false alarm within n
 /// observations below p.
@@ -40,7 +40,7 @@
     }
 
     /// Returns whether the version is found to be bad: whether the log-likelihood
-    /// ratio reaches its limit during a roll-out, or the CUSUM its own at any
+    /// ratio reaches its limit during a rollout, or the CUSUM its own at any
     /// time.
     pub(super) fn crossed(&self, rolling: bool, rollout_limit: f64, cusum_limit: f64) -> bool {
         (rolling && self.log_ratio >= rollout_limit) || self.cusum >= cusum_limit
@@ -52,11 +52,11 @@
 pub(super) struct VersionTrust {
     /// State of the version in the fleet file.
     pub(super) state: VersionState,
-    /// Share of eligible requests that use it during its roll-out.
+    /// Share of eligible requests that use it during its rollout.
     pub(super) share: f64,
     /// Whether the control group holds it.
     pub(super) fleet_hold: bool,
-    /// Number of rated answers at this step of the roll-out, fleet-wide.
+    /// Number of rated answers at this step of the rollout, fleet-wide.
     pub(super) fleet_ratings: u32,
     /// Reason and start of the hold on this entry.
     pub(super) held: Option<(HoldReason, MonoTime)>,
@@ -68,7 +68,7 @@
     pub(super) bad: u32,
     /// Failures since the last report.
     pub(super) errors: u32,
-    /// Number of ratings on this entry since the roll-out began.
+    /// Number of ratings on this entry since the rollout began.
     local_ratings: u32,
     /// Test of ratings.
     pub(super) ratings: SequentialTest,
@@ -82,7 +82,7 @@
 
 impl VersionTrust {
     /// Applies the state in the fleet file. A change of state, such as the
-    /// start of a roll-out or operators declaring a held version settled,
+    /// start of a rollout or operators declaring a held version settled,
     /// releases the hold and restarts the tests.
     pub(super) fn set_state(&mut self, state: VersionState) {
         if self.state == state {
@@ -139,7 +139,7 @@
     /// Returns whether there is anything to report to the control group.
     ///
     /// For settled versions only a change of the hold is reported. The control
-    /// group needs counts only to gate the steps of roll-outs; if 720 entries
+    /// group needs counts only to gate the steps of rollouts; if 720 entries
     /// reported the counts of 27 versions every second, the control group would
     /// append 19,000 log entries per second.
     pub(super) fn needs_report(&self) -> bool {
--- a/sesamebeam_core/src/policy/hash.rs
+++ b/sesamebeam_core/src/policy/hash.rs
@@ -8,7 +8,7 @@
 /// Maps a name to a point in [0, 1) that is the same on every entry.
 ///
 /// `salt` makes decisions independent of each other. Without it, the sessions
-/// that get one roll-out first would get every roll-out first.
+/// that get one rollout first would get every rollout first.
 pub fn unit(name: &[u8], salt: &str) -> f64 {
     let seed = xxh3_64_with_seed(salt.as_bytes(), 0);
     let bits = xxh3_64_with_seed(name, seed) >> 11;
--- a/sesamebeam_core/src/policy/plan.rs
+++ b/sesamebeam_core/src/policy/plan.rs
@@ -398,7 +398,7 @@
     /// Selects a version that is rolling out and still lacks evidence.
     ///
     /// Exposure permits it for its share of requests only. If it were selected
-    /// by cost it might never be used, and its roll-out would not progress.
+    /// by cost it might never be used, and its rollout would not progress.
     fn rollout_candidate(&self, quality: &Quality, scored: &[ScoredPlan]) -> Option<usize> {
         if self.cfg.trial_share <= 0.0 {
             return None;
--- a/sesamebeam_core/src/replica/election.rs
+++ b/sesamebeam_core/src/replica/election.rs
@@ -114,11 +114,12 @@
 
     /// Responds to a vote request.
     ///
-    /// A replica that is cut off from the leader starts elections repeatedly. If it
-    /// received votes, or merely raised the term of the others, a healthy leader
-    /// would be deposed while it may still serve under its lease. A replica in
-    /// contact with a live leader therefore ignores vote requests, unless that
-    /// leader gave up its lease and asked for the election.
+    /// A replica that a network partition separates from the leader starts
+    /// elections repeatedly. If it received votes, or merely raised the term of
+    /// the others, a healthy leader would be deposed while it may still serve
+    /// under its lease. A replica in contact with a live leader therefore
+    /// ignores vote requests, unless that leader gave up its lease and asked
+    /// for the election.
     pub(super) fn on_vote_request(
         &mut self,
         from: NodeId,
--- a/sesamebeam_core/src/state.rs
+++ b/sesamebeam_core/src/state.rs
@@ -114,7 +114,7 @@
     pub pin_any_version: bool,
     /// Every fingerprint that took part in two crashes is quarantined.
     pub quarantine_bystanders: bool,
-    /// Roll-outs advance before their gates are met.
+    /// Rollouts advance before their gates are met.
     pub step_without_gate: bool,
     /// A new leader considers claimants without a known lease as gone
     /// immediately.
@@ -284,12 +284,12 @@
         self.bills.list(from, limit)
     }
 
-    /// Returns the state of a roll-out.
+    /// Returns the state of a rollout.
     pub fn rollout(&self, version: &str) -> Option<RolloutState> {
         self.rollouts.state(version)
     }
 
-    /// Returns the roll-out steps whose gates are met.
+    /// Returns the rollout steps whose gates are met.
     pub fn due_steps(&self) -> Vec<RolloutStep> {
         self.rollouts.due(&self.config.fleet, self.clock)
     }
@@ -451,7 +451,7 @@
     }
 }
 
-/// Returns the fields of a roll-out that entries act on.
+/// Returns the fields of a rollout that entries act on.
 fn relevant_fields(view: &RolloutView) -> (&VersionId, RolloutState, f64) {
     (&view.version, view.state, view.share)
 }
--- a/sesamebeam_core/src/state/rollout.rs
+++ b/sesamebeam_core/src/state/rollout.rs
@@ -1,4 +1,4 @@
-//! Evidence about versions, held versions and the state of roll-outs.
+//! Evidence about versions, held versions and the state of rollouts.
 
 use std::{
     collections::BTreeMap,
@@ -42,14 +42,14 @@
 /// low over many repetitions.
 const BOUND_DEVIATIONS: f64 = 3.0;
 
-/// Evidence, held versions and roll-outs.
+/// Evidence, held versions and rollouts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Rollouts {
     /// Evidence by version, for versions listed in the fleet file.
     evidence: BTreeMap<VersionId, AnswerCounts>,
     /// Versions held because of their evidence, with the time of the hold.
     held: BTreeMap<VersionId, Duration>,
-    /// Roll-outs by version.
+    /// Rollouts by version.
     records: BTreeMap<VersionId, Record>,
 }
 
@@ -61,21 +61,21 @@
     errors: u32,
 }
 
-/// State of a roll-out.
+/// State of a rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Record {
     state: RolloutState,
-    /// Log clock time at which the roll-out entered its state.
+    /// Log clock time at which the rollout entered its state.
     since: Duration,
     /// Evidence collected in this state.
     step: AnswerCounts,
 }
 
 impl Rollouts {
-    /// Updates the roll-outs after a new file was accepted.
+    /// Updates the rollouts after a new file was accepted.
     ///
     /// A hold ends only when the operator changes the declaration of the
-    /// version or of its roll-out. It does not end by itself, because the
+    /// version or of its rollout. It does not end by itself, because the
     /// evidence remains valid.
     pub(super) fn update_fleet(&mut self, old: &Fleet, new: &Fleet, clock: Duration) {
         self.evidence
@@ -122,7 +122,7 @@
     }
 
     /// Applies a step that the leader decided on. The step has no effect if the
-    /// roll-out has left the state `step.from` or the gate is not met: a
+    /// rollout has left the state `step.from` or the gate is not met: a
     /// replaced leader may decide on outdated state.
     pub(super) fn step(&mut self, fleet: &Fleet, step: &RolloutStep, clock: Duration, gates: bool) {
         if step.to == RolloutState::Held {
@@ -156,7 +156,7 @@
         steps.collect()
     }
 
-    /// Returns the state of a roll-out.
+    /// Returns the state of a rollout.
     pub(super) fn state(&self, version: &str) -> Option<RolloutState> {
         self.records.get(version).map(|record| record.state)
     }
@@ -166,7 +166,7 @@
         self.held.keys().cloned().collect()
     }
 
-    /// Returns the views of all roll-outs.
+    /// Returns the views of all rollouts.
     pub(super) fn views(&self, fleet: &Fleet) -> Vec<RolloutView> {
         let views = self.records.iter().map(|(version, record)| RolloutView {
             version: version.clone(),
@@ -215,7 +215,7 @@
     }
 
     /// Adapts the state to a changed declaration. If the current step no longer
-    /// exists, the last step is entered; a roll-out that was held or done
+    /// exists, the last step is entered; a rollout that was held or done
     /// starts again.
     fn adapt_to(&mut self, rollout: &Rollout, clock: Duration) {
         let last = (rollout.steps.len() as u32).saturating_sub(1);
--- a/sesamebeam_core/tests/control/rollouts.rs
+++ b/sesamebeam_core/tests/control/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs that continue under a new leader.
+//! Rollouts that continue under a new leader.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
 }
 
 /// The leader fails during the first step, with part of the gate's ratings
-/// received. The roll-out must neither restart nor lose these ratings.
+/// received. The rollout must neither restart nor lose these ratings.
 #[test]
 fn resumed() {
     let mut group = Group::new(Faults::default());
--- a/sesamebeam_core/tests/gateway/backoff.rs
+++ b/sesamebeam_core/tests/gateway/backoff.rs
@@ -184,7 +184,7 @@
         ..leaving()
     };
     let mut living = choice(0);
-    living.born = 5;
+    living.started_at = 5;
     let heard = router.record_backoff(ms(START + 40), &living, &misdirected);
     assert_eq!(heard, None);
     assert!(send(&mut router, ms(START + 50), "caller").is_ok());
--- a/sesamebeam_core/tests/gateway/balance.rs
+++ b/sesamebeam_core/tests/gateway/balance.rs
@@ -274,7 +274,7 @@
     }
     let mut balance = LoadBalancer::default();
     for id in ["server-5", "server-9"] {
-        balance.apply_unreached(ms(0), &id.into(), &"hall-2".into(), false);
+        balance.apply_unreachable(ms(0), &id.into(), &"hall-2".into(), false);
     }
     let times: Vec<u64> = (10..60).collect();
     let used = domains(&mut balance, &times, &servers);
@@ -291,7 +291,7 @@
     }
     let mut balance = LoadBalancer::default();
     for id in ["server-5", "server-9", "server-11"] {
-        balance.apply_unreached(ms(0), &id.into(), &"hall-2".into(), true);
+        balance.apply_unreachable(ms(0), &id.into(), &"hall-2".into(), true);
     }
     let times: Vec<u64> = (10..60).collect();
     let used = domains(&mut balance, &times, &servers);
@@ -310,7 +310,7 @@
     };
     let first = choose(&mut balance, 1000, &servers, &need);
     balance.record_response(ms(1000), &first.as_str().into(), None);
-    balance.apply_unreached(ms(1100), &first.as_str().into(), &"hall-1".into(), false);
+    balance.apply_unreachable(ms(1100), &first.as_str().into(), &"hall-1".into(), false);
     assert_eq!(choose(&mut balance, 1100, &servers, &need), first);
 }
 
--- a/sesamebeam_core/tests/gateway/fixtures.rs
+++ b/sesamebeam_core/tests/gateway/fixtures.rs
@@ -221,7 +221,7 @@
     let server = announcement(number);
     Choice {
         id: server.id,
-        born: server.started_at,
+        started_at: server.started_at,
         addr: server.addr,
         version: server.version,
         prefill_time: ms(0),
--- a/sesamebeam_core/tests/gateway/plays.rs
+++ b/sesamebeam_core/tests/gateway/plays.rs
@@ -61,7 +61,7 @@
         };
         let all: Vec<_> = (0..servers).map(announcement).collect();
         fleet.event(Event::Servers(all.clone()));
-        for life in 1..=entries {
+        for entry_id in 1..=entries {
             let mut router = Router::new(router_config());
             router.set_config(ms(0), bookings());
             router.set_config_current();
@@ -69,9 +69,9 @@
             for announcement in all.clone() {
                 router.apply_announcement(ms(0), announcement);
             }
-            fleet.entries.insert(life, router);
-            fleet.event(Event::EntryConnected(life));
-            fleet.event(Event::EntryFollows(life, SyncState::default()));
+            fleet.entries.insert(entry_id, router);
+            fleet.event(Event::EntryConnected(entry_id));
+            fleet.event(Event::EntryFollows(entry_id, SyncState::default()));
         }
         fleet
     }
@@ -86,10 +86,10 @@
             let Action::Push(to, message) = action else {
                 continue;
             };
-            for (life, router) in &mut self.entries {
+            for (entry_id, router) in &mut self.entries {
                 let is_told = match &to {
                     Recipients::All => true,
-                    Recipients::Only(lives) => lives.contains(life),
+                    Recipients::Only(recipients) => recipients.contains(entry_id),
                 };
                 if is_told && let ToEntry::Doubts(doubts) = &message {
                     router.set_doubts(doubts.clone());
@@ -104,8 +104,8 @@
         self.now += 1;
         let (now, at) = (self.now, self.at());
         let mut reports = Vec::new();
-        for (life, router) in self.entries.iter_mut().filter(|_| shares_reports) {
-            let turn = now + life * 7;
+        for (entry_id, router) in self.entries.iter_mut().filter(|_| shares_reports) {
+            let turn = now + entry_id * 7;
             let failed = turn.is_multiple_of(FAILURES_EVERY) && router.has_failures();
             if failed || turn.is_multiple_of(REPORT_EVERY) {
                 reports.push(router.take_report(at));
@@ -123,8 +123,8 @@
     /// `failure_rate` is the share of responses that each backend server aborts.
     fn book(&mut self, number: u64, failure_rate: impl Fn(&ServerId) -> f64) -> bool {
         let at = self.at();
-        let life = self.rng.random_range(1..=self.entries.len() as u64);
-        let router = self.entries.get_mut(&life).expect("it runs");
+        let entry_id = self.rng.random_range(1..=self.entries.len() as u64);
+        let router = self.entries.get_mut(&entry_id).expect("it runs");
         let mut booking = head(&format!("r{number}"));
         booking.prompt.clear();
         let plan = router.admit(at, &booking);
@@ -201,8 +201,8 @@
     // The maximum is now 71.
     let mut fleet = Fleet::start(295, 5);
     let mut sent: BTreeMap<ServerId, usize> = BTreeMap::new();
-    for (life, router) in &mut fleet.entries {
-        let mut booking = head(&format!("r{life}"));
+    for (entry_id, router) in &mut fleet.entries {
+        let mut booking = head(&format!("r{entry_id}"));
         booking.prompt.clear();
         let plan = router.admit(ms(0), &booking).expect("it is admitted");
         let choice = router.choose(ms(0), &plan, None, &[]);
--- a/sesamebeam_core/tests/gateway/router.rs
+++ b/sesamebeam_core/tests/gateway/router.rs
@@ -27,7 +27,7 @@
     router_config, //
 };
 
-/// Starts a roll-out of `v2` and announces backend servers that run it.
+/// Starts a rollout of `v2` and announces backend servers that run it.
 fn roll_out(router: &mut Router, phase: Phase, index: u64) {
     let rollout = Rollout {
         target: "v2".into(),
@@ -152,7 +152,7 @@
 
 #[test]
 fn sessions_stay() {
-    // Guards against sessions that change version during a roll-out. Sessions that are
+    // Guards against sessions that change version during a rollout. Sessions that are
     // active when it starts stay on their version.
     let mut router = router(4);
     for n in 0..200 {
@@ -192,7 +192,7 @@
 
 #[test]
 fn old_roll_outs_are_ignored() {
-    // Guards against a lagging control replica that revives a roll-out which was rolled
+    // Guards against a lagging control replica that revives a rollout which was rolled
     // back.
     let mut router = router(4);
     roll_out(&mut router, Phase::RolledBack, 5);
@@ -293,7 +293,7 @@
     router.record_outcome(ms(4), &plan, &choice, balance::Outcome::Unreachable);
     let tried = ["server-9".into()];
     let next = router.choose(ms(5), &plan, None, &tried);
-    assert_eq!(next.map(|c| c.born), Ok(5000));
+    assert_eq!(next.map(|c| c.started_at), Ok(5000));
 }
 
 #[test]
--- a/sesamebeam_core/tests/gateway/seeds.rs
+++ b/sesamebeam_core/tests/gateway/seeds.rs
@@ -82,8 +82,8 @@
 
 #[test]
 fn isolated_leader_silent() {
-    // A leader that is cut off no longer knows the current members. Its messages could
-    // send entries to processes that have left.
+    // A leader behind a network partition no longer knows the current members. Its
+    // messages could send entries to processes that have left.
     let mut group = Group::start(3, 1);
     let leader = group.new_leader(None);
     group.isolate(leader);
--- a/sesamebeam_core/tests/gateway/subscription.rs
+++ b/sesamebeam_core/tests/gateway/subscription.rs
@@ -143,9 +143,10 @@
 
 #[test]
 fn cut_off_from_the_group() {
-    // The local replica is cut off from the group, but not from the entry. Commands that
-    // are acknowledged meanwhile are known only to the other replicas: the entry asks one
-    // of them within half a second, and then follows another replica.
+    // A network partition separates the local replica from the group, but not from the
+    // entry. Commands that are acknowledged meanwhile are known only to the other
+    // replicas: the entry asks one of them within half a second, and then follows another
+    // replica.
     let mut entry = Entry::new();
     entry.settle();
     let leaderless = StateSummary {
--- a/sesamebeam_core/tests/group/net.rs
+++ b/sesamebeam_core/tests/group/net.rs
@@ -275,7 +275,7 @@
         node.cfg.incarnation += 1;
     }
 
-    /// Cuts all links of a replica in both directions.
+    /// Disconnects all links of a replica in both directions.
     pub(crate) fn isolate(&mut self, id: NodeId) {
         let others: Vec<NodeId> = self.nodes.keys().copied().filter(|&n| n != id).collect();
         for other in others {
--- a/sesamebeam_core/tests/lease.rs
+++ b/sesamebeam_core/tests/lease.rs
@@ -123,8 +123,8 @@
     assert_eq!(leader_lease(lease, 0.0), lease);
 }
 
-/// Cuts the link between the leader and one follower, which then starts elections
-/// repeatedly while the other follower still has a leader.
+/// Disconnects the link between the leader and one follower, which then starts
+/// elections repeatedly while the other follower still has a leader.
 fn cut_link_to_follower(faults: Faults) -> Net {
     let mut net = Net::new(3, 5, faults);
     net.commit(1);
@@ -147,7 +147,7 @@
 
 #[test]
 fn one_link_cut_without_vote_block() {
-    // If followers vote during a lease, the cut-off follower wins while the leader
+    // If followers vote during a lease, the partitioned follower wins while the leader
     // still holds its lease.
     let net = cut_link_to_follower(Faults {
         vote_during_lease: true,
@@ -157,7 +157,7 @@
 }
 
 /// Restarts a follower repeatedly while it is bound by its promise to the leader.
-/// The third replica is cut off from the leader and starts elections.
+/// The third replica is partitioned from the leader and starts elections.
 fn restart_voter(faults: Faults) -> Vec<Violation> {
     let mut violations = Vec::new();
     for seed in 0..40 {
--- a/sesamebeam_core/tests/policy/bad_input.rs
+++ b/sesamebeam_core/tests/policy/bad_input.rs
@@ -61,10 +61,10 @@
     let names = (0usize..3, 0usize..3, 0u16..4);
     let numbers = (0u64..4, 0u64..20, any::<bool>(), any::<f32>());
     (names, numbers, load()).prop_map(
-        |((domain, pool, number), (life, seq, leaving, speed), load)| Announcement {
+        |((domain, pool, number), (incarnation, seq, leaving, speed), load)| Announcement {
             pool: ["pool", "api", "ghost"][pool].into(),
             domain: ["hall-1", "hall-2", "ghost"][domain].into(),
-            incarnation: life,
+            incarnation,
             leaving,
             speed,
             load,
--- a/sesamebeam_core/tests/policy/balance.rs
+++ b/sesamebeam_core/tests/policy/balance.rs
@@ -58,7 +58,7 @@
 }
 
 /// Returns the incarnation under which the tests announce a backend server.
-fn life(number: u16) -> ServerIncarnation {
+fn server_incarnation(number: u16) -> ServerIncarnation {
     ServerIncarnation {
         addr: addr(number),
         incarnation: announcement(number, 1).incarnation,
@@ -172,7 +172,7 @@
     let mut server = announcement(0, 2);
     server.leaving = true;
     balance.upsert(secs(1), &server);
-    assert!(!balance.accepts_requests(secs(1), life(0)));
+    assert!(!balance.accepts_requests(secs(1), server_incarnation(0)));
     assert!((0..20).all(|_| pick(&mut balance, &INPUT) == Some(addr(1))));
 }
 
@@ -183,20 +183,20 @@
     // incarnation.
     let mut balance = balance(2, 0);
     let pause = |seconds| Some(Duration::from_secs(seconds));
-    balance.pause(secs(60), life(0), pause(3));
-    balance.pause(secs(61), life(0), pause(1));
-    balance.pause(secs(61), life(0), None);
+    balance.pause(secs(60), server_incarnation(0), pause(3));
+    balance.pause(secs(61), server_incarnation(0), pause(1));
+    balance.pause(secs(61), server_incarnation(0), None);
     balance.answered(addr(0));
-    assert!(!balance.accepts_requests(secs(62), life(0)));
+    assert!(!balance.accepts_requests(secs(62), server_incarnation(0)));
     assert!((0..20).all(|_| pick(&mut balance, &INPUT) == Some(addr(1))));
     assert_eq!(balance.route_pause(secs(60), INPUT.route), None);
-    balance.pause(secs(60), life(1), pause(2));
+    balance.pause(secs(60), server_incarnation(1), pause(2));
     assert_eq!(pick(&mut balance, &INPUT), None);
     let first = balance.route_pause(secs(60), INPUT.route);
     assert_eq!(first.map(RequestedPause::until), Some(secs(62)));
     assert_eq!(balance.capacity(secs(61), "pool"), 0);
-    assert!(balance.accepts_requests(secs(62), life(1)));
-    assert!(balance.accepts_requests(secs(63), life(0)));
+    assert!(balance.accepts_requests(secs(62), server_incarnation(1)));
+    assert!(balance.accepts_requests(secs(63), server_incarnation(0)));
     let mut reborn = announcement(0, 2);
     reborn.incarnation += 1;
     balance.upsert(secs(60), &reborn);
--- a/sesamebeam_core/tests/proofs/cut_pins.rs
+++ b/sesamebeam_core/tests/proofs/cut_pins.rs
@@ -1,5 +1,5 @@
 //! Guards against pinning a session to two versions during a network partition. A
-//! failure domain is cut off, the cost of versions changes, and a caller uses one
+//! failure domain is isolated, the cost of versions changes, and a caller uses one
 //! session name on both sides. If each side pinned it by its own configuration, the
 //! version would depend on the entry.
 
--- a/sesamebeam_core/tests/proofs/planned_stop.rs
+++ b/sesamebeam_core/tests/proofs/planned_stop.rs
@@ -67,8 +67,9 @@
     );
 }
 
-/// The entry is cut off right after its stop began, with requests in its queue. The
-/// withdrawal must not be reported as in force before the entry's lease has expired.
+/// A network partition isolates the entry right after its stop began, with requests
+/// in its queue. The withdrawal must not be reported as in force before the entry's
+/// lease has expired.
 #[test]
 fn cut_while_draining() {
     let mut world = World::plain(4);
--- a/sesamebeam_core/tests/proofs/rejoined_domain.rs
+++ b/sesamebeam_core/tests/proofs/rejoined_domain.rs
@@ -1,5 +1,5 @@
 //! Guards against backend servers that stay unknown after a network partition. A
-//! failure domain is cut off until other entries have forgotten its backend servers,
+//! failure domain is isolated until other entries have forgotten its backend servers,
 //! then rejoins. Their heartbeats must be followed up with the sender, since no entry
 //! of the own failure domain knows them; otherwise callers would be refused although
 //! those backend servers are idle.
--- a/sesamebeam_core/tests/proofs/world/server.rs
+++ b/sesamebeam_core/tests/proofs/world/server.rs
@@ -133,7 +133,7 @@
         }
     }
 
-    fn server_life(&self) -> ServerIncarnation {
+    fn server_incarnation(&self) -> ServerIncarnation {
         ServerIncarnation {
             addr: self.addr,
             incarnation: self.incarnation,
@@ -161,9 +161,9 @@
 
     pub(crate) fn handle_server_event(&mut self, at: ServerNo, event: ServerEvent) {
         let server = &self.servers[at];
-        let (life, up) = (server.incarnation, server.up);
+        let (incarnation, up) = (server.incarnation, server.up);
         match event {
-            ServerEvent::Announce(of) if of == life && up => {
+            ServerEvent::Announce(of) if of == incarnation && up => {
                 self.announce(at);
                 self.schedule(
                     ANNOUNCE_INTERVAL,
@@ -171,8 +171,8 @@
                 );
             }
             ServerEvent::Request(of, request) if up => self.handle_server_request(at, of, request),
-            ServerEvent::NextPart(of, id) if of == life && up => self.produce_part(at, id),
-            ServerEvent::Crash(of) if of == life && up => self.crash_server(at),
+            ServerEvent::NextPart(of, id) if of == incarnation && up => self.produce_part(at, id),
+            ServerEvent::Crash(of) if of == incarnation && up => self.crash_server(at),
             _ => {}
         }
     }
@@ -232,10 +232,10 @@
         server.leaving = None;
         server.incarnation += 1;
         server.seq = 0;
-        let life = server.incarnation;
+        let incarnation = server.incarnation;
         self.schedule(
             Duration::ZERO,
-            Event::Server(at, ServerEvent::Announce(life)),
+            Event::Server(at, ServerEvent::Announce(incarnation)),
         );
     }
 
@@ -282,13 +282,16 @@
     }
 
     fn handle_server_request(&mut self, at: ServerNo, of: Incarnation, request: ServerRequest) {
-        let (life, engine) = (self.servers[at].server_life(), self.servers[at].engine);
+        let (incarnation, engine) = (
+            self.servers[at].server_incarnation(),
+            self.servers[at].engine,
+        );
         match request {
             // The connection was to an earlier incarnation.
             ServerRequest::Run(from, ..)
             | ServerRequest::Resume(from, ..)
             | ServerRequest::LookUp(from, ..)
-                if of != life.incarnation =>
+                if of != incarnation.incarnation =>
             {
                 self.report(at, from, AttemptReport::Broken { events: 0 });
             }
@@ -305,7 +308,7 @@
                     known => {
                         let known = match known {
                             Some(_) => ServerKnows::Gone,
-                            None => ServerKnows::Never { life },
+                            None => ServerKnows::Never { incarnation },
                         };
                         self.report(at, from, AttemptReport::NotThere(known));
                     }
@@ -318,7 +321,7 @@
                         ServerMessage::End(stream.finished_response())
                     }
                     Some(_) => not_there(ServerKnows::Unreachable),
-                    None => not_there(ServerKnows::Never { life }),
+                    None => not_there(ServerKnows::Never { incarnation }),
                 };
                 self.send_in_order(at, &mut Reader::new(from, 0), message);
             }
@@ -343,10 +346,10 @@
 
     fn cancel(&mut self, at: ServerNo, id: RequestId) -> ServerKnows {
         let server = &mut self.servers[at];
-        let life = server.server_life();
+        let incarnation = server.server_incarnation();
         let Some(stream) = server.streams.get_mut(&id) else {
             server.cancelled.insert(id);
-            return ServerKnows::Never { life };
+            return ServerKnows::Never { incarnation };
         };
         if stream.parts < CHUNKS {
             stream.cancelled = true;
@@ -369,7 +372,7 @@
         if let Some(why) = refusal {
             return self.report(at, from, AttemptReport::Refused(why));
         }
-        let life = server.server_life();
+        let incarnation = server.server_incarnation();
         let stream = Stream {
             parts: 0,
             cancelled: false,
@@ -380,8 +383,8 @@
         self.record_run(at, from, dispatch, leased);
         let crashes = self.history.is_crashing(dispatch.request);
         let event = match crashes {
-            true => ServerEvent::Crash(life.incarnation),
-            false => ServerEvent::NextPart(life.incarnation, dispatch.id),
+            true => ServerEvent::Crash(incarnation.incarnation),
+            false => ServerEvent::NextPart(incarnation.incarnation, dispatch.id),
         };
         self.schedule(Duration::from_millis(20), Event::Server(at, event));
         if crashes {
@@ -400,8 +403,11 @@
         stream.parts += 1;
         if stream.parts < CHUNKS {
             let after = Duration::from_millis(self.rng.random_range(20..400));
-            let life = self.servers[at].incarnation;
-            self.schedule(after, Event::Server(at, ServerEvent::NextPart(life, id)));
+            let incarnation = self.servers[at].incarnation;
+            self.schedule(
+                after,
+                Event::Server(at, ServerEvent::NextPart(incarnation, id)),
+            );
         }
         self.send_parts(at, id);
     }
--- a/sesamebeam_core/tests/schedules.rs
+++ b/sesamebeam_core/tests/schedules.rs
@@ -1,9 +1,9 @@
 //! Randomised fault schedules for groups of three and five replicas.
 //!
 //! Messages are lost, duplicated and reordered; replicas crash, restart, lose their
-//! disks and are replaced; links are cut and healed. The invariants are checked
-//! after each step. At the end the group must recover and hold all acknowledged
-//! entries. The seed is fixed, so that results are reproducible.
+//! disks and are replaced; links are disconnected and restored. The invariants are
+//! checked after each step. At the end the group must recover and hold all
+//! acknowledged entries. The seed is fixed, so that results are reproducible.
 
 #[path = "group/net.rs"]
 mod net;
@@ -53,7 +53,7 @@
     /// Loses the disk of a replica, which comes back with a new one, and requests
     /// its replacement.
     LoseDisk(u8),
-    /// Cuts one direction of a link.
+    /// Disconnects one direction of a link.
     Cut(u8, u8),
     /// Isolates a replica.
     Isolate(u8),
--- a/sesamebeam_core/tests/state/rollouts.rs
+++ b/sesamebeam_core/tests/state/rollouts.rs
@@ -1,4 +1,4 @@
-//! Tests of roll-outs: gates, holds and outdated decisions.
+//! Tests of rollouts: gates, holds and outdated decisions.
 
 use std::time::Duration;
 
