--- a/sesamebeam/src/entry/upstream.rs
+++ b/sesamebeam/src/entry/upstream.rs
@@ -483,7 +483,9 @@
                 addr: dispatch.server.addr,
                 incarnation,
             };
-            OpenOutcome::Ended(AttemptReport::NotThere(ServerKnows::Never { incarnation: life }))
+            OpenOutcome::Ended(AttemptReport::NotThere(ServerKnows::Never {
+                incarnation: life,
+            }))
         }
         _ => unknown,
     }
--- a/sesamebeam_core/src/control.rs
+++ b/sesamebeam_core/src/control.rs
@@ -9,8 +9,8 @@
 //! Three rules prevent two leaders from contradicting each other:
 //!
 //! - A leader answers renewals and issues orders only while it holds its lease
-//!   from the other replicas. In a network partition, it stops before another
-//!   replica can lead.
+//!   from the other replicas. When a network partition separates it
+//!   from them, it stops before another replica can lead.
 //! - A new leader does not know the leases that its predecessor granted to
 //!   entries. It assumes that they are held until one entry lease after the
 //!   start of its own term.
--- a/sesamebeam_core/src/fleet.rs
+++ b/sesamebeam_core/src/fleet.rs
@@ -179,12 +179,12 @@
     #[serde(default, rename = "target")]
     pub targets: Vec<Target>,
     /// Whether versions in a rollout are used after the configuration lease
-    /// has ended because of a network partition.
+    /// has ended in a failure domain behind a network partition.
     #[serde(default)]
     pub when_cut: WhenCut,
 }
 
-/// Versions that an organisation may use in a failure domain during a network partition.
+/// Versions that an organisation may use in a failure domain behind a network partition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WhenCut {
--- a/sesamebeam_core/src/gateway/balance.rs
+++ b/sesamebeam_core/src/gateway/balance.rs
@@ -165,7 +165,7 @@
 pub enum Outcome {
     /// The answer was successful.
     Good,
-    /// The answer was an error or was cut off.
+    /// The answer was an error or was truncated.
     Failed,
     /// The backend server rejected the request without running it.
     Refused,
--- a/sesamebeam_core/src/gateway/outliers.rs
+++ b/sesamebeam_core/src/gateway/outliers.rs
@@ -2,7 +2,7 @@
 //! all entries.
 //!
 //! Of 295 entries, each sends less than one request a second to a service of five backend
-//! servers. When three of these cut off two in five answers for four seconds, no single
+//! servers. When three of these truncate two in five answers for four seconds, no single
 //! entry saw enough failures to avoid them, and 266 non-repeatable requests failed. All
 //! entries together see 70 answers a second from each backend server, and a few are
 //! enough for detection.
@@ -74,7 +74,7 @@
     pub server: ServerKey,
     /// Successful answers.
     pub good: u32,
-    /// Answers that were errors or were cut off.
+    /// Answers that were errors or were truncated.
     pub bad: u32,
 }
 
--- a/sesamebeam_core/tests/gateway/balance.rs
+++ b/sesamebeam_core/tests/gateway/balance.rs
@@ -184,7 +184,7 @@
 #[test]
 fn doubted_by_others() {
     // Guards against failed requests that may run only once. A single entry sends too few
-    // to notice that a backend server cuts off two in five answers. With a doubt from all
+    // to notice that a backend server truncates two in five answers. With a doubt from all
     // entries, such requests avoid it; repeatable ones still probe it.
     let servers = servers(4);
     let mut balance = LoadBalancer::default();
--- a/sesamebeam_core/tests/gateway/outliers.rs
+++ b/sesamebeam_core/tests/gateway/outliers.rs
@@ -89,7 +89,7 @@
     failing_service = { 70.0, 0.2, 14 },
 )]
 fn faulty_server_is_detected(rate: f64, baseline: f64, within: u64) {
-    // Guards against slow detection. Three of five backend servers start to cut off two
+    // Guards against slow detection. Three of five backend servers start to truncate two
     // in five answers; each is detected within the given tenths of a second on average
     // over 100 runs. Measured: 2.6, 10.2, 7.6, 9.7.
     let mut took = 0;
