--- a/sesamebeam/src/gateway/control_connections.rs
+++ b/sesamebeam/src/gateway/control_connections.rs
@@ -253,14 +253,14 @@
     /// Polls the subscription and performs the requested actions.
     fn poll_subscription(&mut self) {
         let now = self.gateway.now();
-        let holding = self.gateway.router().holding();
+        let holding = self.gateway.router().local_summary();
         for action in self.subscription.poll(now, &holding) {
             log::info!(
                 order:? = action, config:? = holding.config, index = holding.index,
                 servers = holding.servers;
                 "control replica asked"
             );
-            let held = self.gateway.router().held();
+            let held = self.gateway.router().sync_state();
             match action {
                 SubscriptionAction::Follow(addr) => {
                     self.send(addr, FromEntry::Follow(held));
@@ -335,7 +335,7 @@
                 }
             }
             ToEntry::Heartbeat(summary) => {
-                let holding = gateway.router().holding();
+                let holding = gateway.router().local_summary();
                 self.subscription
                     .summary_received(now, addr, summary, &holding);
             }
@@ -388,7 +388,7 @@
                 gateway.router().set_doubts(doubts);
             }
             ToEntry::Limits(limits) => self.apply_limits(addr, &limits),
-            ToEntry::Unreachable(reports) => gateway.router().apply_unreached(now, &reports),
+            ToEntry::Unreachable(reports) => gateway.router().apply_unreachable(now, &reports),
             ToEntry::Quarantined(fingerprints) => gateway.router().set_quarantined(fingerprints),
             ToEntry::RetainedSessions(sessions, all) => {
                 gateway.router().pin_sessions(now, &sessions, all)
--- a/sesamebeam/src/gateway/dispatch.rs
+++ b/sesamebeam/src/gateway/dispatch.rs
@@ -268,7 +268,7 @@
     /// exhausted.
     pub(super) fn try_spend_retry(&self) -> bool {
         let now = self.gateway.now();
-        self.gateway.router().try_repeat(now, &self.plan)
+        self.gateway.router().try_retry(now, &self.plan)
     }
 
     /// Returns a connection to the pool, for as long as its backend server keeps it open.
