--- a/sesamebeam/src/cli.rs
+++ b/sesamebeam/src/cli.rs
@@ -38,8 +38,8 @@
 };
 use crate::{
     client::{
-        AskError,
         Client, //
+        ControlCallError,
     },
     dev::{
         self,
@@ -86,7 +86,7 @@
     Keys(#[from] KeyError),
     /// The control group gave no answer.
     #[error(transparent)]
-    Ask(#[from] AskError),
+    Ask(#[from] ControlCallError),
     /// An entry gave no answer, or no link could be opened.
     #[error(transparent)]
     Link(#[from] LinkError),
@@ -120,7 +120,9 @@
             // A reader that has seen enough is no failure.
             Self::Output(e) if e.kind() == io::ErrorKind::BrokenPipe => Exit::Done,
             Self::Link(LinkError::Keys(_) | LinkError::Bind { .. }) => Exit::Refused,
-            Self::Ask(AskError::Link(LinkError::Keys(_) | LinkError::Bind { .. })) => Exit::Refused,
+            Self::Ask(ControlCallError::Link(LinkError::Keys(_) | LinkError::Bind { .. })) => {
+                Exit::Refused
+            }
             Self::Ask(_) | Self::Link(_) => Exit::Unreachable,
             Self::File(_)
             | Self::Keys(_)
--- a/sesamebeam/src/cli/control.rs
+++ b/sesamebeam/src/cli/control.rs
@@ -22,7 +22,7 @@
     out: &mut Output<'_, impl Write>,
 ) -> Result<Exit, CliError> {
     let req = ControlRequest::Replace(replace.clone());
-    match client.ask(&req).await? {
+    match client.call_control(&req).await? {
         ControlReply::Done => {
             out.line(format!(
                 "replica {} joins in place of {}; it votes once it has caught up, see `sesamebeam status`",
--- a/sesamebeam/src/cli/explain.rs
+++ b/sesamebeam/src/cli/explain.rs
@@ -37,7 +37,7 @@
 ) -> Result<Exit, CliError> {
     let req = EntryRequest::Explain(request);
     let mut failed = None;
-    for (entry, answer) in client.ask_entries(&settings.entries, &req).await {
+    for (entry, answer) in client.call_entries(&settings.entries, &req).await {
         match answer {
             Ok(EntryReply::Explained(Some(explanation))) => {
                 show(entry, request, &explanation, out)?;
--- a/sesamebeam/src/cli/fleet.rs
+++ b/sesamebeam/src/cli/fleet.rs
@@ -128,7 +128,7 @@
         operator: smol_str::format_smolstr!("{}", client.role()),
         at: unix_millis(),
     };
-    let verdict = match client.ask(&ControlRequest::Apply(change)).await? {
+    let verdict = match client.call_control(&ControlRequest::Apply(change)).await? {
         ControlReply::Verdict(verdict) => verdict,
         other => return Err(refused(other)),
     };
@@ -171,7 +171,7 @@
     client: &Client,
     out: &mut Output<'_, impl Write>,
 ) -> Result<Exit, CliError> {
-    let (revision, fleet) = match client.ask(&ControlRequest::Current).await? {
+    let (revision, fleet) = match client.call_control(&ControlRequest::Current).await? {
         ControlReply::Current { revision, fleet } => (revision, fleet),
         other => return Err(refused(other)),
     };
--- a/sesamebeam/src/cli/records.rs
+++ b/sesamebeam/src/cli/records.rs
@@ -92,7 +92,7 @@
             from: next,
             limit: page,
         };
-        let bills = match client.ask(&req).await? {
+        let bills = match client.call_control(&req).await? {
             ControlReply::Bills(bills) => bills,
             other => return Err(refused(other)),
         };
@@ -114,7 +114,10 @@
     settle: &SettleRequest,
     out: &mut Output<'_, impl Write>,
 ) -> Result<Exit, CliError> {
-    let settled = match client.ask(&ControlRequest::Settle(settle.clone())).await? {
+    let settled = match client
+        .call_control(&ControlRequest::Settle(settle.clone()))
+        .await?
+    {
         ControlReply::Settled(settled) => settled,
         other => return Err(refused(other)),
     };
--- a/sesamebeam/src/cli/report.rs
+++ b/sesamebeam/src/cli/report.rs
@@ -59,7 +59,7 @@
     let mut reports = Vec::new();
     let mut missing = Vec::new();
     let mut failed = None;
-    for (entry, answer) in client.ask_entries(&settings.entries, &req).await {
+    for (entry, answer) in client.call_entries(&settings.entries, &req).await {
         match answer {
             Ok(EntryReply::Burn(report)) => reports.push(report),
             Ok(EntryReply::Refused(why)) => return Err(CliError::Refused(why.into())),
--- a/sesamebeam/src/cli/status.rs
+++ b/sesamebeam/src/cli/status.rs
@@ -69,7 +69,7 @@
     match entry {
         Some(name) => {
             let entry = entry_named(settings, name)?;
-            match client.ask_entry(entry, &EntryRequest::Status).await? {
+            match client.call_entry(entry, &EntryRequest::Status).await? {
                 EntryReply::Status(state) => show_entry(&state, out)?,
                 EntryReply::Refused(why) => return Err(CliError::Refused(why.into())),
                 _ => return Err(CliError::OddAnswer),
--- a/sesamebeam/src/client.rs
+++ b/sesamebeam/src/client.rs
@@ -1,4 +1,4 @@
-//! Questions of an operator to the control group and to the entries.
+//! Client that an operator's tools use to call the control group and the entries.
 
 use std::{
     net::{
@@ -44,39 +44,39 @@
     },
 };
 
-/// Longest wait for one replica; longer than a leader waits for its quorum.
-const ONE_REPLICA: Duration = Duration::from_secs(4);
+/// Timeout of a call to one replica or entry. It is longer than a leader waits for its quorum.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Pause after every replica was asked in vain.
-const ROUND_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before the replicas are tried again after all of them failed.
+const ROUND_DELAY: Duration = Duration::from_millis(200);
 
-/// Why a question got no answer.
+/// Error of a call to the control group.
 #[derive(Debug, Error)]
-pub enum AskError {
-    /// No link could be opened.
+pub enum ControlCallError {
+    /// The link could not be opened.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// Nobody could be reached, so nothing was asked.
-    #[error("no control replica can be reached within {within:?}; the last failure: {last}")]
+    /// No replica could be reached, so the request was not sent.
+    #[error("no control replica can be reached within {timeout:?}; last error: {last_error}")]
     Unreachable {
-        /// Time that was spent.
-        within: Duration,
-        /// What the last replica said.
-        last: SmolStr,
+        /// Timeout of the call.
+        timeout: Duration,
+        /// Error of the last replica that was tried.
+        last_error: SmolStr,
     },
-    /// It was asked and not answered: it may or may not have been done.
+    /// The request was sent but not answered, so it may or may not have taken effect.
     #[error(
-        "no answer within {within:?}: it may or may not have been done; the last failure: {last}"
+        "no answer within {timeout:?}: it may or may not have been done; last error: {last_error}"
     )]
     Unanswered {
-        /// Time that was spent.
-        within: Duration,
-        /// What the last replica said.
-        last: SmolStr,
+        /// Timeout of the call.
+        timeout: Duration,
+        /// Error of the last replica that was tried.
+        last_error: SmolStr,
     },
 }
 
-/// An operator's connections.
+/// Connections of an operator to control replicas and entries.
 pub struct Client {
     pool: PeerPool,
     role: Role,
@@ -85,7 +85,7 @@
 }
 
 impl Client {
-    /// Opens a link with an operator's credentials.
+    /// Opens a link with the credentials named in the operator's settings.
     ///
     /// # Errors
     ///
@@ -96,10 +96,10 @@
     /// Panics outside a tokio runtime.
     pub fn open(settings: &OperatorSettings) -> Result<Self, LinkError> {
         let creds = Credentials::load(&settings.keys)?;
-        Self::with(settings, &creds)
+        Self::with_credentials(settings, &creds)
     }
 
-    /// Opens a link with credentials in memory.
+    /// Opens a link with credentials that are already loaded.
     ///
     /// # Errors
     ///
@@ -108,14 +108,17 @@
     /// # Panics
     ///
     /// Panics outside a tokio runtime.
-    pub fn with(settings: &OperatorSettings, creds: &Credentials) -> Result<Self, LinkError> {
+    pub fn with_credentials(
+        settings: &OperatorSettings,
+        creds: &Credentials,
+    ) -> Result<Self, LinkError> {
         let ip = settings.control.first().map(|replica| replica.addr.ip());
-        let from = match ip {
+        let local_addr = match ip {
             Some(ip) if ip.is_loopback() => SocketAddr::new(ip, 0),
             Some(ip) if ip.is_ipv6() => SocketAddr::from(([0_u16; 8], 0)),
             _ => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
         };
-        let link = Arc::new(Link::bind(from, creds)?);
+        let link = Arc::new(Link::bind(local_addr, creds)?);
         Ok(Self {
             pool: PeerPool::new(link, rand::random()),
             role: creds.role().clone(),
@@ -124,48 +127,51 @@
         })
     }
 
-    /// Returns who asks.
+    /// Returns the role in the client's certificate.
     pub fn role(&self) -> &Role {
         &self.role
     }
 
-    /// Asks the control group, following it to its leader.
+    /// Sends a request to the control group, following redirects to the leader.
     ///
-    /// The request is sent again, to the same or another replica, until it is
-    /// answered. That does no harm: a change has an id, and the first verdict
-    /// on it stands; the other requests either read or come to the same end.
+    /// The request is retried on the same or another replica until it is
+    /// answered. Retries are safe: a change has an id and keeps its first
+    /// verdict, and all other requests are reads or idempotent.
     ///
     /// # Errors
     ///
-    /// Fails if no replica answers in time.
-    pub async fn ask(&self, req: &ControlRequest) -> Result<ControlReply, AskError> {
-        let until = Instant::now() + self.timeout;
-        let mut search = Search::new(&self.control);
-        while let Some(replica) = search.next(until).await {
-            let left = until.saturating_duration_since(Instant::now());
+    /// Fails if no replica answers before the timeout.
+    pub async fn call_control(
+        &self,
+        req: &ControlRequest,
+    ) -> Result<ControlReply, ControlCallError> {
+        let deadline = Instant::now() + self.timeout;
+        let mut search = ReplicaSearch::new(&self.control);
+        while let Some(replica) = search.next(deadline).await {
+            let remaining = deadline.saturating_duration_since(Instant::now());
             let role = Role::Control(replica.node);
             let caller = self.pool.get(replica.addr, Some(role));
-            match caller.call(req, left.min(ONE_REPLICA)).await {
+            match caller.call(req, remaining.min(CALL_TIMEOUT)).await {
                 Ok(ControlReply::NotLeader(hint)) => search.not_leader(&replica, hint),
-                Ok(ControlReply::Unavailable(why)) => search.failed(why, true),
+                Ok(ControlReply::Unavailable(reason)) => search.failed(reason, true),
                 Ok(reply) => return Ok(reply),
-                Err(e) => search.failed(smol_str::format_smolstr!("{e}"), was_sent(&e)),
+                Err(e) => search.failed(smol_str::format_smolstr!("{e}"), may_have_been_sent(&e)),
             }
         }
         Err(search.error(self.timeout))
     }
 
-    /// Asks for the state of the group, of the leader if it can be reached.
+    /// Returns the status of the control group, as seen by the leader if it can be reached.
     ///
-    /// Any replica tells its own state, so that an operator sees something
-    /// without a quorum too; but only the leader knows the entries and the other
-    /// replicas.
+    /// Any replica reports its own state, so a status is available without a
+    /// quorum too, but only the leader knows the state of the entries and of the
+    /// other replicas.
     ///
     /// # Errors
     ///
-    /// Fails like [`Client::ask`], or with the answer if it is no status.
-    pub async fn status(&self) -> Result<Result<Box<Status>, ControlReply>, AskError> {
-        let status = match self.ask(&ControlRequest::Status).await? {
+    /// Fails like [`Client::call_control`]. The inner error is a reply that is not a status.
+    pub async fn status(&self) -> Result<Result<Box<Status>, ControlReply>, ControlCallError> {
+        let status = match self.call_control(&ControlRequest::Status).await? {
             ControlReply::Status(status) => status,
             other => return Ok(Err(other)),
         };
@@ -177,43 +183,43 @@
             return Ok(Ok(status));
         };
         let caller = self.pool.get(leader.addr, Some(Role::Control(leader.node)));
-        let timeout = self.timeout.min(ONE_REPLICA);
+        let timeout = self.timeout.min(CALL_TIMEOUT);
         match caller.call(&ControlRequest::Status, timeout).await {
             Ok(ControlReply::Status(status)) => Ok(Ok(status)),
             _ => Ok(Ok(status)),
         }
     }
 
-    /// Asks several entries at once.
-    pub async fn ask_entries<'a>(
+    /// Sends a request to several entries concurrently.
+    pub async fn call_entries<'a>(
         &self,
         entries: &'a [PeerEntry],
         req: &EntryRequest,
     ) -> Vec<(&'a PeerEntry, Result<EntryReply, LinkError>)> {
-        let asks = entries
+        let calls = entries
             .iter()
-            .map(|entry| async move { (entry, self.ask_entry(entry, req).await) });
-        join_all(asks).await
+            .map(|entry| async move { (entry, self.call_entry(entry, req).await) });
+        join_all(calls).await
     }
 
-    /// Asks one entry.
+    /// Sends a request to one entry.
     ///
     /// # Errors
     ///
-    /// Fails if the entry does not answer in time.
-    pub async fn ask_entry(
+    /// Fails if the entry does not answer before the timeout.
+    pub async fn call_entry(
         &self,
         entry: &PeerEntry,
         req: &EntryRequest,
     ) -> Result<EntryReply, LinkError> {
         let role = Role::Entry(entry.instance.clone());
         let caller = self.pool.get(entry.addr, Some(role));
-        caller.call(req, self.timeout.min(ONE_REPLICA)).await
+        caller.call(req, self.timeout.min(CALL_TIMEOUT)).await
     }
 }
 
-/// Returns whether a failed call may have reached the other end.
-fn was_sent(e: &LinkError) -> bool {
+/// Returns whether the request of a failed call may have reached the peer.
+fn may_have_been_sent(e: &LinkError) -> bool {
     !matches!(
         e,
         LinkError::BackOff(_)
@@ -224,62 +230,61 @@
     )
 }
 
-/// The search for a replica that answers.
-struct Search {
+/// Order in which replicas are tried until one answers.
+struct ReplicaSearch {
     replicas: Vec<Replica>,
-    /// Position of the replica that is asked next.
-    at: usize,
-    /// Replicas asked since the last pause.
-    asked: usize,
-    /// Whether any replica may have acted on the request.
-    sent: bool,
-    last: SmolStr,
+    /// Index of the replica to try next.
+    next_index: usize,
+    /// Number of attempts since the last delay.
+    attempts: usize,
+    /// Whether any replica may have received the request.
+    may_have_been_sent: bool,
+    last_error: SmolStr,
 }
 
-impl Search {
+impl ReplicaSearch {
     fn new(replicas: &[Replica]) -> Self {
         Self {
             replicas: replicas.to_vec(),
-            at: 0,
-            asked: 0,
-            sent: false,
-            last: "no replica is listed".into(),
+            next_index: 0,
+            attempts: 0,
+            may_have_been_sent: false,
+            last_error: "no control replica is configured".into(),
         }
     }
 
-    /// Returns the replica to be asked next; none when the time is over.
-    async fn next(&mut self, until: Instant) -> Option<Replica> {
-        // A leader that was named and points elsewhere again must not keep the
-        // search going round without a pause.
-        if self.asked > self.replicas.len() {
-            self.asked = 0;
-            sleep_until(until.min(Instant::now() + ROUND_PAUSE)).await;
+    /// Returns the replica to try next, or `None` once the deadline has passed.
+    async fn next(&mut self, deadline: Instant) -> Option<Replica> {
+        // Replicas that redirect to each other must not cause a busy loop.
+        if self.attempts > self.replicas.len() {
+            self.attempts = 0;
+            sleep_until(deadline.min(Instant::now() + ROUND_DELAY)).await;
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return None;
         }
-        self.asked += 1;
-        self.replicas.get(self.at).cloned()
+        self.attempts += 1;
+        self.replicas.get(self.next_index).cloned()
     }
 
-    fn failed(&mut self, why: SmolStr, sent: bool) {
-        self.last = why;
-        self.sent |= sent;
+    fn failed(&mut self, error: SmolStr, may_have_been_sent: bool) {
+        self.last_error = error;
+        self.may_have_been_sent |= may_have_been_sent;
         self.advance();
     }
 
-    /// Follows the hint to the leader, also to one that the settings do not
-    /// list: it may have taken the place of a lost replica.
-    fn not_leader(&mut self, asked: &Replica, hint: Option<LeaderHint>) {
-        self.last = smol_str::format_smolstr!("replica {} does not lead", asked.node);
-        let Some(hint) = hint.filter(|hint| hint.node != asked.node) else {
+    /// Follows the hint to the leader. The leader may be missing from the
+    /// settings if it replaced a lost replica.
+    fn not_leader(&mut self, replica: &Replica, hint: Option<LeaderHint>) {
+        self.last_error = smol_str::format_smolstr!("replica {} does not lead", replica.node);
+        let Some(hint) = hint.filter(|hint| hint.node != replica.node) else {
             return self.advance();
         };
-        let known = self.replicas.iter().position(|r| r.node == hint.node);
-        match (known, hint.addr) {
-            (Some(at), _) => self.at = at,
+        let known_index = self.replicas.iter().position(|r| r.node == hint.node);
+        match (known_index, hint.addr) {
+            (Some(index), _) => self.next_index = index,
             (None, Some(addr)) => {
-                self.at = self.replicas.len();
+                self.next_index = self.replicas.len();
                 self.replicas.push(Replica {
                     node: hint.node,
                     addr,
@@ -290,15 +295,21 @@
     }
 
     fn advance(&mut self) {
-        self.at = (self.at + 1) % self.replicas.len().max(1);
+        self.next_index = (self.next_index + 1) % self.replicas.len().max(1);
     }
 
-    fn error(self, within: Duration) -> AskError {
-        let last = self.last;
-        if self.sent {
-            AskError::Unanswered { within, last }
+    fn error(self, timeout: Duration) -> ControlCallError {
+        let last_error = self.last_error;
+        if self.may_have_been_sent {
+            ControlCallError::Unanswered {
+                timeout,
+                last_error,
+            }
         } else {
-            AskError::Unreachable { within, last }
+            ControlCallError::Unreachable {
+                timeout,
+                last_error,
+            }
         }
     }
 }
--- a/sesamebeam/src/daemon.rs
+++ b/sesamebeam/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Command lines of the daemons.
+//! Command-line interface and startup of the daemons.
 
 use std::{
     path::PathBuf,
@@ -38,8 +38,8 @@
     toml_file::FileError,
 };
 
-/// Exit code of a typing error.
-const USAGE: u8 = 2;
+/// Exit code for invalid command-line arguments.
+const USAGE_EXIT_CODE: u8 = 2;
 
 const ENTRY_HELP: &str = "\
 sesamebeam-entry - routes requests of callers to backend servers
@@ -89,10 +89,10 @@
     2  typing error
 ";
 
-/// Why a daemon could not start or had to stop.
+/// Error that ends a daemon.
 #[derive(Debug, Error)]
 enum DaemonError {
-    /// The settings have a fault.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] FileError),
     /// The keys cannot be read.
@@ -107,12 +107,12 @@
     /// Log lines cannot be written.
     #[error(transparent)]
     Log(#[from] LogError),
-    /// The operating system refuses a runtime or a signal handler.
+    /// The async runtime or a signal handler could not be created.
     #[error("cannot start: {0}")]
     Start(#[from] std::io::Error),
 }
 
-/// What a daemon's command line says.
+/// Parsed command-line arguments of a daemon.
 struct Args {
     settings: PathBuf,
     check: bool,
@@ -121,17 +121,17 @@
 
 /// Runs the entry daemon.
 pub fn entry_main() -> ExitCode {
-    main_with(ENTRY_HELP, false, run_entry)
+    run_daemon(ENTRY_HELP, false, run_entry)
 }
 
 /// Runs the control daemon.
 pub fn control_main() -> ExitCode {
-    main_with(CONTROL_HELP, true, run_control)
+    run_daemon(CONTROL_HELP, true, run_control)
 }
 
-fn main_with(
+fn run_daemon(
     help: &str,
-    control: bool,
+    is_control: bool,
     run: impl FnOnce(Args) -> Result<(), DaemonError>,
 ) -> ExitCode {
     let mut args = Arguments::from_env();
@@ -139,11 +139,11 @@
         print!("{help}");
         return ExitCode::SUCCESS;
     }
-    let args = match parse(args, control) {
+    let args = match parse_args(args, is_control) {
         Ok(args) => args,
         Err(e) => {
             eprintln!("{e}; see --help");
-            return ExitCode::from(USAGE);
+            return ExitCode::from(USAGE_EXIT_CODE);
         }
     };
     match run(args) {
@@ -156,13 +156,13 @@
     }
 }
 
-fn parse(mut args: Arguments, control: bool) -> Result<Args, String> {
+fn parse_args(mut args: Arguments, is_control: bool) -> Result<Args, String> {
     let settings = args
         .value_from_str("--settings")
         .map_err(|e| e.to_string())?;
     let check = args.contains("--check");
-    let init = control && args.contains("--init");
-    let join = control && args.contains("--join");
+    let init = is_control && args.contains("--init");
+    let join = is_control && args.contains("--join");
     if let Some(extra) = args.finish().first() {
         return Err(format!("unknown argument {}", extra.display()));
     }
@@ -215,7 +215,7 @@
     }
     let _logger = crate::logging::start(&settings.log)?;
     let creds = Credentials::load(&settings.keys)?;
-    // One thread: the task that owns the core never waits behind other work.
+    // A single-threaded runtime, so that the task that owns the core never waits behind other work.
     let runtime = Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         if args.start == Start::Init {
@@ -234,7 +234,7 @@
     })
 }
 
-/// Cancels at the first SIGTERM or SIGINT and exits at the second.
+/// Cancels `stop` at the first SIGTERM or SIGINT and exits the process at the second.
 fn cancel_on_signal(stop: CancellationToken) -> std::io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
--- a/sesamebeam/src/dev.rs
+++ b/sesamebeam/src/dev.rs
@@ -1,4 +1,4 @@
-//! Everything on loopback in one process, for a first look.
+//! `sesamebeam dev`: a small fleet on loopback in one process, with sample requests.
 
 use std::{
     fs,
@@ -52,8 +52,8 @@
 
 use crate::{
     client::{
-        AskError,
         Client, //
+        ControlCallError,
     },
     entry::unix_millis,
     http::{
@@ -77,36 +77,36 @@
     },
 };
 
-/// Fleet file that is applied.
-const FLEET: &str = include_str!("../../examples/huallaga/fleet.toml");
+/// Fleet file of the example deployment.
+const FLEET_FILE: &str = include_str!("../../examples/huallaga/fleet.toml");
 
-/// Organisation that sends the sample requests, and its key.
+/// Organisation that sends the sample requests, and its API key.
 const ORG: &str = "cuadrilla-norte";
 const KEY: &str = "example-cuadrilla-norte";
 
-/// Backend servers of each pool.
-const SERVERS: usize = 3;
+/// Number of backend servers in each pool.
+const SERVERS_PER_POOL: usize = 3;
 
 /// Time between two tokens of a fake engine.
 const TOKEN_DELAY: Duration = Duration::from_millis(15);
 
-/// Longest wait for a part to be ready.
-const READY: Duration = Duration::from_secs(30);
+/// Timeout for the configuration and the backend servers to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest wait for a sample answer.
-const ANSWER: Duration = Duration::from_secs(30);
+/// Timeout for connecting and for the response headers of a sample request.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What the command line says about the run.
+/// Command-line options of `sesamebeam dev`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DevOptions {
-    /// Whether to end after the sample requests.
+    /// Whether to exit after the sample requests.
     pub once: bool,
 }
 
-/// Why the run ended early.
+/// Error that ends the run.
 #[derive(Debug, Error)]
 pub enum DevError {
-    /// A part cannot start.
+    /// A component of the local fleet cannot start.
     #[error(transparent)]
     Local(#[from] LocalError),
     /// The operator's link cannot be opened.
@@ -114,17 +114,17 @@
     Link(#[from] LinkError),
     /// The control group does not answer.
     #[error(transparent)]
-    Ask(#[from] AskError),
+    ControlCall(#[from] ControlCallError),
     /// The example's fleet file was not accepted.
     #[error("the example's fleet file was not accepted: {0:?}")]
     Refused(Box<ControlReply>),
-    /// A part is not ready in time.
-    #[error("{0} is not ready after {READY:?}")]
+    /// A component is not ready before the timeout.
+    #[error("{0} is not ready after {READY_TIMEOUT:?}")]
     NotReady(&'static str),
     /// A sample request was not answered.
     #[error("a sample request was not answered: {0}")]
     NoAnswer(String),
-    /// The operating system refuses.
+    /// An I/O operation failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -134,15 +134,15 @@
 ///
 /// # Errors
 ///
-/// Fails if a part cannot be started or a sample request is not answered.
+/// Fails if a component cannot be started or a sample request is not answered.
 pub async fn run(options: DevOptions) -> Result<(), DevError> {
     let root = std::env::temp_dir().join(format!("sesamebeam-dev-{}", std::process::id()));
     fs::create_dir_all(&root)?;
     let cancel = CancellationToken::new();
-    let done = run_in(&root, options, &cancel).await;
+    let result = run_in(&root, options, &cancel).await;
     cancel.cancel();
     fs::remove_dir_all(&root)?;
-    done
+    result
 }
 
 async fn run_in(
@@ -151,7 +151,7 @@
     cancel: &CancellationToken,
 ) -> Result<(), DevError> {
     let fleet: Fleet =
-        toml::from_str(FLEET).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))?;
+        toml::from_str(FLEET_FILE).map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))?;
     let domains: Vec<&str> = fleet.domains.iter().map(|d| d.as_str()).collect();
     println!(
         "starting 3 control replicas and 3 entries, one of each in {}",
@@ -171,23 +171,26 @@
         ..RunnerConfig::default()
     };
     let entries = |domain: &str| local.announce_addrs(domain);
-    let servers = LocalServers::start(&fleet, |_| SERVERS, entries, &base, cancel).await?;
-    let wanted = servers.runners.len() + servers.services.len();
-    wait("a backend server", || {
+    let servers = LocalServers::start(&fleet, |_| SERVERS_PER_POOL, entries, &base, cancel).await?;
+    let expected = servers.runners.len() + servers.services.len();
+    wait_until_ready("a backend server", || {
         local
             .entries()
             .iter()
-            .all(|entry| entry.servers() >= wanted)
+            .all(|entry| entry.servers() >= expected)
     })
     .await?;
-    println!("{wanted} fake backend servers announced themselves");
+    println!("{expected} fake backend servers announced themselves");
     let callers = local.entries()[0].addrs().callers;
-    samples(callers).await?;
+    send_samples(callers).await?;
     if options.once {
         local.stop().await;
         return Ok(());
     }
-    println!("\nserving until Ctrl-C; try:\n\n{}", try_it(callers));
+    println!(
+        "\nserving until Ctrl-C; try:\n\n{}",
+        example_command(callers)
+    );
     signal::ctrl_c().await?;
     println!("stopping as planned");
     local.stop().await;
@@ -198,14 +201,14 @@
     let client = Client::open(&local.settings.operator)?;
     let change = Change {
         base: 0,
-        digest: xxhash_rust::xxh3::xxh3_128(FLEET.as_bytes()),
+        digest: xxhash_rust::xxh3::xxh3_128(FLEET_FILE.as_bytes()),
         fleet: Box::new(fleet.clone()),
         operator: "dev".into(),
         at: unix_millis(),
     };
-    match client.ask(&ControlRequest::Apply(change)).await? {
+    match client.call_control(&ControlRequest::Apply(change)).await? {
         ControlReply::Verdict(Verdict::Accepted(revision)) => {
-            wait("the configuration", || {
+            wait_until_ready("the configuration", || {
                 local.entries().iter().all(|e| e.revision() >= revision)
             })
             .await?;
@@ -215,21 +218,22 @@
     }
 }
 
-async fn samples(entry: SocketAddr) -> Result<(), DevError> {
-    let client = HttpClient::new(ANSWER);
+async fn send_samples(entry: SocketAddr) -> Result<(), DevError> {
+    let client = HttpClient::new(RESPONSE_TIMEOUT);
     println!("\nan electrician asks from a job site ({ORG}):\n");
     let question = "Que seccion de cable necesita una ducha electrica de 5500 W a 18 m?";
-    let head = chat(&client, entry, "question", question, None).await?;
-    show_answer(&client, entry, head).await?;
+    let response = send_chat(&client, entry, "question", question, None).await?;
+    print_response(&client, entry, response).await?;
     println!("\nand closes the repair with a job sheet, which runs at most once:\n");
     let sheet =
         "Cierra el parte 4711: ducha reemplazada, 18 m de cable 6 mm2, diferencial probado.";
-    let head = chat(&client, entry, "job-sheet", sheet, Some("parte-4711")).await?;
-    show_answer(&client, entry, head).await?;
+    let response = send_chat(&client, entry, "job-sheet", sheet, Some("parte-4711")).await?;
+    print_response(&client, entry, response).await?;
     println!("\nits answer is lost, so the sheet is sent again with the same key:\n");
-    let (answer, lease) = chat(&client, entry, "job-sheet", sheet, Some("parte-4711")).await?;
-    let replayed = answer.headers().contains_key("x-replayed");
-    answer
+    let (response, lease) =
+        send_chat(&client, entry, "job-sheet", sheet, Some("parte-4711")).await?;
+    let replayed = response.headers().contains_key("x-replayed");
+    response
         .into_body()
         .collect()
         .await
@@ -246,24 +250,24 @@
     Ok(())
 }
 
-/// Prints an answer as it comes, then the decision behind it.
-async fn show_answer(
+/// Prints a streamed response as it arrives, then explains how it was routed.
+async fn print_response(
     client: &HttpClient,
     entry: SocketAddr,
-    (answer, lease): (Response<Incoming>, ConnectionGuard),
+    (response, lease): (Response<Incoming>, ConnectionGuard),
 ) -> Result<(), DevError> {
-    let version = text(&answer, "x-version");
-    let request = text(&answer, "x-request-id");
+    let version = header_text(&response, "x-version");
+    let request = header_text(&response, "x-request-id");
     print!("  ");
-    let mut body = answer.into_body();
-    let mut cutter = EventSplitter::default();
+    let mut body = response.into_body();
+    let mut splitter = EventSplitter::default();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|e| DevError::NoAnswer(e.to_string()))?;
-        let Ok(piece) = frame.into_data() else {
+        let Ok(chunk) = frame.into_data() else {
             continue;
         };
         if let sse::SplitResult::Events(events) | sse::SplitResult::Done(events) =
-            cutter.push(piece)
+            splitter.push(chunk)
         {
             print!("{}", sse::assemble(&events).text);
             io::stdout().flush()?;
@@ -281,28 +285,28 @@
         .header(header::AUTHORIZATION, format!("Bearer {KEY}"))
         .body(Full::default())
         .map_err(|e| DevError::NoAnswer(e.to_string()))?;
-    let (answer, lease) = send(client, entry, req).await?;
-    let body = answer
+    let (response, lease) = send(client, entry, req).await?;
+    let body = response
         .into_body()
         .collect()
         .await
         .map_err(|e| DevError::NoAnswer(e.to_string()))?;
     lease.release();
-    let found: Explanation =
+    let explanation: Explanation =
         serde_json::from_slice(&body.to_bytes()).map_err(|e| DevError::NoAnswer(e.to_string()))?;
-    for step in &found.steps {
+    for step in &explanation.steps {
         println!("  {:>8.1?}  {}", step.at, step.what);
         for detail in &step.details {
             println!("            {detail}");
         }
     }
-    for line in &found.passed_over {
+    for line in &explanation.passed_over {
         println!("            passed over {line}");
     }
     Ok(())
 }
 
-async fn chat(
+async fn send_chat(
     client: &HttpClient,
     entry: SocketAddr,
     class: &str,
@@ -325,15 +329,15 @@
     let req = builder
         .body(Full::new(Bytes::from(body.to_string())))
         .map_err(|e| DevError::NoAnswer(e.to_string()))?;
-    let (answer, lease) = send(client, entry, req).await?;
-    if answer.status() != 200 {
-        let status = answer.status();
-        let body = answer.into_body().collect().await;
+    let (response, lease) = send(client, entry, req).await?;
+    if response.status() != 200 {
+        let status = response.status();
+        let body = response.into_body().collect().await;
         let body = body.map(|b| b.to_bytes()).unwrap_or_default();
         let text = String::from_utf8_lossy(&body);
         return Err(DevError::NoAnswer(format!("{status}: {text}")));
     }
-    Ok((answer, lease))
+    Ok((response, lease))
 }
 
 async fn send(
@@ -341,21 +345,21 @@
     entry: SocketAddr,
     req: Request<Full<Bytes>>,
 ) -> Result<(Response<Incoming>, ConnectionGuard), DevError> {
-    let terms = SendOptions {
+    let send_options = SendOptions {
         reuse: Reuse::Any,
-        header_timeout: ANSWER,
+        header_timeout: RESPONSE_TIMEOUT,
         send_by: None,
     };
     client
-        .send(entry, req, terms)
+        .send(entry, req, send_options)
         .await
         .map_err(|e| DevError::NoAnswer(e.to_string()))
 }
 
-async fn wait(what: &'static str, ready: impl Fn() -> bool) -> Result<(), DevError> {
-    let until = Instant::now() + READY;
+async fn wait_until_ready(what: &'static str, ready: impl Fn() -> bool) -> Result<(), DevError> {
+    let deadline = Instant::now() + READY_TIMEOUT;
     while !ready() {
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return Err(DevError::NotReady(what));
         }
         sleep(Duration::from_millis(20)).await;
@@ -363,8 +367,8 @@
     Ok(())
 }
 
-fn text(answer: &Response<Incoming>, name: &str) -> String {
-    answer
+fn header_text(response: &Response<Incoming>, name: &str) -> String {
+    response
         .headers()
         .get(name)
         .and_then(|v| v.to_str().ok())
@@ -372,7 +376,7 @@
         .to_owned()
 }
 
-fn try_it(entry: SocketAddr) -> String {
+fn example_command(entry: SocketAddr) -> String {
     format!(
         "curl -N http://{entry}/v1/chat/completions \\
   -H 'authorization: Bearer {KEY}' -H 'x-class: question' \\
--- a/sesamebeam/src/lib.rs
+++ b/sesamebeam/src/lib.rs
@@ -1,5 +1,5 @@
-//! The edges of sesamebeam: sockets, files, timers, settings, logs and keys
-//! round the core that decides.
+//! I/O layer of sesamebeam around the deterministic state machines of
+//! `sesamebeam_core`: sockets, files, timers, settings, logs and keys.
 
 pub mod cli;
 pub mod client;
--- a/sesamebeam/src/local.rs
+++ b/sesamebeam/src/local.rs
@@ -1,8 +1,8 @@
-//! A whole fleet on loopback in one process: for `dev`, tests and benches.
+//! A complete fleet on loopback in one process, for `sesamebeam dev`, tests and benchmarks.
 //!
-//! The daemons' own code runs here, over real sockets; only the processes are
-//! missing. Each control replica has a thread of its own, as it has a process
-//! of its own elsewhere.
+//! Entries and control replicas run the same code as the daemons, over real
+//! sockets. Each control replica runs on its own thread, since a deployed one
+//! has its own process.
 
 use std::{
     io,
@@ -84,16 +84,16 @@
     },
 };
 
-/// Key that the fakes announce themselves with.
+/// Announcement key of the fake backend servers.
 pub const ANNOUNCE_KEY: &str = "announce-local";
 
-/// Secret of session tokens.
+/// Secret that session tokens are signed with.
 pub const SESSION_SECRET: &[u8] = b"local session secret";
 
-/// Why a local fleet could not start.
+/// Error when a local fleet is started.
 #[derive(Debug, Error)]
 pub enum LocalError {
-    /// A key cannot be made or written.
+    /// A key cannot be generated or written.
     #[error(transparent)]
     Keys(#[from] KeyError),
     /// A control replica cannot start.
@@ -102,33 +102,34 @@
     /// An entry cannot start.
     #[error(transparent)]
     Entry(#[from] EntryError),
-    /// A fake cannot start.
+    /// A fake backend server cannot start.
     #[error(transparent)]
     Fake(#[from] FakeError),
-    /// The operating system refuses.
+    /// An I/O operation failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// How large a local fleet is.
+/// Size and settings of a local fleet.
 #[derive(Clone, Debug)]
 pub struct LocalPlan {
     /// Failure domains, each with one control replica.
     pub domains: Vec<DomainId>,
     /// Entries in each failure domain.
     pub entries: usize,
-    /// Times of the control replicas.
+    /// Timings of the control replicas.
     pub control: ControlTimings,
-    /// Times of the entries.
+    /// Timings of the entries.
     pub entry: EntryTimings,
-    /// Bounds of the entries.
+    /// Limits of the entries.
     pub limits: EntryLimits,
-    /// Address of a rating service.
+    /// Address of the rating service, if there is one.
     pub rating: Option<SocketAddr>,
 }
 
 impl LocalPlan {
-    /// Plans three failure domains with one entry each, with short times.
+    /// Plans one control replica and one entry in each of the given failure domains, with a short
+    /// drain notice.
     pub fn small(domains: &[&str]) -> Self {
         Self {
             domains: domains.iter().map(|d| SmolStr::new(*d)).collect(),
@@ -144,7 +145,7 @@
     }
 }
 
-/// Settings of every process of a fleet, with its keys.
+/// Settings and keys of every daemon of a local fleet.
 pub struct LocalSettings {
     /// Certificate authority.
     pub ca: FleetCa,
@@ -157,19 +158,19 @@
 }
 
 impl LocalSettings {
-    /// Draws free ports and writes keys into folders under `root`.
+    /// Allocates free ports and writes keys into directories under `root`.
     ///
     /// # Errors
     ///
-    /// Fails if keys cannot be made or written, or there is no free port.
+    /// Fails if keys cannot be generated or written, or if no port is free.
     pub fn make(plan: &LocalPlan, root: &Path) -> Result<Self, LocalError> {
         let ca = FleetCa::make("local")?;
-        ca.save(&folder(root, "ca")?)?;
-        let replicas = replicas(plan)?;
-        let entries = entry_addrs(plan)?;
+        ca.save(&create_dir(root, "ca")?)?;
+        let replicas = allocate_replicas(plan)?;
+        let entries = allocate_entries(plan)?;
         let mut controls = Vec::new();
         for (replica, domain) in replicas.iter().zip(&plan.domains) {
-            let keys = folder(root, &format!("control-{}", replica.node))?;
+            let keys = create_dir(root, &format!("control-{}", replica.node))?;
             ca.issue(&Role::Control(replica.node))?.save(&keys, &ca)?;
             controls.push(ControlSettings {
                 node: replica.node,
@@ -185,14 +186,14 @@
                 log: LogSettings::default(),
             });
         }
-        let secret = root.join("session.secret");
-        std::fs::write(&secret, SESSION_SECRET)?;
-        let mut settings = Vec::new();
+        let secret_path = root.join("session.secret");
+        std::fs::write(&secret_path, SESSION_SECRET)?;
+        let mut entry_settings = Vec::new();
         for peer in &entries {
-            let keys = folder(root, &peer.instance)?;
+            let keys = create_dir(root, &peer.instance)?;
             ca.issue(&Role::Entry(peer.instance.clone()))?
                 .save(&keys, &ca)?;
-            settings.push(EntrySettings {
+            entry_settings.push(EntrySettings {
                 instance: peer.instance.clone(),
                 domain: peer.domain.clone(),
                 listen: EntryListen {
@@ -208,7 +209,7 @@
                     .collect(),
                 keys,
                 announce_key_sha256: hash_of(ANNOUNCE_KEY),
-                session_secret: secret.clone(),
+                session_secret: secret_path.clone(),
                 rating: plan.rating,
                 metrics: MetricsSettings::default(),
                 log: LogSettings::default(),
@@ -216,13 +217,13 @@
                 timings: plan.entry.clone(),
             });
         }
-        let keys = folder(root, "operator")?;
+        let keys = create_dir(root, "operator")?;
         ca.issue(&Role::Operator("local".into()))?
             .save(&keys, &ca)?;
         Ok(Self {
             ca,
             controls,
-            entries: settings,
+            entries: entry_settings,
             operator: OperatorSettings {
                 keys,
                 control: replicas,
@@ -235,18 +236,18 @@
 
 /// A fleet that runs in this process.
 pub struct LocalFleet {
-    /// Settings of its parts.
+    /// Settings of the control replicas, the entries and the operator.
     pub settings: LocalSettings,
     entries: Vec<Entry>,
     stop: CancellationToken,
 }
 
 impl LocalFleet {
-    /// Starts control replicas and entries.
+    /// Starts the control replicas and the entries.
     ///
     /// # Errors
     ///
-    /// Fails if a part cannot start.
+    /// Fails if a control replica or an entry cannot start.
     pub async fn start(plan: &LocalPlan, root: &Path) -> Result<Self, LocalError> {
         let settings = LocalSettings::make(plan, root)?;
         let stop = CancellationToken::new();
@@ -264,12 +265,12 @@
         })
     }
 
-    /// The entries.
+    /// Returns the entries.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// Announcement addresses of the entries of a failure domain.
+    /// Returns the announcement addresses of the entries in a failure domain.
     pub fn announce_addrs(&self, domain: &str) -> Vec<SocketAddr> {
         self.settings
             .entries
@@ -279,7 +280,7 @@
             .collect()
     }
 
-    /// Stops as planned.
+    /// Stops the fleet gracefully and waits until the entries have stopped.
     pub async fn stop(self) {
         self.stop.cancel();
         for entry in self.entries {
@@ -288,11 +289,11 @@
     }
 }
 
-/// Starts a control replica on a thread of its own.
+/// Starts a control replica on its own thread.
 ///
 /// # Errors
 ///
-/// Fails if its folder cannot be made or it cannot start.
+/// Fails if its data directory cannot be created or it cannot start.
 pub fn start_control(
     settings: ControlSettings,
     start: Start,
@@ -308,7 +309,9 @@
         .spawn(move || run_control(settings, &creds, stop, &tx))?;
     match rx.recv() {
         Ok(opened) => Ok(opened?),
-        Err(_) => Err(io::Error::other("the control thread ended at once").into()),
+        Err(_) => {
+            Err(io::Error::other("the control replica's thread exited during startup").into())
+        }
     }
 }
 
@@ -339,21 +342,21 @@
     });
 }
 
-/// Fakes of the backend servers of a fleet file.
+/// Fake backend servers for the pools of a fleet file.
 pub struct LocalServers {
     /// Model engines.
     pub runners: Vec<Runner>,
-    /// Plain services.
+    /// Services that are not model engines.
     pub services: Vec<Service>,
 }
 
 impl LocalServers {
-    /// Starts as many backend servers of each pool as `count` says, spread over
-    /// the failure domains, which announce themselves to the entries there.
+    /// Starts `count(pool)` backend servers for each pool, spread over the failure
+    /// domains. Each announces itself to the entries of its own domain.
     ///
     /// # Errors
     ///
-    /// Fails if a fake cannot listen.
+    /// Fails if a fake backend server cannot listen.
     pub async fn start(
         fleet: &Fleet,
         count: impl Fn(&str) -> usize,
@@ -379,7 +382,7 @@
                     PoolKind::Engine => {
                         let cfg = RunnerConfig {
                             announce,
-                            versions: versions_of(fleet, &pool.name),
+                            versions: initial_versions(fleet, &pool.name),
                             slots: pool.slots as usize,
                             seed: n as u64,
                             ..base.clone()
@@ -405,9 +408,9 @@
     }
 }
 
-/// Versions that engines have from the start; one that rolls out is loaded by
-/// the control group's orders.
-fn versions_of(fleet: &Fleet, pool: &str) -> Vec<SmolStr> {
+/// Returns the versions that engines have loaded at startup. A version in
+/// rollout is excluded, as it is loaded by order of the control group.
+fn initial_versions(fleet: &Fleet, pool: &str) -> Vec<SmolStr> {
     fleet
         .models
         .iter()
@@ -422,7 +425,7 @@
         .collect()
 }
 
-fn replicas(plan: &LocalPlan) -> Result<Vec<Replica>, LocalError> {
+fn allocate_replicas(plan: &LocalPlan) -> Result<Vec<Replica>, LocalError> {
     (1..=plan.domains.len())
         .map(|node| {
             Ok(Replica {
@@ -433,7 +436,7 @@
         .collect()
 }
 
-fn entry_addrs(plan: &LocalPlan) -> Result<Vec<PeerEntry>, LocalError> {
+fn allocate_entries(plan: &LocalPlan) -> Result<Vec<PeerEntry>, LocalError> {
     let mut entries = Vec::new();
     for domain in &plan.domains {
         for n in 1..=plan.entries {
@@ -448,22 +451,22 @@
     Ok(entries)
 }
 
-fn folder(root: &Path, name: &str) -> io::Result<PathBuf> {
-    let folder = root.join(name);
-    std::fs::create_dir_all(&folder)?;
-    Ok(folder)
+fn create_dir(root: &Path, name: &str) -> io::Result<PathBuf> {
+    let dir = root.join(name);
+    std::fs::create_dir_all(&dir)?;
+    Ok(dir)
 }
 
-/// First port that is tried. Ports below the range that the operating system
-/// draws from itself cannot be taken by a connection between the check here
-/// and the start of the process that is meant to have them.
+/// First port of the range that is tried. The range lies below the ephemeral
+/// ports of the operating system, so that no outgoing connection takes a port
+/// between this check and the start of the process that listens on it.
 const FIRST_PORT: u32 = 10_240;
 
-/// Ports that are tried.
-const PORTS: u32 = 20_000;
+/// Number of ports in the range.
+const PORT_COUNT: u32 = 20_000;
 
-/// Ports handed out in this process.
-static NEXT_PORT: AtomicU32 = AtomicU32::new(0);
+/// Offset of the next port to try in this process.
+static NEXT_PORT_OFFSET: AtomicU32 = AtomicU32::new(0);
 
 fn free_udp() -> io::Result<SocketAddr> {
     free_port(|addr| UdpSocket::bind(addr).map(drop))
@@ -475,9 +478,9 @@
 
 fn free_port(bind: impl Fn(SocketAddr) -> io::Result<()>) -> io::Result<SocketAddr> {
     let start = std::process::id().wrapping_mul(211);
-    for _ in 0..PORTS {
-        let at = start.wrapping_add(NEXT_PORT.fetch_add(1, Ordering::Relaxed));
-        let port = FIRST_PORT + at % PORTS;
+    for _ in 0..PORT_COUNT {
+        let offset = start.wrapping_add(NEXT_PORT_OFFSET.fetch_add(1, Ordering::Relaxed));
+        let port = FIRST_PORT + offset % PORT_COUNT;
         let addr = SocketAddr::from((Ipv4Addr::LOCALHOST, port as u16));
         if bind(addr).is_ok() {
             return Ok(addr);
--- a/sesamebeam/src/main.rs
+++ b/sesamebeam/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The `sesamebeam` command-line tool for operators.
 
 use std::{
     env,
--- a/sesamebeam/tests/edge/deployments.rs
+++ b/sesamebeam/tests/edge/deployments.rs
@@ -65,7 +65,7 @@
         at: 0,
     };
     let client = Client::open(&local.settings.operator).expect("a client");
-    let verdict = client.ask(&ControlRequest::Apply(change)).await;
+    let verdict = client.call_control(&ControlRequest::Apply(change)).await;
     let accepted = ControlReply::Verdict(Verdict::Accepted(1));
     assert_eq!(verdict.expect("a verdict"), accepted);
     wait_until(&local, |entry| entry.revision() == 1).await;
--- a/sesamebeam/tests/edge/serving.rs
+++ b/sesamebeam/tests/edge/serving.rs
@@ -93,7 +93,10 @@
             operator: "test".into(),
             at: 0,
         };
-        let reply = self.client.ask(&ControlRequest::Apply(change)).await;
+        let reply = self
+            .client
+            .call_control(&ControlRequest::Apply(change))
+            .await;
         let Ok(ControlReply::Verdict(Verdict::Accepted(revision))) = reply else {
             panic!("not accepted: {reply:?}");
         };
--- a/sesamebeam/tests/real/fleet.rs
+++ b/sesamebeam/tests/real/fleet.rs
@@ -178,7 +178,7 @@
     pub(crate) async fn ask(&self, req: &ControlRequest) -> ControlReply {
         let deadline = Instant::now() + TIMEOUT;
         loop {
-            match self.client.ask(req).await {
+            match self.client.call_control(req).await {
                 Ok(reply) => return reply,
                 Err(e) => assert!(Instant::now() < deadline, "no answer: {e}"),
             }
@@ -320,7 +320,7 @@
     for entry in &processes.settings.operator.entries {
         wait_until("every backend server", async || {
             matches!(
-                processes.client.ask_entry(entry, &EntryRequest::Status).await,
+                processes.client.call_entry(entry, &EntryRequest::Status).await,
                 Ok(EntryReply::Status(state)) if state.servers.len() >= wanted
             )
         })
