--- a/sesamebeam/src/gateway/control_connections.rs
+++ b/sesamebeam/src/gateway/control_connections.rs
@@ -140,14 +140,14 @@
     loop {
         connections.update_connections(&seeds.borrow_and_update());
         tokio::select! {
-        () = halt.cancelled() => return,
+            () = halt.cancelled() => return,
         Some((addr, event)) = events.recv() => connections.handle_event(addr, event),
         changed = seeds.changed(), if !seeds_closed => seeds_closed = changed.is_err(),
         _ = report_ticks.tick() => connections.report(),
         _ = poll_ticks.tick() => {
         connections.poll_subscription();
         connections.report_failures();
-        }
+            }
         }
     }
 }
@@ -209,7 +209,7 @@
             let cancel = token.clone();
             tokio::spawn(async move {
                 tokio::select! {
-                () = cancel.cancelled() => return,
+                    () = cancel.cancelled() => return,
                 () = delay => {}
                 }
                 maintain(connection, cancel).await;
@@ -520,7 +520,7 @@
         let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
         self.notify(ConnectionEvent::Connected(queue));
         tokio::select! {
-        ended = self.read(&mut rx) => ended,
+            ended = self.read(&mut rx) => ended,
         ended = write(&mut tx, messages, &self.metrics) => ended,
         }
     }
@@ -546,8 +546,8 @@
     let mut ticks = ticks(ALIVE_EVERY);
     loop {
         let message = tokio::select! {
-        message = messages.recv() => message.ok_or(FrameError::Closed)?,
-        _ = ticks.tick() => FromEntry::Heartbeat,
+            message = messages.recv() => message.ok_or(FrameError::Closed)?,
+            _ = ticks.tick() => FromEntry::Heartbeat,
         };
         let frame = frames::encode(&message)?;
         metrics.message(Way::ToControl, message.kind(), frame.len(), 1);
