--- a/sesamebeam/src/control.rs
+++ b/sesamebeam/src/control.rs
@@ -530,7 +530,7 @@
         }
         ControlNotice::Accepted(revision) => {
             log::info!("event=accepted revision={revision}");
-            metrics.count(Counter::Accepted, 1);
+            metrics.count(Counter::ChangesAccepted, 1);
         }
         ControlNotice::InForce(revision) => {
             log::info!("event=in_force revision={revision}");
@@ -538,7 +538,7 @@
         }
         ControlNotice::Held(version) => {
             log::warn!("event=version_held version={version}");
-            metrics.count(Counter::Held, 1);
+            metrics.count(Counter::VersionsHeld, 1);
         }
         ControlNotice::Rollout { version, state } => {
             log::info!("event=rollout version={version} state={state:?}");
--- a/sesamebeam/src/control/serve.rs
+++ b/sesamebeam/src/control/serve.rs
@@ -40,7 +40,7 @@
 };
 
 /// Bad input is logged once a minute.
-static BAD_INPUT: LogLimit = LogLimit::new(crate::limit::LOG_EVERY);
+static BAD_INPUT: LogLimit = LogLimit::new(crate::limit::LOG_PERIOD);
 
 /// Numbers clients' requests.
 static TICKETS: AtomicU64 = AtomicU64::new(1);
@@ -145,7 +145,7 @@
 }
 
 fn bad_input(role: &Role, what: &str) {
-    if let Some(more) = BAD_INPUT.pass() {
+    if let Some(more) = BAD_INPUT.allow() {
         log::warn!("bad input from {role}: {what} (and {more} more since the last line)");
     }
 }
--- a/sesamebeam/src/entry/notices.rs
+++ b/sesamebeam/src/entry/notices.rs
@@ -35,7 +35,7 @@
         match notice {
             Notice::Ended(ended) => {
                 log_ended(ended);
-                self.metrics.ended(ended);
+                self.metrics.record_request(ended);
             }
             Notice::InForce { revision } => {
                 log::info!("event=in_force revision={revision}");
@@ -51,7 +51,7 @@
             }
             Notice::Held { version } => {
                 log::warn!("event=version_held version={version}");
-                self.metrics.count(Counter::Held, 1);
+                self.metrics.count(Counter::VersionsHeld, 1);
             }
             Notice::ServerUp { server, pool } => {
                 log::info!("event=server_up server={} pool={pool}", server.addr);
@@ -70,8 +70,8 @@
 
     /// Counts invalid input that was ignored, and logs it within the limit.
     pub(crate) fn record_ignored_input(&mut self, why: &str) {
-        self.metrics.count(Counter::Ignored, 1);
-        if let Some(held) = self.bad_input.pass() {
+        self.metrics.count(Counter::InvalidInputs, 1);
+        if let Some(held) = self.bad_input.allow() {
             log::warn!("event=input_ignored why={why:?} held_back={held}");
         }
     }
--- a/sesamebeam/src/exposition.rs
+++ b/sesamebeam/src/exposition.rs
@@ -1,7 +1,7 @@
-//! Counters and latency histograms in the text format that scrapers read.
+//! Counters, gauges and latency histograms in the OpenMetrics text format.
 //!
-//! For platforms that fetch metrics over HTTP; [`metrics`](crate::metrics) sends
-//! them in StatsD form.
+//! For platforms that scrape metrics over HTTP; [`metrics`](crate::metrics) sends
+//! them in StatsD format.
 
 use std::{
     convert::Infallible,
@@ -49,45 +49,45 @@
     ListenError, //
 };
 
-/// Format of the text, as scrapers ask for it.
-const FORMAT: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+/// Content type of the text format.
+const OPENMETRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Shortest time that a histogram tells apart, in seconds: a round trip.
-const FIRST_BUCKET: f64 = 0.001;
+/// Upper bound of the first histogram bucket in seconds: a round trip.
+const FIRST_BUCKET_BOUND: f64 = 0.001;
 
-/// Buckets of a histogram; each is twice as wide as the one before, up to half a
-/// minute, which is the longest that callers wait.
-const BUCKETS: u16 = 16;
+/// Number of histogram buckets. Each bound is twice the one before, up to half a
+/// minute, the longest that callers wait.
+const BUCKET_COUNT: u16 = 16;
 
-/// How a request ended, as its caller sees it.
+/// Outcome of a request as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum RequestEnd {
-    /// A whole answer of a backend server, whatever its status.
+    /// The caller received a complete response of a backend server, with any status.
     Answered,
-    /// Every event of a stream.
+    /// The caller received every event of a stream.
     StreamComplete,
-    /// A stream that ended before its last event.
+    /// The stream ended before its last event.
     StreamBroken,
-    /// Its caller left.
+    /// The caller disconnected.
     Left,
-    /// It has not run and was refused.
+    /// The request was rejected without being run.
     Refused,
-    /// It may have run and has no answer.
+    /// The request may have been run but has no response.
     Unknown,
 }
 
-/// How a send to a backend server ended.
+/// Outcome of one send of a request to a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum SendEnd {
-    /// An answer.
+    /// The backend server sent a complete response.
     Good,
-    /// A failure, or an answer that broke off.
+    /// The send failed, or the response was truncated.
     Failed,
-    /// The backend server did not run it.
+    /// The backend server rejected the request without running it.
     Refused,
-    /// It could not be reached.
+    /// The backend server could not be reached.
     Unreachable,
-    /// It was given up for reasons of the request's own.
+    /// The send was abandoned for a reason unrelated to the backend server.
     Dropped,
 }
 
@@ -101,39 +101,39 @@
     end: SendEnd,
 }
 
-/// Which way a message between a control replica and an entry went.
+/// Direction of a message between a control replica and an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Way {
-    /// To entries.
+pub enum MessageDirection {
+    /// From a control replica to entries.
     ToEntries,
-    /// To a control replica.
+    /// From an entry to a control replica.
     ToControl,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct MessageLabels {
-    way: Way,
+    way: MessageDirection,
     kind: &'static str,
 }
 
-/// Something that has a value at each moment.
+/// Gauge of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Level {
-    /// Number of the configuration in force, or committed.
-    Config,
-    /// Whether new callers are taken.
+pub enum GaugeKind {
+    /// Version of the configuration that is in force, or committed.
+    ConfigVersion,
+    /// Whether new callers are accepted.
     Ready,
-    /// Whether this replica leads.
-    Leads,
-    /// Entries that are connected.
-    Entries,
-    /// Failure domains that are evacuated.
-    Evacuated,
-    /// Backend servers that name a limit.
-    Limited,
-    /// Backend servers that asked for a pause, or leave.
-    BackedOff,
-    /// Milliseconds by which the loop turned late.
+    /// Whether this replica is the leader.
+    IsLeader,
+    /// Number of connected entries.
+    ConnectedEntries,
+    /// Number of evacuated failure domains.
+    EvacuatedDomains,
+    /// Number of backend servers that announce a concurrency limit.
+    LimitedServers,
+    /// Number of backend servers that asked for a pause or are shutting down.
+    BackedOffServers,
+    /// Delay of the latest event loop tick in milliseconds.
     LoopDelay,
 }
 
@@ -146,7 +146,7 @@
     messages: Family<MessageLabels, Counter>,
     message_bytes: Family<MessageLabels, Counter>,
     first_byte: Histogram,
-    whole: Histogram,
+    request_duration: Histogram,
     config: Gauge,
     ready: Gauge,
     leads: Gauge,
@@ -159,15 +159,16 @@
 
 impl Default for Exposition {
     fn default() -> Self {
-        let histogram = || Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKETS));
-        let mut made = Self {
+        let histogram =
+            || Histogram::new(exponential_buckets(FIRST_BUCKET_BOUND, 2.0, BUCKET_COUNT));
+        let mut exposition = Self {
             registry: Registry::with_prefix("sesamebeam"),
             requests: Family::default(),
             sends: Family::default(),
             messages: Family::default(),
             message_bytes: Family::default(),
             first_byte: histogram(),
-            whole: histogram(),
+            request_duration: histogram(),
             config: Gauge::default(),
             ready: Gauge::default(),
             leads: Gauge::default(),
@@ -177,25 +178,31 @@
             backed_off: Gauge::default(),
             loop_delay: Gauge::default(),
         };
-        made.register();
-        made
+        exposition.register();
+        exposition
     }
 }
 
 impl Exposition {
-    /// Counts a request that ended, with its time.
-    pub fn request(&self, end: RequestEnd, took: Duration) {
+    /// Records a finished request and its duration.
+    pub fn record_request(&self, end: RequestEnd, took: Duration) {
         self.requests.get_or_create(&RequestLabels { end }).inc();
-        self.whole.observe(took.as_secs_f64());
+        self.request_duration.observe(took.as_secs_f64());
     }
 
-    /// Counts a send that ended.
-    pub fn send(&self, end: SendEnd) {
+    /// Records a finished send.
+    pub fn record_send(&self, end: SendEnd) {
         self.sends.get_or_create(&SendLabels { end }).inc();
     }
 
-    /// Counts a message of some bytes that goes to several receivers.
-    pub fn message(&self, way: Way, kind: &'static str, bytes: usize, receivers: usize) {
+    /// Records a message of `bytes` bytes that is sent to each of `receivers` receivers.
+    pub fn record_message(
+        &self,
+        way: MessageDirection,
+        kind: &'static str,
+        bytes: usize,
+        receivers: usize,
+    ) {
         let labels = MessageLabels { way, kind };
         let count = receivers as u64;
         self.messages.get_or_create(&labels).inc_by(count);
@@ -203,39 +210,39 @@
         self.message_bytes.get_or_create(&labels).inc_by(bytes);
     }
 
-    /// Counts the time from a send to the first byte of its answer.
-    pub fn first_byte(&self, took: Duration) {
+    /// Records the time from a send to the first byte of its response.
+    pub fn record_first_byte(&self, took: Duration) {
         self.first_byte.observe(took.as_secs_f64());
     }
 
-    /// Sets a value. One beyond the format's range shows as its highest.
-    pub fn set(&self, level: Level, value: u64) {
+    /// Sets a gauge. A value above `i64::MAX` is reported as `i64::MAX`.
+    pub fn set_gauge(&self, gauge: GaugeKind, value: u64) {
         let value = i64::try_from(value).unwrap_or(i64::MAX);
-        match level {
-            Level::Config => self.config.set(value),
-            Level::Ready => self.ready.set(value),
-            Level::Leads => self.leads.set(value),
-            Level::Entries => self.entries.set(value),
-            Level::Evacuated => self.evacuated.set(value),
-            Level::Limited => self.limited.set(value),
-            Level::BackedOff => self.backed_off.set(value),
-            Level::LoopDelay => self.loop_delay.set(value),
+        match gauge {
+            GaugeKind::ConfigVersion => self.config.set(value),
+            GaugeKind::Ready => self.ready.set(value),
+            GaugeKind::IsLeader => self.leads.set(value),
+            GaugeKind::ConnectedEntries => self.entries.set(value),
+            GaugeKind::EvacuatedDomains => self.evacuated.set(value),
+            GaugeKind::LimitedServers => self.limited.set(value),
+            GaugeKind::BackedOffServers => self.backed_off.set(value),
+            GaugeKind::LoopDelay => self.loop_delay.set(value),
         };
     }
 
-    /// Returns the metrics as text.
-    pub fn text(&self) -> String {
+    /// Encodes the metrics in the text format.
+    pub fn to_text(&self) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
 
-    /// Serves the text until cancelled.
+    /// Serves the metrics over HTTP until cancelled.
     ///
     /// # Errors
     ///
-    /// Fails if the address cannot be used.
+    /// Fails if the address cannot be listened on.
     pub async fn serve(
         self: Arc<Self>,
         addr: SocketAddr,
@@ -246,10 +253,10 @@
             let exposition = Arc::clone(&self);
             async move {
                 let service = service_fn(|_: Request<Incoming>| {
-                    let response = respond(exposition.text());
+                    let response = respond(exposition.to_text());
                     async move { Ok::<_, Infallible>(response) }
                 });
-                // A scraper that leaves early asks again.
+                // A scraper whose connection fails scrapes again later.
                 let _ = http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
@@ -284,7 +291,7 @@
         registry.register(
             "request_seconds",
             "Time from a request to the end of its answer",
-            self.whole.clone(),
+            self.request_duration.clone(),
         );
         registry.register("config_version", "Configuration known", self.config.clone());
         registry.register("ready", "Whether callers are taken", self.ready.clone());
@@ -317,6 +324,9 @@
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = StatusCode::OK;
     let headers = response.headers_mut();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static(FORMAT));
+    headers.insert(
+        CONTENT_TYPE,
+        HeaderValue::from_static(OPENMETRICS_CONTENT_TYPE),
+    );
     response
 }
--- a/sesamebeam/src/fleet_file.rs
+++ b/sesamebeam/src/fleet_file.rs
@@ -1,4 +1,4 @@
-//! The operators' fleet file on disk.
+//! Fleet file written by operators.
 
 use std::path::Path;
 
@@ -16,31 +16,31 @@
     TomlFile, //
 };
 
-/// A fleet file without a fault.
+/// Fleet file without faults.
 #[derive(Clone, Debug)]
 pub struct FleetFile {
-    /// What the file declares.
+    /// Fleet declared by the file.
     pub fleet: Fleet,
-    /// Digest of the file's text; with the base revision the id of a change.
+    /// Digest of the file's text. Together with the base revision it identifies a change.
     pub digest: Digest,
 }
 
 impl FleetFile {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read or has a fault; nothing of a file with
-    /// a fault is used.
+    /// Fails if the file cannot be read or has a fault. No content of a file with a fault
+    /// is used.
     pub fn read(path: &Path) -> Result<Self, FileError> {
         Self::parse(&TomlFile::read(path)?)
     }
 
-    /// Checks a text.
+    /// Parses and validates a file that was already read.
     ///
     /// # Errors
     ///
-    /// Fails if the text has a fault.
+    /// Fails if the file has a fault.
     pub fn parse(file: &TomlFile) -> Result<Self, FileError> {
         Ok(Self {
             fleet: file.parse(check)?,
--- a/sesamebeam/src/frames.rs
+++ b/sesamebeam/src/frames.rs
@@ -1,10 +1,10 @@
-//! Messages between our own processes as frames on plain TCP.
+//! Framed messages between the processes of a fleet over plain TCP.
 //!
-//! For platforms that hand out no keys, where a connection of
-//! [`link`](crate::link) cannot be authenticated. Each message is a length, a
-//! byte that tells whether the rest is packed, and a postcard body. Both ends say
-//! that they live; a connection that stays silent is closed, since one that has
-//! lost its path shows no error by itself.
+//! For platforms that provide no keys, where a connection of [`link`](crate::link)
+//! cannot be authenticated. A frame consists of a length, a byte that tells whether
+//! the body is compressed, and a postcard body. Both ends send heartbeats; a connection
+//! without incoming messages is closed, because TCP reports no error when the network
+//! path is lost.
 
 use std::{
     io::{
@@ -51,104 +51,106 @@
     LengthDelimitedCodec, //
 };
 
-/// Pause between two messages that say that the sender lives. A quarter of the
-/// time after which a cut must be noticed for a configuration to be in force
-/// within the two seconds that deployments ask for.
-pub const ALIVE_EVERY: Duration = Duration::from_millis(500);
+/// Interval between two heartbeats. A quarter of the time within which a lost connection
+/// must be detected for a configuration to be in force within the two seconds that
+/// deployments require.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Silence after which a connection is closed: three messages missed.
-pub const SILENT_FOR: Duration = Duration::from_millis(1600);
+/// Time without an incoming message after which a connection is closed: three missed
+/// heartbeats.
+pub const RECEIVE_TIMEOUT: Duration = Duration::from_millis(1600);
 
-/// Longest wait for a connection: some hundred round trips within a region, and
-/// ten between regions. What is sent to an instance that is not up yet, or whose
-/// path is lost, gets no answer, and the system repeats it only after a second.
-/// With 600 ms, entries and replicas that had all lost their power found each
-/// other 0.7 s after they had started.
+/// Timeout of a connection attempt: about a hundred round trips within a region, and
+/// ten between regions. A SYN to an instance that is not up yet, or whose network path
+/// is lost, is not answered, and the operating system retransmits it only after a
+/// second. With 600 ms, entries and replicas connected to each other only 0.7 s after
+/// they had started from a common power loss.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Pause before a connection that ended is opened again.
-const RETRY_FIRST: Duration = Duration::from_millis(50);
+/// Delay before the first attempt to reopen a closed connection.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How much longer each pause is than the one before: up to 800 ms, the first
-/// second has seven tries, an hour 4,500.
-const RETRY_GROWTH: f64 = 1.5;
+/// Factor by which each delay exceeds the one before. With a maximum of 800 ms there
+/// are seven attempts in the first second and 4,500 in an hour.
+const RETRY_DELAY_FACTOR: f64 = 1.5;
 
-/// Pauses between tries to open a connection.
+/// Exponential backoff with jitter between attempts to open a connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Retry {
-    pause: Duration,
-    longest: Duration,
+pub struct RetryBackoff {
+    delay: Duration,
+    max_delay: Duration,
 }
 
-impl Retry {
-    /// Makes pauses no longer than `longest`.
-    pub fn up_to(longest: Duration) -> Self {
+impl RetryBackoff {
+    /// Creates a backoff with delays of at most `max_delay`.
+    pub fn with_max_delay(max_delay: Duration) -> Self {
         Self {
-            pause: RETRY_FIRST,
-            longest,
+            delay: INITIAL_RETRY_DELAY,
+            max_delay,
         }
     }
 
-    /// Waits for the next pause, which grows until a connection was `reached`.
-    pub async fn pause(&mut self, reached: bool) {
+    /// Waits for the next delay. The delay grows with each attempt, and is reset when the
+    /// peer was `reached`.
+    pub async fn wait(&mut self, reached: bool) {
         if reached {
-            self.pause = RETRY_FIRST;
+            self.delay = INITIAL_RETRY_DELAY;
         }
         let jitter: f64 = rand::rng().random_range(0.5..1.0);
-        sleep(self.pause.mul_f64(jitter)).await;
-        self.pause = self.pause.mul_f64(RETRY_GROWTH).min(self.longest);
+        sleep(self.delay.mul_f64(jitter)).await;
+        self.delay = self.delay.mul_f64(RETRY_DELAY_FACTOR).min(self.max_delay);
     }
 }
 
-/// Longest wait for one message to leave.
+/// Timeout for sending one message.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest message: a configuration of 4 MiB with room for the rest.
-const MAX_FRAME: usize = 16 << 20;
+/// Maximum frame length in bytes: a configuration of 4 MiB and room for other content.
+const MAX_FRAME_LEN: usize = 16 << 20;
 
-/// Bytes from which a message for many receivers is packed: a millisecond on a
-/// link of 10 Mbit/s.
-const PACK_FROM: usize = 1 << 10;
+/// Minimum length in bytes at which a message for many receivers is compressed: a
+/// millisecond on a link of 10 Mbit/s.
+const MIN_COMPRESSED_LEN: usize = 1 << 10;
 
-/// First byte of a frame whose body is as it was encoded.
-const PLAIN: u8 = 0;
+/// First byte of a frame with an uncompressed body.
+const UNCOMPRESSED: u8 = 0;
 
-/// First byte of a frame whose body is packed.
-const PACKED: u8 = 1;
+/// First byte of a frame with a compressed body.
+const COMPRESSED: u8 = 1;
 
-/// Why a message did not pass.
+/// Error when sending or receiving a message.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// There is no connection.
+    /// The connection cannot be opened.
     #[error("no connection to {addr}: {source}")]
     Connect {
-        /// Where to.
+        /// Address of the peer.
         addr: SocketAddr,
-        /// Why not.
+        /// Underlying error.
         source: io::Error,
     },
-    /// The connection broke.
-    #[error("connection broke: {0}")]
+    /// The connection failed.
+    #[error("connection failed: {0}")]
     Io(#[from] io::Error),
-    /// Nothing came, or nothing left, for too long.
+    /// No message was received or could be sent in time.
     #[error("connection silent")]
-    Silent,
-    /// The other end closed it.
+    TimedOut,
+    /// The peer closed the connection.
     #[error("connection closed")]
     Closed,
-    /// A message cannot be read.
-    #[error("message cannot be read: {0}")]
+    /// A message cannot be encoded or decoded.
+    #[error("cannot encode or decode message: {0}")]
     Codec(#[from] postcard::Error),
-    /// A frame is empty, or of a kind that is not known.
-    #[error("frame of an unknown kind")]
-    Kind,
+    /// A frame is empty or has an unknown kind byte.
+    #[error("empty frame or unknown frame kind")]
+    UnknownKind,
 }
 
-/// The sending end of a connection.
+/// Sending half of a connection.
 #[derive(Debug)]
 pub struct Sender(FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>);
 
-/// The receiving end of a connection.
+/// Receiving half of a connection.
 #[derive(Debug)]
 pub struct Receiver(FramedRead<OwnedReadHalf, LengthDelimitedCodec>);
 
@@ -156,7 +158,7 @@
 ///
 /// # Errors
 ///
-/// Fails if there is none in time.
+/// Fails if the connection is not established within [`CONNECT_TIMEOUT`].
 pub async fn connect(addr: SocketAddr) -> Result<(Sender, Receiver), FrameError> {
     let opened = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
     let opened = opened.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
@@ -164,11 +166,11 @@
     split(stream)
 }
 
-/// Splits a connection into its ends.
+/// Splits a connection into its halves.
 ///
 /// # Errors
 ///
-/// Fails if the socket takes no options.
+/// Fails if `TCP_NODELAY` cannot be set.
 pub fn split(stream: TcpStream) -> Result<(Sender, Receiver), FrameError> {
     stream.set_nodelay(true)?;
     let (rx, tx) = stream.into_split();
@@ -178,47 +180,48 @@
     ))
 }
 
-/// Encodes a message once for many receivers. A long one is packed.
+/// Encodes a message once for many receivers, and compresses a long one.
 ///
-/// A configuration goes from every replica to every entry. On the narrow links of
-/// entries it stood in the way of the events of streams for longer than these may
-/// wait: of streams that were running when 888 routes came, a half was late.
+/// Every replica sends a configuration to every entry. Without compression it delayed the
+/// events of streams on the low-bandwidth links of entries beyond their limit: a
+/// configuration of 888 routes made half of the running streams late.
 ///
 /// # Errors
 ///
-/// Fails if the message has no encoding.
+/// Fails if the message cannot be encoded.
 pub fn encode(message: &impl Serialize) -> Result<Bytes, FrameError> {
-    let frame = plain(message)?;
-    if frame.len() < PACK_FROM {
+    let frame = encode_uncompressed(message)?;
+    if frame.len() < MIN_COMPRESSED_LEN {
         return Ok(frame);
     }
-    let mut packer = DeflateEncoder::new(vec![PACKED], Compression::fast());
-    packer.write_all(&frame[1..])?;
-    Ok(packer.finish()?.into())
+    let mut encoder = DeflateEncoder::new(vec![COMPRESSED], Compression::fast());
+    encoder.write_all(&frame[1..])?;
+    Ok(encoder.finish()?.into())
 }
 
 /// Decodes the frame of a message.
 ///
 /// # Errors
 ///
-/// Fails if it is no such message, or longer than any may be.
+/// Fails if the frame is not a valid message of this type, or its decompressed body is
+/// longer than the maximum frame length.
 pub fn decode<T: DeserializeOwned>(frame: &[u8]) -> Result<T, FrameError> {
     match frame.split_first() {
-        Some((&PLAIN, body)) => Ok(postcard::from_bytes(body)?),
-        Some((&PACKED, body)) => {
-            let mut unpacked = Vec::new();
-            let most = MAX_FRAME as u64;
+        Some((&UNCOMPRESSED, body)) => Ok(postcard::from_bytes(body)?),
+        Some((&COMPRESSED, body)) => {
+            let mut decompressed = Vec::new();
+            let max_len = MAX_FRAME_LEN as u64;
             DeflateDecoder::new(body)
-                .take(most)
-                .read_to_end(&mut unpacked)?;
-            Ok(postcard::from_bytes(&unpacked)?)
+                .take(max_len)
+                .read_to_end(&mut decompressed)?;
+            Ok(postcard::from_bytes(&decompressed)?)
         }
-        _ => Err(FrameError::Kind),
+        _ => Err(FrameError::UnknownKind),
     }
 }
 
-fn plain(message: &impl Serialize) -> Result<Bytes, FrameError> {
-    Ok(postcard::to_extend(message, vec![PLAIN])?.into())
+fn encode_uncompressed(message: &impl Serialize) -> Result<Bytes, FrameError> {
+    Ok(postcard::to_extend(message, vec![UNCOMPRESSED])?.into())
 }
 
 impl Sender {
@@ -226,20 +229,20 @@
     ///
     /// # Errors
     ///
-    /// Fails if it does not leave in time.
+    /// Fails if the message cannot be encoded or sent in time.
     pub async fn send(&mut self, message: &impl Serialize) -> Result<(), FrameError> {
-        self.send_encoded(plain(message)?).await
+        self.send_encoded(encode_uncompressed(message)?).await
     }
 
     /// Sends an encoded message.
     ///
     /// # Errors
     ///
-    /// Fails if it does not leave in time.
+    /// Fails if the message cannot be sent in time.
     pub async fn send_encoded(&mut self, message: Bytes) -> Result<(), FrameError> {
         match timeout(SEND_TIMEOUT, self.0.send(message)).await {
             Ok(sent) => Ok(sent?),
-            Err(_) => Err(FrameError::Silent),
+            Err(_) => Err(FrameError::TimedOut),
         }
     }
 }
@@ -249,18 +252,19 @@
     ///
     /// # Errors
     ///
-    /// Fails if the connection ends or stays silent for [`SILENT_FOR`].
+    /// Fails if the connection ends, no message is received for [`RECEIVE_TIMEOUT`], or the message
+    /// cannot be decoded.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<T, FrameError> {
-        match timeout(SILENT_FOR, self.0.next()).await {
+        match timeout(RECEIVE_TIMEOUT, self.0.next()).await {
             Ok(Some(frame)) => decode(&frame?),
             Ok(None) => Err(FrameError::Closed),
-            Err(_) => Err(FrameError::Silent),
+            Err(_) => Err(FrameError::TimedOut),
         }
     }
 }
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(MAX_FRAME)
+        .max_frame_length(MAX_FRAME_LEN)
         .new_codec()
 }
--- a/sesamebeam/src/gateway/admission.rs
+++ b/sesamebeam/src/gateway/admission.rs
@@ -169,7 +169,9 @@
 fn reject(gateway: &Gateway, id: &str, refusal: Refusal) -> CallerResponse {
     let version = gateway.router().version();
     log::info!(id = id, why:% = refusal, config:? = version; "request refused");
-    gateway.metrics.request(RequestEnd::Refused, Duration::ZERO);
+    gateway
+        .metrics
+        .record_request(RequestEnd::Refused, Duration::ZERO);
     match refusal {
         Refusal::NoConfig => response::retry_after_startup(),
         Refusal::Quarantined | Refusal::ShortOfCapacity => {
--- a/sesamebeam/src/gateway/control_connections.rs
+++ b/sesamebeam/src/gateway/control_connections.rs
@@ -61,16 +61,16 @@
 use crate::{
     exposition::{
         Exposition,
-        Level,
-        Way, //
+        GaugeKind,
+        MessageDirection, //
     },
     frames::{
         self,
-        ALIVE_EVERY,
         CONNECT_TIMEOUT,
         FrameError,
+        HEARTBEAT_INTERVAL,
         Receiver,
-        Retry,
+        RetryBackoff,
         Sender, //
     },
 };
@@ -282,13 +282,17 @@
         let gateway = Arc::clone(&self.gateway);
         gateway
             .metrics
-            .set(Level::Ready, u64::from(gateway.is_ready()));
+            .set_gauge(GaugeKind::Ready, u64::from(gateway.is_ready()));
         let now = gateway.now();
         gateway.router().remove_expired(now);
         let limited = gateway.router().limited_count();
-        gateway.metrics.set(Level::Limited, limited as u64);
+        gateway
+            .metrics
+            .set_gauge(GaugeKind::LimitedServers, limited as u64);
         let backed_off = gateway.router().backed_off_count(now);
-        gateway.metrics.set(Level::BackedOff, backed_off as u64);
+        gateway
+            .metrics
+            .set_gauge(GaugeKind::BackedOffServers, backed_off as u64);
         let Some(followed) = self.subscription.followed() else {
             return;
         };
@@ -361,7 +365,7 @@
                     );
                     gateway
                         .metrics
-                        .set(Level::Evacuated, evacuated.len() as u64);
+                        .set_gauge(GaugeKind::EvacuatedDomains, evacuated.len() as u64);
                 }
             }
             ToEntry::Servers(servers) => self.apply_announcements(addr, servers),
@@ -458,7 +462,7 @@
                 if applied {
                     self.first_config_at.get_or_init(Instant::now);
                     self.state_changed.notify_waiters();
-                    self.metrics.set(Level::Config, version);
+                    self.metrics.set_gauge(GaugeKind::ConfigVersion, version);
                     log::info!(
                     config = version, before:? = current, replica:% = from;
                         "configuration in force"
@@ -485,7 +489,7 @@
 }
 
 async fn maintain(connection: Connection, cancel: CancellationToken) {
-    let mut retry = Retry::up_to(MAX_RETRY_DELAY);
+    let mut retry = RetryBackoff::with_max_delay(MAX_RETRY_DELAY);
     loop {
         let mut reached = false;
         let result = tokio::select! {
@@ -503,7 +507,7 @@
         {
             log::warn!(replica:% = connection.addr, error:% = e; "control replica lost");
         }
-        retry.pause(reached).await;
+        retry.wait(reached).await;
     }
 }
 
@@ -543,14 +547,14 @@
     mut messages: mpsc::Receiver<FromEntry>,
     metrics: &Exposition,
 ) -> Result<(), FrameError> {
-    let mut ticks = ticks(ALIVE_EVERY);
+    let mut ticks = ticks(HEARTBEAT_INTERVAL);
     loop {
         let message = tokio::select! {
             message = messages.recv() => message.ok_or(FrameError::Closed)?,
             _ = ticks.tick() => FromEntry::Heartbeat,
         };
         let frame = frames::encode(&message)?;
-        metrics.message(Way::ToControl, message.kind(), frame.len(), 1);
+        metrics.record_message(MessageDirection::ToControl, message.kind(), frame.len(), 1);
         tx.send_encoded(frame).await?;
     }
 }
--- a/sesamebeam/src/gateway/dispatch.rs
+++ b/sesamebeam/src/gateway/dispatch.rs
@@ -282,7 +282,7 @@
     /// Records the end of the request in the metrics.
     pub(super) fn record_end(&self, end: RequestEnd) {
         let elapsed = self.req.received_at.elapsed();
-        self.gateway.metrics.request(end, elapsed);
+        self.gateway.metrics.record_request(end, elapsed);
     }
 
     /// Returns whether the request may be sent again although it may have run.
--- a/sesamebeam/src/gateway/in_flight.rs
+++ b/sesamebeam/src/gateway/in_flight.rs
@@ -72,7 +72,7 @@
                 router.record_aborted(now, &self.choice);
             }
             router.record_outcome(now, &self.plan, &self.choice, outcome);
-            self.gateway.metrics.send(send_end(outcome));
+            self.gateway.metrics.record_send(send_end(outcome));
         }
     }
 }
--- a/sesamebeam/src/gateway/send.rs
+++ b/sesamebeam/src/gateway/send.rs
@@ -197,7 +197,8 @@
         self.record_limit(choice, sent_at, &head);
         self.router()
             .record_response(self.now(), &choice.id, head.load);
-        self.metrics.first_byte(self.now().saturating_sub(sent_at));
+        self.metrics
+            .record_first_byte(self.now().saturating_sub(sent_at));
         let response = Response::from_parts(parts, body);
         SendResult::Answered(Box::new(response), head, lease)
     }
--- a/sesamebeam/src/group/internal_server.rs
+++ b/sesamebeam/src/group/internal_server.rs
@@ -39,8 +39,8 @@
 use crate::{
     frames::{
         self,
-        ALIVE_EVERY,
         FrameError,
+        HEARTBEAT_INTERVAL,
         Receiver,
         Sender, //
     },
@@ -107,7 +107,7 @@
                         return Ok(());
                     }
                 }
-                Err(FrameError::Silent) => {}
+                Err(FrameError::TimedOut) => {}
                 Err(e) => return Err(e),
             }
         }
@@ -119,7 +119,7 @@
 }
 
 async fn send_heartbeats(sender: &mut Sender) -> Result<(), FrameError> {
-    let mut ticks = interval(ALIVE_EVERY);
+    let mut ticks = interval(HEARTBEAT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -176,7 +176,7 @@
     mut queue: Queue<Bytes>,
     heartbeat: watch::Receiver<Bytes>,
 ) -> Result<(), FrameError> {
-    let mut ticks = interval(ALIVE_EVERY);
+    let mut ticks = interval(HEARTBEAT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let frame = tokio::select! {
--- a/sesamebeam/src/group/membership.rs
+++ b/sesamebeam/src/group/membership.rs
@@ -31,7 +31,7 @@
         Disk,
         Identity, //
     },
-    exposition::Level,
+    exposition::GaugeKind,
 };
 
 /// Heartbeat interval of a leader: a sixth of the election timeout, so that lost packets
@@ -128,11 +128,11 @@
     pub(super) fn publish_status(&self) {
         let config = self.coordinator.store().config();
         self.metrics
-            .set(Level::Config, config.map_or(0, |c| c.version));
+            .set_gauge(GaugeKind::ConfigVersion, config.map_or(0, |c| c.version));
         self.metrics
-            .set(Level::Leads, u64::from(self.coordinator.leads()));
+            .set_gauge(GaugeKind::IsLeader, u64::from(self.coordinator.leads()));
         self.metrics
-            .set(Level::Entries, self.subscribers.count() as u64);
+            .set_gauge(GaugeKind::ConnectedEntries, self.subscribers.count() as u64);
         let is_member = self.coordinator.is_member();
         let is_settled = is_member && self.coordinator.knows_leader();
         let known_addrs = self.coordinator.peers().addrs();
--- a/sesamebeam/src/group/peer.rs
+++ b/sesamebeam/src/group/peer.rs
@@ -32,7 +32,7 @@
 use crate::frames::{
     self,
     FrameError,
-    Retry, //
+    RetryBackoff, //
 };
 
 /// Maximum number of messages queued for one replica. Further ones are dropped; the
@@ -111,7 +111,7 @@
 
 impl Connection {
     async fn maintain(&self, mut rx: Receiver<CoordinatorMessage>) {
-        let mut retry = Retry::up_to(MAX_RETRY_DELAY);
+        let mut retry = RetryBackoff::with_max_delay(MAX_RETRY_DELAY);
         loop {
             let mut reached = false;
             let ended = self.forward(&mut rx, &mut reached).await;
@@ -121,7 +121,7 @@
             if reached {
                 log::warn!(peer:% = self.addr, error:% = e; "control replica lost");
             }
-            retry.pause(reached).await;
+            retry.wait(reached).await;
             // Drops messages queued before the reconnect; replication retransmits what is
             // still needed.
             while rx.try_recv().is_ok() {}
--- a/sesamebeam/src/group/subscribers.rs
+++ b/sesamebeam/src/group/subscribers.rs
@@ -21,7 +21,7 @@
 use crate::{
     exposition::{
         Exposition,
-        Way, //
+        MessageDirection, //
     },
     frames,
 };
@@ -96,8 +96,12 @@
             Recipients::Only(entry_ids) => entry_ids.len(),
             Recipients::All => self.connections.len(),
         };
-        self.metrics
-            .message(Way::ToEntries, message.kind(), bytes.len(), receivers);
+        self.metrics.record_message(
+            MessageDirection::ToEntries,
+            message.kind(),
+            bytes.len(),
+            receivers,
+        );
         match to {
             Recipients::Only(entry_ids) => {
                 for entry_id in entry_ids {
--- a/sesamebeam/src/lib.rs
+++ b/sesamebeam/src/lib.rs
@@ -23,4 +23,4 @@
 pub mod metrics;
 pub mod settings;
 pub mod toml_file;
-pub mod turns;
+pub mod watchdog;
--- a/sesamebeam/src/limit.rs
+++ b/sesamebeam/src/limit.rs
@@ -1,4 +1,4 @@
-//! Limits on how often a repeated event is logged.
+//! Rate limits for log messages about repeated events.
 
 use std::{
     sync::Mutex,
@@ -8,14 +8,14 @@
     },
 };
 
-/// Time between two log lines about the same kind of bad input.
-pub const LOG_EVERY: Duration = Duration::from_secs(60);
+/// Minimum time between two log lines about the same kind of invalid input.
+pub const LOG_PERIOD: Duration = Duration::from_secs(60);
 
-/// Lets one event through in each period and counts those that it holds back.
+/// Allows one event per period and counts the suppressed ones.
 ///
-/// Without it a peer that sends garbage in a loop fills the disk with log lines
-/// and hides every other message. One line a period with the count of the rest
-/// tells the operator as much.
+/// Without a limit, a peer that sends invalid input in a loop fills the disk with log
+/// lines and hides every other message. One line per period with the number of
+/// suppressed events tells the operator as much.
 #[derive(Debug)]
 pub struct LogLimit {
     period: Duration,
@@ -24,18 +24,18 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// When an event was last let through.
-    last: Option<Instant>,
-    /// Events held back since then.
-    held: u64,
+    /// Time of the last allowed event.
+    last_allowed: Option<Instant>,
+    /// Number of events suppressed since then.
+    suppressed: u64,
 }
 
 impl LogLimit {
-    /// Makes a limit of one event a `period`.
+    /// Creates a limit of one event per `period`.
     pub const fn new(period: Duration) -> Self {
         let state = State {
-            last: None,
-            held: 0,
+            last_allowed: None,
+            suppressed: 0,
         };
         Self {
             period,
@@ -43,29 +43,29 @@
         }
     }
 
-    /// Returns the number of events held back since the last one if this one
-    /// may be logged, and nothing if it is held back as well.
-    pub fn pass(&self) -> Option<u64> {
-        self.pass_at(Instant::now())
+    /// Returns the number of events suppressed since the last allowed one if this event
+    /// may be logged, and `None` if it is suppressed as well.
+    pub fn allow(&self) -> Option<u64> {
+        self.allow_at(Instant::now())
     }
 
-    /// Does the same as [`LogLimit::pass`] for an event at `now`.
-    pub fn pass_at(&self, now: Instant) -> Option<u64> {
+    /// Like [`LogLimit::allow`], for an event at `now`.
+    pub fn allow_at(&self, now: Instant) -> Option<u64> {
         let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
-        let open = state
-            .last
+        let allowed = state
+            .last_allowed
             .is_none_or(|last| now.saturating_duration_since(last) >= self.period);
-        if !open {
-            state.held += 1;
+        if !allowed {
+            state.suppressed += 1;
             return None;
         }
-        state.last = Some(now);
-        Some(std::mem::take(&mut state.held))
+        state.last_allowed = Some(now);
+        Some(std::mem::take(&mut state.suppressed))
     }
 }
 
 impl Default for LogLimit {
     fn default() -> Self {
-        Self::new(LOG_EVERY)
+        Self::new(LOG_PERIOD)
     }
 }
--- a/sesamebeam/src/link.rs
+++ b/sesamebeam/src/link.rs
@@ -346,7 +346,7 @@
                     let _ = tx.send(peer).await;
                 }
                 Err(e) => {
-                    if let Some(held) = limit.pass() {
+                    if let Some(held) = limit.allow() {
                         log::warn!("event=peer_refused peer={remote} error={e:?} held_back={held}");
                     }
                 }
--- a/sesamebeam/src/listen.rs
+++ b/sesamebeam/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listening for connections.
+//! TCP listeners.
 
 use std::{
     io,
@@ -16,17 +16,17 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Pause after a connection could not be accepted: descriptors are used up, and
-/// some will be free soon.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed accept. The usual cause is that the process has no free file
+/// descriptors, and some will be closed soon.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// An address cannot be listened on.
+/// Error when listening on an address.
 #[derive(Debug, Error)]
 #[error("cannot listen on {addr}: {source}")]
 pub struct ListenError {
     /// The address.
     pub addr: SocketAddr,
-    /// Why not.
+    /// Underlying error.
     pub source: io::Error,
 }
 
@@ -34,13 +34,13 @@
 ///
 /// # Errors
 ///
-/// Fails if the address cannot be used.
+/// Fails if the address cannot be bound.
 pub(crate) async fn bind(addr: SocketAddr) -> Result<TcpListener, ListenError> {
     let bound = TcpListener::bind(addr).await;
     bound.map_err(|source| ListenError { addr, source })
 }
 
-/// Serves each connection in a task of its own until cancelled.
+/// Accepts connections until cancelled, and serves each one in its own task.
 pub(crate) async fn accept<F>(
     listener: TcpListener,
     halt: CancellationToken,
@@ -55,15 +55,15 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                // Without the option answers are only slower.
+                // Without TCP_NODELAY responses are only slower.
                 if let Err(e) = stream.set_nodelay(true) {
-                    log::debug!(error:% = e; "no option set");
+                    log::debug!(error:% = e; "failed to set TCP_NODELAY");
                 }
                 tokio::spawn(serve(stream));
             }
             Err(e) => {
-                log::warn!(error:% = e; "connection not accepted");
-                sleep(PAUSE).await;
+                log::warn!(error:% = e; "failed to accept a connection");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/sesamebeam/src/metrics.rs
+++ b/sesamebeam/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics in StatsD form to a UDP address.
+//! Metrics in StatsD format over UDP.
 //!
-//! Metrics go through a bounded queue to a thread with a socket that does not
-//! block. What finds the queue full is dropped and counted.
+//! Metrics pass through a bounded queue to a thread with a non-blocking socket.
+//! A metric that finds the queue full is dropped and counted.
 
 use std::{
     io,
@@ -37,19 +37,19 @@
 
 use crate::settings::MetricsSettings;
 
-/// Metrics that may wait to be sent.
-const QUEUE: usize = 4096;
+/// Maximum number of queued metrics.
+const QUEUE_CAPACITY: usize = 4096;
 
-/// Time after which a metric is sent though its datagram is not full.
-const FLUSH_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which datagrams that are not yet full are sent.
+const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Prefix if the settings give none.
-const PREFIX: &str = "sesamebeam";
+/// Metric name prefix if the settings have none.
+const DEFAULT_PREFIX: &str = "sesamebeam";
 
-/// Why metrics could not be started.
+/// Error when starting the metrics client.
 #[derive(Debug, Error)]
 pub enum MetricsError {
-    /// There is no socket or thread for them.
+    /// The socket or thread cannot be created.
     #[error("cannot start metrics: {0}")]
     Io(#[from] io::Error),
     /// The address cannot be used.
@@ -57,30 +57,30 @@
     Address(#[from] MetricError),
 }
 
-/// Something that is counted.
+/// Counter metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Counter {
-    /// Attempts at requests.
+    /// Attempts to run a request.
     Attempts,
-    /// Tokens of prompts.
+    /// Prompt tokens.
     PromptTokens,
     /// Generated tokens.
     CompletionTokens,
-    /// Bad input that was ignored.
-    Ignored,
-    /// Versions held by this process's own test.
-    Held,
-    /// Backend servers that went out.
+    /// Invalid inputs that were ignored.
+    InvalidInputs,
+    /// Versions that this process held because of its own evidence.
+    VersionsHeld,
+    /// Backend servers that went down.
     ServersDown,
-    /// Fingerprints quarantined.
+    /// Quarantined fingerprints.
     Quarantined,
-    /// Changes accepted.
-    Accepted,
-    /// Orders to engines that failed.
+    /// Accepted changes.
+    ChangesAccepted,
+    /// Failed orders to engines.
     OrdersFailed,
 }
 
-/// Something that has a value at a time.
+/// Gauge metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Gauge {
     /// Revision in force.
@@ -97,11 +97,11 @@
             Self::Attempts => "attempts",
             Self::PromptTokens => "tokens.prompt",
             Self::CompletionTokens => "tokens.completion",
-            Self::Ignored => "ignored",
-            Self::Held => "versions.held",
+            Self::InvalidInputs => "ignored",
+            Self::VersionsHeld => "versions.held",
             Self::ServersDown => "servers.down",
             Self::Quarantined => "quarantined",
-            Self::Accepted => "changes.accepted",
+            Self::ChangesAccepted => "changes.accepted",
             Self::OrdersFailed => "orders.failed",
         }
     }
@@ -117,7 +117,7 @@
     }
 }
 
-/// Where a process sends its metrics.
+/// StatsD client of a process.
 #[derive(Clone)]
 pub struct Metrics {
     client: Arc<StatsdClient>,
@@ -125,43 +125,43 @@
 }
 
 impl Metrics {
-    /// Starts sending; without an address nothing is sent.
+    /// Starts the client. Without an address in the settings nothing is sent.
     ///
-    /// `role` stands behind the prefix in every name, such as `entry`.
+    /// `role`, such as `entry`, follows the prefix in every metric name.
     ///
     /// # Errors
     ///
-    /// Fails if there is no socket or thread.
+    /// Fails if the socket or thread cannot be created, or the address cannot be used.
     pub fn start(settings: &MetricsSettings, role: &str) -> Result<Self, MetricsError> {
         let Some(addr) = settings.addr else {
-            return Ok(Self::off());
+            return Ok(Self::disabled());
         };
-        let socket = UdpSocket::bind(local(addr))?;
+        let socket = UdpSocket::bind(local_addr_for(addr))?;
         socket.set_nonblocking(true)?;
         let sink = BufferedUdpMetricSink::from(addr, socket)?;
         let dropped = Arc::new(AtomicU64::new(0));
-        let count = Arc::clone(&dropped);
+        let dropped_count = Arc::clone(&dropped);
         let prefix = match settings.prefix.as_str() {
-            "" => PREFIX,
+            "" => DEFAULT_PREFIX,
             prefix => prefix,
         };
         let client = StatsdClient::builder(
             &format!("{prefix}.{role}"),
-            QueuingMetricSink::with_capacity(sink, QUEUE),
+            QueuingMetricSink::with_capacity(sink, QUEUE_CAPACITY),
         )
         .with_error_handler(move |_| {
-            count.fetch_add(1, Ordering::Relaxed);
+            dropped_count.fetch_add(1, Ordering::Relaxed);
         })
         .build();
         let client = Arc::new(client);
-        flush_always(&client)?;
+        spawn_flush_thread(&client)?;
         Ok(Self { client, dropped })
     }
 
-    /// Sends nothing.
-    pub fn off() -> Self {
+    /// Creates a client that sends nothing.
+    pub fn disabled() -> Self {
         Self {
-            client: Arc::new(StatsdClient::from_sink(PREFIX, NopMetricSink)),
+            client: Arc::new(StatsdClient::from_sink(DEFAULT_PREFIX, NopMetricSink)),
             dropped: Arc::default(),
         }
     }
@@ -178,8 +178,9 @@
         self.client.gauge_with_tags(gauge.name(), value).send();
     }
 
-    /// Counts a request that ended, with its time, by class and outcome.
-    pub fn ended(&self, ended: &Ended) {
+    /// Records a finished request by organisation, class and outcome, and the duration of a
+    /// complete one.
+    pub fn record_request(&self, ended: &Ended) {
         let outcome = match &ended.refusal {
             None if ended.whole => "whole",
             None => "cut",
@@ -205,32 +206,32 @@
         );
     }
 
-    /// Returns the number of metrics dropped since the start.
+    /// Returns the number of metrics dropped since the client was started.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 }
 
-/// Returns an address to send from.
-fn local(to: SocketAddr) -> SocketAddr {
+/// Returns the local address to bind for sending to `to`.
+fn local_addr_for(to: SocketAddr) -> SocketAddr {
     match to {
         SocketAddr::V4(_) => (Ipv4Addr::UNSPECIFIED, 0).into(),
         SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
     }
 }
 
-/// Sends what waits for a full datagram, until the client is gone.
-fn flush_always(client: &Arc<StatsdClient>) -> io::Result<()> {
+/// Spawns a thread that flushes partly filled datagrams until the client is dropped.
+fn spawn_flush_thread(client: &Arc<StatsdClient>) -> io::Result<()> {
     let client = Arc::downgrade(client);
     thread::Builder::new()
         .name("metrics".to_owned())
         .spawn(move || {
             loop {
-                thread::sleep(FLUSH_EVERY);
+                thread::sleep(FLUSH_INTERVAL);
                 let Some(client) = client.upgrade() else {
                     return;
                 };
-                // A datagram that cannot be sent is lost, as any may be.
+                // A datagram that cannot be sent is lost, as any UDP datagram may be.
                 let _ = client.flush();
             }
         })?;
--- a/sesamebeam/src/toml_file.rs
+++ b/sesamebeam/src/toml_file.rs
@@ -1,4 +1,4 @@
-//! TOML files whose faults are reported by file, line and column.
+//! TOML files with faults reported by file, line and column.
 
 use std::{
     fmt, fs, io,
@@ -24,43 +24,43 @@
     },
 };
 
-/// Largest file in bytes that is read.
-const MAX_FILE: u64 = 8 << 20;
+/// Maximum file size in bytes.
+const MAX_FILE_SIZE: u64 = 8 << 20;
 
-/// Why a TOML file could not be used.
+/// Error when loading a TOML file.
 #[derive(Debug, Error)]
 pub enum FileError {
-    /// The file could not be read.
+    /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Read {
-        /// File that was to be read.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The file is too large.
-    #[error("{path} is larger than {MAX_FILE} bytes")]
+    #[error("{path} is larger than {MAX_FILE_SIZE} bytes")]
     TooLarge {
-        /// File that was to be read.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The file has faults; nothing of it is used.
-    #[error("{}", lines(.0))]
+    /// The file has faults, and none of its content is used.
+    #[error("{}", join_faults(.0))]
     Faulty(Vec<FileFault>),
 }
 
-/// A fault with its place in a file.
+/// Fault with its location in a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FileFault {
-    /// File that has the fault.
+    /// File with the fault.
     pub path: PathBuf,
-    /// Line, counted from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// Column in characters, counted from 1.
+    /// Column in characters, starting at 1.
     pub column: usize,
-    /// What is wrong, in one sentence.
+    /// Description in one sentence.
     pub message: String,
-    /// What the writer may have meant.
+    /// Known name similar to the one in the file.
     pub suggestion: Option<SmolStr>,
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// The text of a TOML file.
+/// Text of a TOML file.
 #[derive(Clone, Debug)]
 pub struct TomlFile {
     path: PathBuf,
@@ -93,7 +93,7 @@
             path: path.to_owned(),
             source,
         };
-        if fs::metadata(path).map_err(fault)?.len() > MAX_FILE {
+        if fs::metadata(path).map_err(fault)?.len() > MAX_FILE_SIZE {
             return Err(FileError::TooLarge {
                 path: path.to_owned(),
             });
@@ -102,7 +102,7 @@
         Ok(Self::new(path, text))
     }
 
-    /// Takes a text as if it had been read from `path`.
+    /// Creates a file from a text. `path` is used only to report faults.
     pub fn new(path: &Path, text: impl Into<String>) -> Self {
         Self {
             path: path.to_owned(),
@@ -115,12 +115,12 @@
         &self.text
     }
 
-    /// Reads a value and checks it.
+    /// Deserializes a value and validates it with `check`.
     ///
     /// # Errors
     ///
-    /// Fails with the first fault of syntax or type, or else with every fault
-    /// that `check` finds.
+    /// Fails with the first syntax or type error, or otherwise with every fault that
+    /// `check` returns.
     pub fn parse<T: DeserializeOwned>(
         &self,
         check: impl Fn(&T) -> Vec<Fault>,
@@ -135,7 +135,7 @@
             .map_err(|e| FileError::Faulty(vec![self.syntax_fault(&e)]))?;
         let mut found: Vec<_> = faults
             .into_iter()
-            .map(|fault| self.placed(&root, fault))
+            .map(|fault| self.locate(&root, fault))
             .collect();
         found.sort_by_key(|fault| (fault.line, fault.column));
         Err(FileError::Faulty(found))
@@ -143,12 +143,12 @@
 
     fn syntax_fault(&self, e: &toml::de::Error) -> FileFault {
         let at = e.span().map_or(0, |span| span.start);
-        // The library's message may go on about what it expected on more lines.
+        // The message of the TOML library may list the expected tokens on further lines.
         let message = e.message().trim().replace('\n', ", ");
         self.fault_at(at, suggestion_in(&message), message)
     }
 
-    fn placed(&self, root: &Spanned<DeTable<'_>>, fault: Fault) -> FileFault {
+    fn locate(&self, root: &Spanned<DeTable<'_>>, fault: Fault) -> FileFault {
         let at = offset_of(root, &fault.path);
         self.fault_at(at, fault.suggestion, fault.message)
     }
@@ -166,24 +166,24 @@
     }
 }
 
-fn lines(faults: &[FileFault]) -> String {
+fn join_faults(faults: &[FileFault]) -> String {
     let lines: Vec<_> = faults.iter().map(FileFault::to_string).collect();
     lines.join("\n")
 }
 
-/// Finds a suggestion for an unknown key or value in serde's message, which
-/// names the wrong word first and the right ones after it, in backquotes.
+/// Returns a suggestion for an unknown key or value from serde's error message, which
+/// lists the unknown word first and the known ones after it, each in backquotes.
 fn suggestion_in(message: &str) -> Option<SmolStr> {
     if !message.starts_with("unknown ") {
         return None;
     }
     let mut words = message.split('`').skip(1).step_by(2);
-    let wrong = words.next()?;
-    most_similar(wrong, words)
+    let unknown = words.next()?;
+    most_similar(unknown, words)
 }
 
-/// Finds where the value at a path starts, or the nearest part round it if the
-/// value is not written in the file.
+/// Returns the byte offset of the value at a path, or that of the innermost enclosing
+/// value in the file if the value itself is missing.
 fn offset_of(root: &Spanned<DeTable<'_>>, path: &[PathSegment]) -> usize {
     let mut at = root.span().start;
     let mut rest = path.iter();
--- a/sesamebeam/tests/exposition.rs
+++ b/sesamebeam/tests/exposition.rs
@@ -1,27 +1,27 @@
-//! Metrics as text.
+//! Tests of the metrics in text format.
 
 use std::time::Duration;
 
 use sesamebeam::exposition::{
     Exposition,
-    Level,
+    GaugeKind,
+    MessageDirection, //
     RequestEnd,
     SendEnd,
-    Way, //
 };
 
 #[test]
 fn text() {
     let exposition = Exposition::default();
-    exposition.request(RequestEnd::Answered, Duration::from_millis(3));
-    exposition.request(RequestEnd::Refused, Duration::ZERO);
-    exposition.send(SendEnd::Good);
-    exposition.first_byte(Duration::from_millis(2));
-    exposition.message(Way::ToEntries, "loads", 30, 59);
-    exposition.set(Level::LoopDelay, 4);
-    exposition.set(Level::Config, 7);
-    exposition.set(Level::Ready, u64::MAX);
-    let text = exposition.text();
+    exposition.record_request(RequestEnd::Answered, Duration::from_millis(3));
+    exposition.record_request(RequestEnd::Refused, Duration::ZERO);
+    exposition.record_send(SendEnd::Good);
+    exposition.record_first_byte(Duration::from_millis(2));
+    exposition.record_message(MessageDirection::ToEntries, "loads", 30, 59);
+    exposition.set_gauge(GaugeKind::LoopDelay, 4);
+    exposition.set_gauge(GaugeKind::ConfigVersion, 7);
+    exposition.set_gauge(GaugeKind::Ready, u64::MAX);
+    let text = exposition.to_text();
     for line in [
         "sesamebeam_requests_total{end=\"Answered\"} 1",
         "sesamebeam_requests_total{end=\"Refused\"} 1",
--- a/sesamebeam/tests/link.rs
+++ b/sesamebeam/tests/link.rs
@@ -488,10 +488,10 @@
 fn log_limit() {
     let limit = LogLimit::default();
     let start = Instant::now();
-    assert_eq!(limit.pass_at(start), Some(0));
-    assert_eq!(limit.pass_at(start + Duration::from_secs(1)), None);
-    assert_eq!(limit.pass_at(start + Duration::from_secs(59)), None);
-    assert_eq!(limit.pass_at(start + Duration::from_secs(60)), Some(2));
+    assert_eq!(limit.allow_at(start), Some(0));
+    assert_eq!(limit.allow_at(start + Duration::from_secs(1)), None);
+    assert_eq!(limit.allow_at(start + Duration::from_secs(59)), None);
+    assert_eq!(limit.allow_at(start + Duration::from_secs(60)), Some(2));
 }
 
 /// Waits until a link has rejected at least `count` certificates.
--- a/sesamebeam/tests/metrics.rs
+++ b/sesamebeam/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics.
+//! Tests of the StatsD client.
 
 use std::{
     net::{
@@ -21,12 +21,12 @@
     message::record::Usage, //
 };
 
-/// Bound on waits for datagrams that are certain to come.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout for receiving an expected datagram.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn server() -> (UdpSocket, MetricsSettings) {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-    socket.set_read_timeout(Some(PATIENCE)).unwrap();
+    socket.set_read_timeout(Some(RECEIVE_TIMEOUT)).unwrap();
     let settings = MetricsSettings {
         addr: Some(socket.local_addr().unwrap()),
         prefix: "test".into(),
@@ -39,7 +39,7 @@
     let mut lines = Vec::new();
     let mut buf = [0; 65536];
     while !lines.iter().any(|line: &String| line.contains(last)) {
-        let len = socket.recv(&mut buf).expect("a datagram comes");
+        let len = socket.recv(&mut buf).expect("a datagram is received");
         let text = std::str::from_utf8(&buf[..len]).unwrap();
         lines.extend(text.lines().map(str::to_owned));
     }
@@ -50,7 +50,7 @@
 fn request_counted() {
     let (socket, settings) = server();
     let metrics = Metrics::start(&settings, "entry").unwrap();
-    metrics.ended(&Ended {
+    metrics.record_request(&Ended {
         request: 7,
         org: "crew".into(),
         class: "question".into(),
@@ -78,9 +78,9 @@
 }
 
 #[test]
-fn nobody_listens() {
-    // The metrics' server is down: the system answers each datagram with an
-    // error. Nothing fails and nothing waits.
+fn server_down() {
+    // The StatsD server is down, so the operating system reports an error for each
+    // datagram. Sending must neither fail nor block.
     let (socket, settings) = server();
     drop(socket);
     let metrics = Metrics::start(&settings, "entry").unwrap();
