--- a/sesamebeam/src/control/serve.rs
+++ b/sesamebeam/src/control/serve.rs
@@ -40,7 +40,7 @@
 };
 
 /// Limits log lines about bad input to one per minute.
-static BAD_INPUT_LOG_LIMIT: LogLimit = LogLimit::new(crate::limit::LOG_EVERY);
+static BAD_INPUT_LOG_LIMIT: LogLimit = LogLimit::new(crate::limit::LOG_PERIOD);
 
 /// Ticket of the next client request.
 static NEXT_TICKET: AtomicU64 = AtomicU64::new(1);
@@ -148,7 +148,7 @@
 }
 
 fn log_bad_input(role: &Role, reason: &str) {
-    if let Some(suppressed) = BAD_INPUT_LOG_LIMIT.pass() {
+    if let Some(suppressed) = BAD_INPUT_LOG_LIMIT.allow() {
         log::warn!(
             "bad input from {role}: {reason} ({suppressed} more suppressed since the last log line)"
         );
--- a/sesamebeam/src/gateway/control_connections.rs
+++ b/sesamebeam/src/gateway/control_connections.rs
@@ -61,16 +61,16 @@
 use crate::{
     exposition::{
         Exposition,
-        Level,
-        Way, //
+        GaugeKind,
+        MessageDirection, //
     },
     frames::{
         self,
-        ALIVE_EVERY,
         CONNECT_TIMEOUT,
         FrameError,
+        HEARTBEAT_INTERVAL,
         Receiver,
-        Retry,
+        RetryBackoff,
         Sender, //
     },
 };
@@ -140,14 +140,14 @@
     loop {
         connections.update_connections(&seeds.borrow_and_update());
         tokio::select! {
-            () = halt.cancelled() => return,
+        () = halt.cancelled() => return,
         Some((addr, event)) = events.recv() => connections.handle_event(addr, event),
         changed = seeds.changed(), if !seeds_closed => seeds_closed = changed.is_err(),
         _ = report_ticks.tick() => connections.report(),
         _ = poll_ticks.tick() => {
         connections.poll_subscription();
         connections.report_failures();
-            }
+        }
         }
     }
 }
@@ -209,7 +209,7 @@
             let cancel = token.clone();
             tokio::spawn(async move {
                 tokio::select! {
-                    () = cancel.cancelled() => return,
+                () = cancel.cancelled() => return,
                 () = delay => {}
                 }
                 maintain(connection, cancel).await;
@@ -282,13 +282,17 @@
         let gateway = Arc::clone(&self.gateway);
         gateway
             .metrics
-            .set(Level::Ready, u64::from(gateway.is_ready()));
+            .set_gauge(GaugeKind::Ready, u64::from(gateway.is_ready()));
         let now = gateway.now();
         gateway.router().remove_expired(now);
         let limited = gateway.router().limited_count();
-        gateway.metrics.set(Level::Limited, limited as u64);
+        gateway
+            .metrics
+            .set_gauge(GaugeKind::LimitedServers, limited as u64);
         let backed_off = gateway.router().backed_off_count(now);
-        gateway.metrics.set(Level::BackedOff, backed_off as u64);
+        gateway
+            .metrics
+            .set_gauge(GaugeKind::BackedOffServers, backed_off as u64);
         let Some(followed) = self.subscription.followed() else {
             return;
         };
@@ -361,7 +365,7 @@
                     );
                     gateway
                         .metrics
-                        .set(Level::Evacuated, evacuated.len() as u64);
+                        .set_gauge(GaugeKind::EvacuatedDomains, evacuated.len() as u64);
                 }
             }
             ToEntry::Servers(servers) => self.apply_announcements(addr, servers),
@@ -458,7 +462,7 @@
                 if applied {
                     self.first_config_at.get_or_init(Instant::now);
                     self.state_changed.notify_waiters();
-                    self.metrics.set(Level::Config, version);
+                    self.metrics.set_gauge(GaugeKind::ConfigVersion, version);
                     log::info!(
                         config = version, before:? = current, replica:% = from;
                         "configuration in force"
@@ -485,7 +489,7 @@
 }
 
 async fn maintain(connection: Connection, cancel: CancellationToken) {
-    let mut retry = Retry::up_to(MAX_RETRY_DELAY);
+    let mut retry = RetryBackoff::with_max_delay(MAX_RETRY_DELAY);
     loop {
         let mut reached = false;
         let result = tokio::select! {
@@ -503,7 +507,7 @@
         {
             log::warn!(replica:% = connection.addr, error:% = e; "control replica lost");
         }
-        retry.pause(reached).await;
+        retry.wait(reached).await;
     }
 }
 
@@ -520,7 +524,7 @@
         let (queue, messages) = mpsc::channel(QUEUE_CAPACITY);
         self.notify(ConnectionEvent::Connected(queue));
         tokio::select! {
-            ended = self.read(&mut rx) => ended,
+        ended = self.read(&mut rx) => ended,
         ended = write(&mut tx, messages, &self.metrics) => ended,
         }
     }
@@ -543,14 +547,14 @@
     mut messages: mpsc::Receiver<FromEntry>,
     metrics: &Exposition,
 ) -> Result<(), FrameError> {
-    let mut ticks = ticks(ALIVE_EVERY);
+    let mut ticks = ticks(HEARTBEAT_INTERVAL);
     loop {
         let message = tokio::select! {
-            message = messages.recv() => message.ok_or(FrameError::Closed)?,
-            _ = ticks.tick() => FromEntry::Heartbeat,
+        message = messages.recv() => message.ok_or(FrameError::Closed)?,
+        _ = ticks.tick() => FromEntry::Heartbeat,
         };
         let frame = frames::encode(&message)?;
-        metrics.message(Way::ToControl, message.kind(), frame.len(), 1);
+        metrics.record_message(MessageDirection::ToControl, message.kind(), frame.len(), 1);
         tx.send_encoded(frame).await?;
     }
 }
