--- a/sesamebeam_core/src/control/pending.rs
+++ b/sesamebeam_core/src/control/pending.rs
@@ -168,15 +168,15 @@
     match reason {
         Rejection::NotLeader(_) => ControlReply::NotLeader(hint),
         Rejection::Full => unavailable("the disk is full"),
-        Rejection::Busy => unavailable("too many writes are pending"),
+        Rejection::Busy => unavailable("too much waits to be written"),
         Rejection::OutcomeUnknown => {
-            unavailable("leadership was lost; the write may still be committed")
+            unavailable("leadership was lost; the write may yet come through")
         }
         Rejection::Change(ChangeError::InFlight) => {
-            unavailable("another membership change is in flight")
+            unavailable("another change of the membership is in flight")
         }
         Rejection::Change(fault) => {
-            ControlReply::Refused(format_smolstr!("invalid membership change: {fault:?}"))
+            ControlReply::Refused(format_smolstr!("the change does not fit: {fault:?}"))
         }
     }
 }
--- a/sesamebeam_core/src/control/renewals.rs
+++ b/sesamebeam_core/src/control/renewals.rs
@@ -45,7 +45,7 @@
     pub(super) fn answer_renewals(&mut self) {
         if !self.leads(self.now) {
             for ticket in self.renewals.take_expired(self.now) {
-                self.reply(ticket, unavailable("the leader cannot reach a quorum"));
+                self.reply(ticket, unavailable("this leader reaches no quorum"));
             }
             return;
         }
--- a/sesamebeam_core/src/control/requests.rs
+++ b/sesamebeam_core/src/control/requests.rs
@@ -89,16 +89,16 @@
     /// replica cannot serve, or `None` if it can.
     fn rejection_reply(&self) -> Option<ControlReply> {
         if self.stopped {
-            return Some(unavailable("this replica has stopped permanently"));
+            return Some(unavailable("this replica has stopped for good"));
         }
         let Some(lead) = &self.lead else {
             return Some(ControlReply::NotLeader(self.leader_hint()));
         };
         if lead.clock_base.is_some() && !self.leads(self.now) {
-            return Some(unavailable("the leader cannot reach a quorum"));
+            return Some(unavailable("this leader reaches no quorum"));
         }
         let pending = self.pending.len() + self.renewals.len();
-        (pending >= self.cfg.max_pending).then(|| unavailable("too many requests are pending"))
+        (pending >= self.cfg.max_pending).then(|| unavailable("too many requests wait"))
     }
 
     /// Checks a fleet file and proposes it. A file with faults is not written to
@@ -197,7 +197,7 @@
 
     pub(super) fn reject_expired(&mut self) {
         for pending in self.pending.take_expired(self.now) {
-            self.reject(pending, unavailable("no quorum replied in time"));
+            self.reject(pending, unavailable("no quorum answered in time"));
         }
     }
 
